--- a/lib/src/batch/directory.rs
+++ b/lib/src/batch/directory.rs
@@ -201,3 +201,16 @@
     entries.retain(|entry| entry.addr != own);
     Ok(entries)
 }
+
+#[cfg(test)]
+mod tests {
+    use super::Entry;
+
+    /// A node reads the entries that nodes of another build have written.
+    #[test]
+    fn an_entry_keeps_its_encoding() {
+        let entry = Entry { addr: "127.0.0.1:7001".parse().unwrap(), cpu: 500 };
+        let bytes = postcard::to_stdvec(&entry).unwrap();
+        assert_eq!(bytes, [0, 127, 0, 0, 1, 217, 54, 244, 3]);
+    }
+}
