--- a/lib/src/batch/record/accepted.rs
+++ b/lib/src/batch/record/accepted.rs
@@ -37,7 +37,7 @@
 
 /// A job as records of before accounts were known keep it: without the last field.
 #[derive(Deserialize)]
-pub(super) struct Ownerless {
+pub(super) struct LegacyAccepted {
     job: Job,
     queue: String,
     service: String,
@@ -49,10 +49,10 @@
     at: Duration,
 }
 
-impl From<Ownerless> for Accepted {
-    fn from(kept: Ownerless) -> Accepted {
-        let Ownerless { job, queue, service, priority, max_attempts, needs_advice, .. } = kept;
-        let Ownerless { objective_ms, stretch_percent, at, .. } = kept;
+impl From<LegacyAccepted> for Accepted {
+    fn from(kept: LegacyAccepted) -> Accepted {
+        let LegacyAccepted { job, queue, service, priority, max_attempts, needs_advice, .. } = kept;
+        let LegacyAccepted { objective_ms, stretch_percent, at, .. } = kept;
         Accepted {
             job,
             queue,
--- a/lib/src/batch/record/job.rs
+++ b/lib/src/batch/record/job.rs
@@ -7,7 +7,7 @@
 use crate::batch::record::Accepted;
 use crate::batch::record::CANCEL_PREFIX;
 use crate::batch::record::RecordError;
-use crate::batch::record::accepted::Ownerless;
+use crate::batch::record::accepted::LegacyAccepted;
 use crate::batch::record::decode;
 use crate::batch::record::encode;
 use crate::batch::record::id_of_owned;
@@ -26,7 +26,7 @@
 /// Who wants a job cancelled. Records of before accounts were known say only that somebody does.
 fn canceller(record: &Record, value: &[u8]) -> Result<Caller, RecordError> {
     if value == encode(&true) {
-        return Ok(Caller::Site);
+        return Ok(Caller::Operator);
     }
     decode(&record.key, value)
 }
@@ -34,7 +34,7 @@
 fn decode_accepted(key: &str, value: &[u8]) -> Result<Accepted, RecordError> {
     let owned: Result<Accepted, RecordError> = decode(key, value);
     owned.or_else(|error| {
-        let ownerless: Result<Ownerless, RecordError> = decode(key, value);
+        let ownerless: Result<LegacyAccepted, RecordError> = decode(key, value);
         ownerless.map(Accepted::from).map_err(|_| error)
     })
 }
--- a/lib/src/batch/relay.rs
+++ b/lib/src/batch/relay.rs
@@ -32,12 +32,12 @@
 use crate::transport::dial::ExchangeError;
 
 /// How long one call to the store for a peer may take.
-const PEER_CALL: Duration = Duration::from_millis(500);
+const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long an append may go without an answer before a peer is asked to do it as well. The store
 /// answers within 5 ms in calm.
-const HEDGE: Duration = Duration::from_millis(300);
+const HEDGE_DELAY: Duration = Duration::from_millis(300);
 /// Longest time that a peer waits for news in a read, so that it answers before it is taken not to.
-const PEER_POLL: Duration = Duration::from_millis(300);
+const MAX_PEER_LONG_POLL: Duration = Duration::from_millis(300);
 
 /// A call to the store that a peer is to make.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -84,65 +84,67 @@
         reason: String,
     },
     /// The peer cannot reach the store either; nothing was done.
-    Away,
+    #[serde(rename = "Away")]
+    Unavailable,
     /// It may have been done, or may be done later.
     Unknown,
 }
 
 /// What a node knows of its own way to the store.
 #[derive(Default)]
-pub struct Way {
+pub struct Route {
     state: Mutex<State>,
 }
 
 #[derive(Default)]
 struct State {
     /// The last direct call that ended was turned away or had no answer.
-    is_shut: bool,
+    is_unavailable: bool,
     /// When the direct appends that are under way were sent.
-    under_way: Vec<Instant>,
+    in_flight: Vec<Instant>,
 }
 
-impl Way {
-    fn note<T>(&self, done: &Result<T, CallError>) {
+impl Route {
+    fn record_result<T>(&self, done: &Result<T, CallError>) {
         let shut = done.as_ref().err().is_some_and(CallError::is_turned_away);
         let mut state = self.state.lock().expect("no holder of the state panics");
-        if state.is_shut != shut {
+        if state.is_unavailable != shut {
             log::info!(shut; "the store's door for this node");
         }
-        state.is_shut = shut;
+        state.is_unavailable = shut;
     }
 
     /// Whether the last direct call failed.
-    pub fn is_shut(&self) -> bool {
-        self.state.lock().expect("no holder of the state panics").is_shut
+    pub fn is_unavailable(&self) -> bool {
+        self.state.lock().expect("no holder of the state panics").is_unavailable
     }
 
     /// Whether a peer should not be helped: the store is away for this node as well, or so slow
     /// that more writes would only make all of them later.
-    fn is_no_help(&self) -> bool {
+    fn is_unfit_to_relay(&self) -> bool {
         let state = self.state.lock().expect("no holder of the state panics");
-        state.is_shut || state.under_way.iter().any(|sent| clock::since(*sent) >= HEDGE)
+        state.is_unavailable
+            || state.in_flight.iter().any(|sent| clock::since(*sent) >= HEDGE_DELAY)
     }
 
-    fn begin(&self, sent: Instant) {
-        self.state.lock().expect("no holder of the state panics").under_way.push(sent);
+    fn start_append(&self, sent: Instant) {
+        self.state.lock().expect("no holder of the state panics").in_flight.push(sent);
     }
 
-    fn end(&self, sent: Instant) {
+    fn finish_append(&self, sent: Instant) {
         let mut state = self.state.lock().expect("no holder of the state panics");
-        if let Some(place) = state.under_way.iter().position(|other| *other == sent) {
-            state.under_way.swap_remove(place);
+        if let Some(place) = state.in_flight.iter().position(|other| *other == sent) {
+            state.in_flight.swap_remove(place);
         }
     }
 }
 
 /// Takes an append out of those under way, also where nobody waits for its answer any more.
-struct UnderWay<'a>(&'a Way, Instant);
+struct InFlightAppend<'a>(&'a Route, Instant);
 
-impl Drop for UnderWay<'_> {
+impl Drop for InFlightAppend<'_> {
     fn drop(&mut self) {
-        self.0.end(self.1);
+        self.0.finish_append(self.1);
     }
 }
 
@@ -168,18 +170,20 @@
             guard: guard.clone(),
         };
         let mut known = true;
-        if self.way.is_shut() {
+        if self.store_route.is_unavailable() {
             match self.relay(call()).await {
                 Some(Answer::Appended(appended)) => return Ok(appended),
-                Some(Answer::Away | Answer::Refused { .. }) => {}
+                Some(Answer::Unavailable | Answer::Refused { .. }) => {}
                 _ => known = false,
             }
         }
         let direct = self.append_directly(&partition, records, guard, wait);
         let mut direct = std::pin::pin!(direct);
-        let mut failed = match timeout(HEDGE, &mut direct).await {
+        let mut failed = match timeout(HEDGE_DELAY, &mut direct).await {
             Ok(Ok(appended)) => return Ok(appended),
-            Ok(Err(error)) if !error.is_turned_away() => return Err(settle(error, guard, known)),
+            Ok(Err(error)) if !error.is_turned_away() => {
+                return Err(append_error(error, guard, known));
+            }
             Ok(Err(error)) => Some(error),
             Err(_) => None,
         };
@@ -195,17 +199,17 @@
             },
             relayed = &mut relayed => relayed,
         };
-        known &= matches!(relayed, Some(Answer::Away | Answer::Refused { .. }));
+        known &= matches!(relayed, Some(Answer::Unavailable | Answer::Refused { .. }));
         match (relayed, failed) {
             (Some(Answer::Appended(appended)), _) => Ok(appended),
             (Some(Answer::Refused { status, reason }), Some(error)) => {
                 known &= error.is_certain();
                 let error = CallError::Refused { status, reason, body: Bytes::new() };
-                Err(settle(error, guard, known))
+                Err(append_error(error, guard, known))
             }
-            (_, Some(error)) => Err(settle(error, guard, known)),
+            (_, Some(error)) => Err(append_error(error, guard, known)),
             // The peer may have been refused since the first try is done and its answer on the way.
-            (_, None) => direct.await.map_err(|error| settle(error, guard, known)),
+            (_, None) => direct.await.map_err(|error| append_error(error, guard, known)),
         }
     }
 
@@ -217,10 +221,10 @@
         wait: Duration,
     ) -> Result<Appended, CallError> {
         let sent = clock::now();
-        self.way.begin(sent);
-        let _under_way = UnderWay(&self.way, sent);
+        self.store_route.start_append(sent);
+        let _under_way = InFlightAppend(&self.store_route, sent);
         let done = self.store.append(partition, records, guard, wait).await;
-        self.way.note(&done);
+        self.store_route.record_result(&done);
         done
     }
 
@@ -238,10 +242,10 @@
         wait: Duration,
     ) -> Result<Page, CallError> {
         let partition = partition.into();
-        let own_poll = if self.way.is_shut() { Duration::ZERO } else { long_poll };
+        let own_poll = if self.store_route.is_unavailable() { Duration::ZERO } else { long_poll };
         let direct = self.store.read(&partition, from, own_poll, wait);
         let call = Call::Read { partition: partition.clone(), from, long_poll };
-        self.read(direct, call, |answer| match answer {
+        self.read_or_relay(direct, call, |answer| match answer {
             Answer::Page(page) => Some(page),
             _ => None,
         })
@@ -261,7 +265,7 @@
         let partition = partition.into();
         let direct = self.store.newest(&partition, wait);
         let call = Call::Newest { partition: partition.clone() };
-        self.read(direct, call, |answer| match answer {
+        self.read_or_relay(direct, call, |answer| match answer {
             Answer::Newest(newest) => Some(newest),
             _ => None,
         })
@@ -270,19 +274,19 @@
 
     /// Reads from the store; while its door is shut, through a peer at the same time, since a store that says nothing
     /// would hold up each read for its whole time.
-    async fn read<T>(
+    async fn read_or_relay<T>(
         &self,
         direct: impl Future<Output = Result<T, CallError>>,
         call: Call,
         take: impl Fn(Answer) -> Option<T>,
     ) -> Result<T, CallError> {
-        let is_shut = self.way.is_shut();
+        let is_shut = self.store_route.is_unavailable();
         let direct = async {
             let done = direct.await;
-            self.way.note(&done);
+            self.store_route.record_result(&done);
             done
         };
-        let relayed = async { self.taken(self.relay(call).await, take) };
+        let relayed = async { self.relayed_read(self.relay(call).await, take) };
         let (mut direct, mut relayed) = (std::pin::pin!(direct), std::pin::pin!(relayed));
         let done = tokio::select! {
             done = &mut direct => done,
@@ -298,7 +302,7 @@
     }
 
     /// What a peer read, or why the store refuses it; `None` if the peers could not ask it.
-    fn taken<T>(
+    fn relayed_read<T>(
         &self,
         answer: Option<Answer>,
         take: impl Fn(Answer) -> Option<T>,
@@ -316,59 +320,61 @@
     /// [`Answer::Away`] if none of them can.
     async fn relay(&self, call: Call) -> Option<Answer> {
         let mut is_known = true;
-        for addr in self.directory.some_peers() {
+        for addr in self.directory.relay_peers() {
             match self.peers.ask_once(addr, peer::Request::Relay(call.clone())).await {
-                Ok(Reply::Relayed(Answer::Away)) => {}
+                Ok(Reply::Relayed(Answer::Unavailable)) => {}
                 Ok(Reply::Relayed(Answer::Unknown)) => is_known = false,
                 Err(error) => {
                     is_known &= matches!(error, PeerError::NotSent);
-                    self.directory.shun(addr);
+                    self.directory.mark_unresponsive(addr);
                 }
                 Ok(Reply::Relayed(answer)) => {
                     self.counters.count("batch.store.through-peer");
-                    self.directory.prefer(addr);
+                    self.directory.set_preferred_relay(addr);
                     return Some(answer);
                 }
                 Ok(reply) => log::warn!("{addr} answers a call to the store by {reply:?}"),
             }
         }
-        is_known.then_some(Answer::Away)
+        is_known.then_some(Answer::Unavailable)
     }
 
     /// Makes a call to the store for a peer.
     pub async fn relay_for_peer(&self, call: Call) -> Answer {
-        if self.way.is_no_help() {
-            return Answer::Away;
+        if self.store_route.is_unfit_to_relay() {
+            return Answer::Unavailable;
         }
-        make(&self.store, call).await.unwrap_or_else(|error| match error {
+        call_store(&self.store, call).await.unwrap_or_else(|error| match error {
             CallError::Unknown(_) => Answer::Unknown,
-            error if error.is_turned_away() => Answer::Away,
+            error if error.is_turned_away() => Answer::Unavailable,
             CallError::Refused { status, reason, .. } => Answer::Refused { status, reason },
-            CallError::NotSent(_) => Answer::Away,
+            CallError::NotSent(_) => Answer::Unavailable,
         })
     }
 }
 
 /// The error of an append of which another try may still be done. What a condition says holds
 /// whatever becomes of the other try.
-fn settle(error: CallError, guard: &Guard, others_known: bool) -> CallError {
+fn append_error(error: CallError, guard: &Guard, others_known: bool) -> CallError {
     match guard {
         Guard::None if !others_known => CallError::Unknown(ExchangeError::Timeout),
         _ => error,
     }
 }
 
-async fn make(store: &Store, call: Call) -> Result<Answer, CallError> {
+async fn call_store(store: &Store, call: Call) -> Result<Answer, CallError> {
     match call {
         Call::Append { partition, records, guard } => {
-            let appended = store.append(&partition, &records, &guard, PEER_CALL).await;
+            let appended = store.append(&partition, &records, &guard, PEER_CALL_TIMEOUT).await;
             appended.map(Answer::Appended)
         }
         Call::Read { partition, from, long_poll } => {
-            let long_poll = long_poll.min(PEER_POLL);
-            let page = store.read(&partition, from, long_poll, PEER_CALL).await;
+            let long_poll = long_poll.min(MAX_PEER_LONG_POLL);
+            let page = store.read(&partition, from, long_poll, PEER_CALL_TIMEOUT).await;
             page.map(Answer::Page)
         }
-        Call::Newest { partition } => store.newest(&partition, PEER_CALL).await.map(Answer::Newest),
+        Call::Newest { partition } => {
+            store.newest(&partition, PEER_CALL_TIMEOUT).await.map(Answer::Newest)
+        }
     }
 }
--- a/lib/src/batch/scheduler.rs
+++ b/lib/src/batch/scheduler.rs
@@ -3,13 +3,13 @@
 
 mod answer;
 mod boxes;
-mod deal;
 mod events;
 mod flush;
 mod follow;
 mod forget;
 mod load;
-pub mod share;
+mod rebalance;
+pub mod shard;
 mod tick;
 
 use std::sync::Arc;
@@ -29,47 +29,47 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::batch::advice;
-use crate::batch::announce;
-use crate::batch::carry::Carrier;
-use crate::batch::carry::license::License;
 use crate::batch::cell::Cell;
+use crate::batch::dispatch::Dispatcher;
+use crate::batch::dispatch::lease::Lease;
 use crate::batch::fleet;
 use crate::batch::node::Node;
-use crate::batch::scheduler::deal::assign_all;
-use crate::batch::scheduler::deal::await_ready;
-use crate::batch::scheduler::deal::begin_shares;
-use crate::batch::scheduler::deal::deal;
-use crate::batch::scheduler::deal::end_all;
-use crate::batch::scheduler::deal::pass_on;
-use crate::batch::scheduler::events::follow_own;
+use crate::batch::order_window::OrderWindow;
+use crate::batch::scheduler::events::consume_own_events;
 use crate::batch::scheduler::flush::flush;
 use crate::batch::scheduler::follow::follow_jobs;
 use crate::batch::scheduler::follow::follow_workers;
-use crate::batch::scheduler::forget::forget;
+use crate::batch::scheduler::forget::forget_finished;
 use crate::batch::scheduler::load::load;
 use crate::batch::scheduler::load::load_workers;
-use crate::batch::scheduler::share::Shares;
+use crate::batch::scheduler::rebalance::assign_unassigned;
+use crate::batch::scheduler::rebalance::await_shards_ready;
+use crate::batch::scheduler::rebalance::dispatch_orders;
+use crate::batch::scheduler::rebalance::manage_shards;
+use crate::batch::scheduler::rebalance::start_shards;
+use crate::batch::scheduler::rebalance::stop_shards;
+use crate::batch::scheduler::shard::Shards;
 use crate::batch::scheduler::tick::tick;
-use crate::batch::turn::Turn;
+use crate::batch::store_latency;
 use crate::transport::clock;
 
 /// Name under which the store knows the writer of the progress topic.
-const PRODUCER: &str = "scheduler";
+const PRODUCER_NAME: &str = "scheduler";
 /// How long a read of everything may take.
-const LOAD: Duration = Duration::from_millis(2_000);
+const LOAD_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// How long another call to the store may take; a slow store takes about 250 ms.
-const CALL: Duration = Duration::from_millis(700);
+const STORE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 /// How long after it began every node knows of a scheduler: they read the record of the lead at least each
 /// half second.
-const KNOWN: Duration = Duration::from_millis(1_000);
+const DISCOVERY_TIME: Duration = Duration::from_millis(1_000);
 /// Steps that wait, above which a round of placing is dear and every change should not cause one.
-const BACKLOG: usize = 60;
+const BACKLOG_STEPS: usize = 60;
 /// Pause between rounds then; a task runs for about a second.
 const BACKLOG_PAUSE: Duration = Duration::from_millis(8);
 /// How long the last changes may take to reach the store when the lead is given up.
-const SETTLE: Duration = Duration::from_millis(500);
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The scheduler while this node holds the lead.
 pub struct Scheduler {
@@ -79,29 +79,29 @@
     pub token: Token,
     cell: Mutex<Cell>,
     /// Which node looks after which worker.
-    shares: Shares,
+    shards: Shards,
     /// Something may be started.
-    work: Notify,
+    placement_wake: Notify,
     /// The advice service may be asked something.
-    pub questions: Notify,
+    pub advice_wake: Notify,
     /// Something is to be written to the store.
-    flush: Notify,
+    flush_wake: Notify,
     /// Number of writes done.
-    flushed: watch::Sender<u64>,
-    store_pace: Mutex<announce::Pace>,
+    flush_count: watch::Sender<u64>,
+    store_pace: Mutex<store_latency::StoreLatency>,
     /// When this scheduler began.
-    pub began_at: Instant,
+    pub started_at: Instant,
     /// Its turn to order machines.
-    pub turn: Turn,
-    over: CancellationToken,
+    pub order_window: OrderWindow,
+    cancellation: CancellationToken,
 }
 
 impl Scheduler {
     /// Begins: reads the store, then looks at every worker, then starts tasks.
-    pub fn begin(
+    pub fn start(
         node: Arc<Node>,
         token: Token,
-        turn: Turn,
+        turn: OrderWindow,
         predecessor_is_done: bool,
     ) -> Arc<Scheduler> {
         let now = clock::now();
@@ -109,42 +109,42 @@
         cell.predecessor_is_done = predecessor_is_done;
         cell.renewed_at = Some(now);
         cell.longest_lease = node.settings.longest_lease;
-        let (own, events) = Carrier::begin(node.tools(), License::unbounded());
-        let base = own.began_at();
+        let (own, events) = Dispatcher::start(node.dispatch_context(), Lease::unbounded());
+        let base = own.started_at();
         let scheduler = Arc::new(Scheduler {
             node,
             token,
             cell: Mutex::new(cell),
-            shares: Shares::new(token, own),
-            work: Notify::new(),
-            questions: Notify::new(),
-            flush: Notify::new(),
-            flushed: watch::Sender::new(0),
+            shards: Shards::new(token, own),
+            placement_wake: Notify::new(),
+            advice_wake: Notify::new(),
+            flush_wake: Notify::new(),
+            flush_count: watch::Sender::new(0),
             store_pace: Mutex::default(),
-            began_at: now,
-            turn,
-            over: CancellationToken::new(),
+            started_at: now,
+            order_window: turn,
+            cancellation: CancellationToken::new(),
         });
-        scheduler.spawn(follow_own(scheduler.clone(), base, events));
+        scheduler.spawn(consume_own_events(scheduler.clone(), base, events));
         scheduler.spawn(run(scheduler.clone()));
         scheduler
     }
 
     /// Ends all tasks of the scheduler. Carriers on other nodes end as their licences run out.
-    pub fn end(&self) {
-        self.over.cancel();
-        self.shares.end_own();
+    pub fn stop(&self) {
+        self.cancellation.cancel();
+        self.shards.stop_own();
     }
 
     /// The same, and waits until nothing more can come of its carriers.
-    pub async fn end_with_carriers(self: &Arc<Self>) {
-        self.over.cancel();
-        end_all(self).await;
+    pub async fn stop_with_dispatchers(self: &Arc<Self>) {
+        self.cancellation.cancel();
+        stop_shards(self).await;
     }
 
     /// Runs a task until the scheduler ends.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
-        let over = self.over.clone();
+        let over = self.cancellation.clone();
         tokio::spawn(async move { over.run_until_cancelled_owned(task).await });
     }
 
@@ -155,28 +155,28 @@
 
     /// Whether a newer scheduler was heard of.
     pub fn is_fenced(&self) -> bool {
-        self.cell().fenced
+        self.cell().is_fenced
     }
 
     /// The call that renewed the lead was sent at `sent`.
-    pub fn set_renewed(&self, sent: Instant) {
+    pub fn record_renewal(&self, sent: Instant) {
         self.cell().renewed_at = Some(sent);
     }
 
     /// Something may be started, or is to be sent.
-    pub fn kick(&self) {
-        self.work.notify_one();
+    pub fn wake(&self) {
+        self.placement_wake.notify_one();
     }
 
     /// Something is to be written.
-    pub fn kick_flush(&self) {
-        self.flush.notify_one();
+    pub fn wake_flush(&self) {
+        self.flush_wake.notify_one();
     }
 
     /// Waits a moment for the last changes to reach the store.
-    pub async fn settle(&self) {
-        self.flush.notify_one();
-        let mut flushed = self.flushed.subscribe();
+    pub async fn await_flush(&self) {
+        self.flush_wake.notify_one();
+        let mut flushed = self.flush_count.subscribe();
         let settled = async {
             while self.cell().needs_flush() {
                 if flushed.changed().await.is_err() {
@@ -184,7 +184,7 @@
                 }
             }
         };
-        if timeout(SETTLE, settled).await.is_err() {
+        if timeout(SETTLE_TIMEOUT, settled).await.is_err() {
             log::warn!(
                 "the last changes did not reach the store; the next scheduler asks the workers"
             );
@@ -198,31 +198,31 @@
     let workers_end = load_workers_until_done(&scheduler).await;
     {
         let mut cell = scheduler.cell();
-        cell.unasked = cell.workers.keys().cloned().collect();
-        cell.known_from = Some(clock::now() + KNOWN);
+        cell.unpolled = cell.workers.keys().cloned().collect();
+        cell.known_everywhere_from = Some(clock::now() + DISCOVERY_TIME);
         log::info!(
             token = scheduler.token,
             jobs = cell.jobs.len(),
             workers = cell.workers.len(),
-            took_ms = clock::since(scheduler.began_at).as_millis() as u64;
+            took_ms = clock::since(scheduler.started_at).as_millis() as u64;
             "scheduler begins"
         );
     }
     scheduler.node.set_scheduler(Some(scheduler.clone()));
-    begin_shares(&scheduler);
-    await_ready(&scheduler).await;
-    assign_all(&scheduler);
+    start_shards(&scheduler);
+    await_shards_ready(&scheduler).await;
+    assign_unassigned(&scheduler);
     scheduler.spawn(follow_workers(scheduler.clone(), workers_end));
     for (partition, end) in (0..).zip(job_ends) {
         scheduler.spawn(follow_jobs(scheduler.clone(), partition, end));
     }
     scheduler.spawn(flush(scheduler.clone()));
     scheduler.spawn(tick(scheduler.clone()));
-    scheduler.spawn(deal(scheduler.clone()));
-    scheduler.spawn(forget(scheduler.clone()));
+    scheduler.spawn(manage_shards(scheduler.clone()));
+    scheduler.spawn(forget_finished(scheduler.clone()));
     scheduler.spawn(fleet::run(scheduler.clone()));
     scheduler.spawn(advice::run(scheduler.clone()));
-    work(scheduler).await;
+    run_placement(scheduler).await;
 }
 
 /// Reads the store, again and again; `None` if a newer scheduler has come.
@@ -235,10 +235,10 @@
         scheduler.node.counters.count("batch.scheduler.load-failed");
         log::warn!("the store cannot be read: {error}");
         if error.status() == Some(409) {
-            scheduler.cell().fenced = true;
+            scheduler.cell().is_fenced = true;
             return None;
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
@@ -248,37 +248,38 @@
             Ok(end) => return end,
             Err(error) => log::warn!("the workers cannot be read: {error}"),
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
 /// Places what waits and sends the orders, whenever something may have changed.
-async fn work(scheduler: Arc<Scheduler>) {
+async fn run_placement(scheduler: Arc<Scheduler>) {
     loop {
-        scheduler.work.notified().await;
+        scheduler.placement_wake.notified().await;
         let (waits, tally, needs_flush, backlog) = {
             let config = scheduler.node.config();
             let mut cell = scheduler.cell();
-            config.iter().for_each(|config| cell.set_bounds(config));
-            if cell.needs_placing() {
-                cell.place(clock::now(), wall_clock());
+            config.iter().for_each(|config| cell.set_quotas(config));
+            if cell.needs_placement() {
+                cell.place_ready(clock::now(), wall_clock());
             }
-            pass_on(&scheduler, &mut cell);
-            let (waits, tally) = (std::mem::take(&mut cell.waits), std::mem::take(&mut cell.tally));
+            dispatch_orders(&scheduler, &mut cell);
+            let (waits, tally) =
+                (std::mem::take(&mut cell.wait_times), std::mem::take(&mut cell.stats));
             (waits, tally, cell.needs_flush(), cell.ready.len())
         };
-        scheduler.node.counters.add("batch.worker.crashed", tally.workers);
-        scheduler.node.counters.add("batch.task.given-up", tally.given_up);
-        scheduler.node.counters.add("batch.worker.gone", tally.ended);
-        scheduler.node.counters.add("batch.worker.gone-by-list", tally.ended_by_list);
+        scheduler.node.counters.add("batch.worker.crashed", tally.crashed_workers);
+        scheduler.node.counters.add("batch.task.given-up", tally.abandoned_tasks);
+        scheduler.node.counters.add("batch.worker.gone", tally.ended_incarnations);
+        scheduler.node.counters.add("batch.worker.gone-by-list", tally.ended_by_box_list);
         for waited in waits {
             scheduler.node.latencies.record("batch.start.wait", waited);
         }
-        scheduler.questions.notify_one();
+        scheduler.advice_wake.notify_one();
         if needs_flush {
-            scheduler.kick_flush();
+            scheduler.wake_flush();
         }
-        if backlog > BACKLOG {
+        if backlog > BACKLOG_STEPS {
             sleep(BACKLOG_PAUSE).await;
         }
     }
--- a/lib/src/batch/scheduler/answer.rs
+++ b/lib/src/batch/scheduler/answer.rs
@@ -14,24 +14,26 @@
 use crate::batch::view;
 
 /// How long a client's cancel waits for the store.
-const AWAIT_CANCEL: Duration = Duration::from_millis(700);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(700);
 
 impl Scheduler {
     /// Answers a node on a client's behalf.
     pub async fn answer(&self, request: Request) -> Reply {
         match request {
             Request::Submitted(id, accepted) => self.admit(id, *accepted),
-            Request::State(id, caller) => Reply::State(self.cell().state(id, &caller)),
-            Request::Pending(queue, caller) => Reply::Pending(self.cell().pending(&queue, &caller)),
+            Request::State(id, caller) => Reply::State(self.cell().job_state_for(id, &caller)),
+            Request::Pending(queue, caller) => {
+                Reply::Pending(self.cell().count_pending(&queue, &caller))
+            }
             Request::Cancel(id, caller) => self.cancel(id, &caller).await,
             Request::View(path) => {
-                let (waves, shares) = (self.node.waves(), self.shares.view());
-                Reply::View(view::show(&self.cell(), &waves, &shares, &path))
+                let (waves, shares) = (self.node.waves(), self.shards.view());
+                Reply::View(view::render(&self.cell(), &waves, &shares, &path))
             }
             Request::Relay(call) => Reply::Relayed(self.node.relay_for_peer(call).await),
             Request::Report(report) => take_report(self, *report),
             // The node itself carries, and knows the configuration.
-            Request::Carry(_) | Request::Newer { .. } | Request::Config(_) => Reply::NotReady,
+            Request::Dispatch(_) | Request::Newer { .. } | Request::Config(_) => Reply::NotReady,
             Request::Ping => Reply::Done,
         }
     }
@@ -40,20 +42,20 @@
     fn admit(&self, id: JobId, accepted: Accepted) -> Reply {
         let mut cell = self.cell();
         let owner = accepted.account.clone();
-        if cell.admit_told(id, accepted) {
+        if cell.admit_announced(id, accepted) {
             drop(cell);
-            self.kick();
-        } else if !cell.is_of(id, owner.as_ref()) {
-            return Reply::Occupied;
+            self.wake();
+        } else if !cell.is_job_of(id, owner.as_ref()) {
+            return Reply::IdInUse;
         }
         Reply::Done
     }
 
     async fn cancel(&self, id: JobId, caller: &Caller) -> Reply {
         let Some(state) = self.cell().cancel_for(id, caller) else { return Reply::State(None) };
-        self.kick();
-        self.kick_flush();
-        let mut flushed = self.flushed.subscribe();
+        self.wake();
+        self.wake_flush();
+        let mut flushed = self.flush_count.subscribe();
         let durable = async {
             while self.cell().jobs.get(&id).is_some_and(|job| !job.end_is_durable) {
                 if flushed.changed().await.is_err() {
@@ -61,7 +63,7 @@
                 }
             }
         };
-        match timeout(AWAIT_CANCEL, durable).await {
+        match timeout(CANCEL_TIMEOUT, durable).await {
             Ok(()) => Reply::State(Some(state)),
             Err(_) => Reply::NotReady,
         }
--- a/lib/src/batch/scheduler/events.rs
+++ b/lib/src/batch/scheduler/events.rs
@@ -7,99 +7,101 @@
 
 use tokio::sync::mpsc;
 
-use crate::batch::carry::message::Event;
-use crate::batch::carry::message::Moment;
-use crate::batch::carry::remote::Report;
 use crate::batch::cell::Cell;
+use crate::batch::dispatch::message::Event;
+use crate::batch::dispatch::message::OffsetMicros;
+use crate::batch::dispatch::remote::Report;
 use crate::batch::peer::Reply;
 use crate::batch::scheduler::Scheduler;
-use crate::batch::scheduler::share::OWN;
-use crate::batch::scheduler::share::ShareId;
-use crate::batch::scheduler::share::Taken;
-use crate::batch::worker::table::Number;
+use crate::batch::scheduler::shard::OWN_SHARD;
+use crate::batch::scheduler::shard::ReportOutcome;
+use crate::batch::scheduler::shard::ShardId;
+use crate::batch::worker::table::WorkerNumber;
 use crate::transport::clock;
 
 /// Most events that are taken in at once.
 const MAX_EVENTS: usize = 1_024;
 
 /// Takes in what this node's own carrier saw, as long as the scheduler lasts.
-pub(super) async fn follow_own(
+pub(super) async fn consume_own_events(
     scheduler: Arc<Scheduler>,
     base: Instant,
     mut events: mpsc::UnboundedReceiver<Event>,
 ) {
     let mut gathered = Vec::new();
     while events.recv_many(&mut gathered, MAX_EVENTS).await > 0 {
-        take(&scheduler, OWN, base, std::mem::take(&mut gathered));
+        apply_events(&scheduler, OWN_SHARD, base, std::mem::take(&mut gathered));
     }
 }
 
 /// Takes in a report of another node.
 pub(super) fn take_report(scheduler: &Scheduler, report: Report) -> Reply {
-    let share = report.session.share;
-    match scheduler.shares.take(report, clock::now()) {
-        Taken::New(told) => take(scheduler, share, told.base, told.report.events),
-        Taken::Again => {}
-        Taken::Stale => return Reply::NotReady,
+    let share = report.session.shard;
+    match scheduler.shards.take_report(report, clock::now()) {
+        ReportOutcome::New(told) => {
+            apply_events(scheduler, share, told.time_base, told.report.events)
+        }
+        ReportOutcome::Duplicate => {}
+        ReportOutcome::Stale => return Reply::NotReady,
     }
     Reply::Done
 }
 
-fn take(scheduler: &Scheduler, share: ShareId, base: Instant, events: Vec<Event>) {
+fn apply_events(scheduler: &Scheduler, share: ShardId, base: Instant, events: Vec<Event>) {
     if events.is_empty() {
         return;
     }
     let numbers = events.iter().map(number_of);
-    let current = scheduler.shares.in_share(share, numbers);
+    let current = scheduler.shards.in_shard(share, numbers);
     let mut cell = scheduler.cell();
     for event in events {
-        apply(&mut cell, &current, base, event);
+        apply_event(&mut cell, &current, base, event);
     }
     drop(cell);
-    scheduler.kick();
+    scheduler.wake();
 }
 
-fn number_of(event: &Event) -> Number {
+fn number_of(event: &Event) -> WorkerNumber {
     match event {
-        Event::Seen { number, .. }
-        | Event::Missed { number, .. }
+        Event::Polled { number, .. }
+        | Event::PollFailed { number, .. }
         | Event::OtherId { number }
-        | Event::OtherLife { number, .. }
+        | Event::OtherIncarnation { number, .. }
         | Event::Fenced { number, .. }
-        | Event::OffClock { number }
+        | Event::ClockMismatch { number }
         | Event::Started { number, .. }
         | Event::NotStarted { number, .. }
-        | Event::Unanswered { number, .. }
+        | Event::StartUnanswered { number, .. }
         | Event::Stopped { number, .. } => *number,
     }
 }
 
 /// Takes in an event, unless it is of a worker that another carrier has by now.
-fn apply(cell: &mut Cell, current: &HashSet<Number>, base: Instant, event: Event) {
+fn apply_event(cell: &mut Cell, current: &HashSet<WorkerNumber>, base: Instant, event: Event) {
     let number = number_of(&event);
     if !current.contains(&number) {
         return;
     }
-    let Some(life) = cell.workers.life_of(number).cloned() else { return };
+    let Some(life) = cell.workers.incarnation_of(number).cloned() else { return };
     let life = &life;
     let now = clock::now();
-    let instant = |moment: Moment| base + Duration::from_micros(moment);
+    let instant = |moment: OffsetMicros| base + Duration::from_micros(moment);
     match event {
-        Event::Seen { sent, at, lease_until, seen, .. } => {
-            cell.note_lease(life, lease_until);
-            cell.on_look(life, instant(sent), instant(at), seen);
+        Event::Polled { sent, at, lease_until, seen, .. } => {
+            cell.record_lease(life, lease_until);
+            cell.on_poll(life, instant(sent), instant(at), seen);
         }
-        Event::Missed { lease_until, .. } => {
-            cell.note_lease(life, lease_until);
-            cell.on_miss(life);
+        Event::PollFailed { lease_until, .. } => {
+            cell.record_lease(life, lease_until);
+            cell.on_failed_poll(life);
         }
         Event::Fenced { token, .. } => cell.on_fenced(life, token),
-        Event::OtherId { .. } => cell.bury(life, "another worker answers at its address"),
-        Event::OtherLife { born, .. } => cell.on_other_life(life, born, now),
-        Event::OffClock { .. } => cell.on_off_clock(life, now),
+        Event::OtherId { .. } => cell.mark_ended(life, "another worker answers at its address"),
+        Event::OtherIncarnation { born, .. } => cell.on_other_incarnation(life, born, now),
+        Event::ClockMismatch { .. } => cell.on_off_clock(life, now),
         Event::Started { task, run, at, .. } => cell.on_started(life, task, run, instant(at)),
         Event::NotStarted { task, run, why, .. } => cell.on_refused(life, task, run, why, now),
-        Event::Unanswered { task, run, .. } => cell.on_unanswered(life, task, run, now),
+        Event::StartUnanswered { task, run, .. } => cell.on_unanswered(life, task, run, now),
         Event::Stopped { task, run, at, .. } => cell.on_stopped(life, task, run, instant(at)),
     }
 }
--- a/lib/src/batch/scheduler/load.rs
+++ b/lib/src/batch/scheduler/load.rs
@@ -17,7 +17,7 @@
 use spokelift_platform::store::Record;
 use spokelift_platform::store::WORKER_TOPIC;
 use spokelift_platform::worker;
-use spokelift_platform::worker::Life;
+use spokelift_platform::worker::Incarnation;
 use spokelift_platform::worker::Peer;
 use spokelift_platform::worker::WorkerId;
 
@@ -28,8 +28,8 @@
 use crate::batch::record::JobRecord;
 use crate::batch::record::Progress;
 use crate::batch::record::ProgressRecord;
-use crate::batch::scheduler::LOAD;
-use crate::batch::scheduler::PRODUCER;
+use crate::batch::scheduler::LOAD_TIMEOUT;
+use crate::batch::scheduler::PRODUCER_NAME;
 use crate::batch::scheduler::Scheduler;
 use crate::transport::clock;
 
@@ -37,24 +37,25 @@
 /// each partition with jobs.
 pub(super) async fn load(scheduler: &Arc<Scheduler>) -> Result<Vec<Offset>, CallError> {
     let node = &scheduler.node;
-    let producer = Producer { name: PRODUCER.to_owned(), epoch: scheduler.token, sequence: 0 };
-    node.append(record::PROGRESS_TOPIC, &[], &Guard::Producer(producer), LOAD).await?;
-    let kept = node.read_newest(record::PROGRESS_TOPIC, LOAD).await?;
+    let producer = Producer { name: PRODUCER_NAME.to_owned(), epoch: scheduler.token, sequence: 0 };
+    node.append(record::PROGRESS_TOPIC, &[], &Guard::Producer(producer), LOAD_TIMEOUT).await?;
+    let kept = node.read_newest(record::PROGRESS_TOPIC, LOAD_TIMEOUT).await?;
     let partitions = 0..record::job_partitions(node.settings.store_partitions);
-    let reads = partitions.map(|number| node.read_newest(record::job_partition(number), LOAD));
+    let reads =
+        partitions.map(|number| node.read_newest(record::job_partition(number), LOAD_TIMEOUT));
     let jobs = try_join_all(reads).await?;
     let mut cell = scheduler.cell();
-    let kept = take_progress(&mut cell, &kept.records);
-    scheduler.turn.inherit(kept.ordered);
-    cell.restore_unheard(kept.unheard);
-    take_jobs(&mut cell, &jobs, kept.progress);
+    let kept = apply_progress(&mut cell, &kept.records);
+    scheduler.order_window.set_inherited(kept.ordered);
+    cell.restore_unreachable(kept.unreachable);
+    apply_jobs(&mut cell, &jobs, kept.progress);
     cell.restore_crashes(&kept.crashes);
     Ok(jobs.iter().map(|newest| newest.end).collect())
 }
 
 /// What the progress topic says that is taken in once all of it is read.
 #[derive(Default)]
-struct Kept {
+struct LoadedProgress {
     /// How far jobs are.
     progress: HashMap<JobId, Progress>,
     /// Under which tasks workers crashed.
@@ -62,12 +63,12 @@
     /// Boxes that the scheduler before may have ordered last.
     ordered: HashSet<MachineId>,
     /// For how long earlier schedulers have not heard of workers.
-    unheard: Vec<(Life, Duration)>,
+    unreachable: Vec<(Incarnation, Duration)>,
 }
 
 /// Takes in the records of the progress topic; returns what is taken in after them.
-fn take_progress(cell: &mut Cell, records: &[Record]) -> Kept {
-    let mut kept = Kept::default();
+fn apply_progress(cell: &mut Cell, records: &[Record]) -> LoadedProgress {
+    let mut kept = LoadedProgress::default();
     for record in records {
         match ProgressRecord::decode(record) {
             Ok(ProgressRecord::Progress(id, told)) => {
@@ -76,16 +77,16 @@
             Ok(ProgressRecord::Crashes(id, told)) => {
                 kept.crashes.insert(id, told);
             }
-            Ok(ProgressRecord::Worker(id, known)) => cell.meet_known(id, known, clock::now()),
+            Ok(ProgressRecord::Worker(id, known)) => cell.restore_worker(id, known, clock::now()),
             Ok(ProgressRecord::Wave(number, begun)) => {
-                cell.begun.insert(number, begun.into_iter().collect());
+                cell.maintenance_started.insert(number, begun.into_iter().collect());
             }
             Ok(ProgressRecord::WaveSeen(number, at)) => {
-                cell.waves_seen.insert(number, at);
+                cell.waves_first_seen.insert(number, at);
             }
-            Ok(ProgressRecord::Gone(id)) => cell.inherit_gone(id, clock::now()),
+            Ok(ProgressRecord::Ended(id)) => cell.restore_ended(id, clock::now()),
             Ok(ProgressRecord::Ordered(boxes)) => kept.ordered.extend(boxes),
-            Ok(ProgressRecord::Unheard(life, time)) => kept.unheard.push((life, time)),
+            Ok(ProgressRecord::Unreachable(life, time)) => kept.unreachable.push((life, time)),
             Ok(ProgressRecord::Dropped) => {}
             Err(error) => log::error!("a record of progress cannot be used: {error}"),
         }
@@ -96,7 +97,7 @@
 /// Takes in the jobs in the order in which they were accepted, then what clients cancelled: a
 /// cancel can only be taken in once its job is known. A job that several nodes were sent may lie in
 /// several partitions; the first one accepted counts.
-fn take_jobs(cell: &mut Cell, partitions: &[Newest], mut progress: HashMap<JobId, Progress>) {
+fn apply_jobs(cell: &mut Cell, partitions: &[Newest], mut progress: HashMap<JobId, Progress>) {
     let mut cancelled = Vec::new();
     let mut accepted = Vec::new();
     for (partition, newest) in (0..).zip(partitions) {
@@ -114,7 +115,7 @@
         let progress = progress.remove(&id).unwrap_or_default();
         let owner = job.account.clone();
         cell.admit(id, *job, Some(&progress));
-        cell.note_kept(JobKey { id, account: owner }, partition);
+        cell.record_kept(JobKey { id, account: owner }, partition);
     }
     for (id, caller) in cancelled {
         cell.cancel_for(id, &caller);
@@ -126,51 +127,52 @@
     scheduler: &Arc<Scheduler>,
     excused_until: Option<Instant>,
 ) -> Result<Offset, CallError> {
-    let newest = scheduler.node.read_newest(WORKER_TOPIC, LOAD).await?;
+    let newest = scheduler.node.read_newest(WORKER_TOPIC, LOAD_TIMEOUT).await?;
     let mut listed = HashSet::new();
     for record in &newest.records {
-        take_worker(scheduler, record, excused_until);
+        apply_worker_entry(scheduler, record, excused_until);
         listed.insert(record.key.clone());
     }
     let mut cell = scheduler.cell();
     let gone = cell.workers.keys().map(|life| &life.id).filter(|id| !listed.contains(*id));
     let gone: HashSet<WorkerId> = gone.cloned().collect();
     for id in gone {
-        cell.unlist(&id, excused_until);
+        cell.mark_unlisted(&id, excused_until);
     }
     Ok(newest.end)
 }
 
 /// Takes in a worker's entry; returns whether its life is new.
-pub(super) fn take_worker(
+pub(super) fn apply_worker_entry(
     scheduler: &Arc<Scheduler>,
     record: &Record,
     excused_until: Option<Instant>,
 ) -> bool {
     let Some(value) = &record.value else {
-        scheduler.cell().unlist(&record.key, excused_until);
+        scheduler.cell().mark_unlisted(&record.key, excused_until);
         return false;
     };
     let entry = match worker::Entry::decode(value) {
         Ok(entry) => entry,
         Err(error) => {
             scheduler.node.counters.count(&format!("batch.worker.entry.{}", error.name()));
-            if scheduler.cell().note_unusable(&record.key, error.name()) {
+            if scheduler.cell().record_unusable(&record.key, error.name()) {
                 log::warn!(worker = record.key.as_str(); "an entry names no worker to use: {error}");
             }
             return false;
         }
     };
-    let life = Life::new(record.key.clone(), entry.born);
-    let peer = Peer { life, addr: entry.address };
+    let life = Incarnation::new(record.key.clone(), entry.birth_ms);
+    let peer = Peer { incarnation: life, addr: entry.address };
     let mut cell = scheduler.cell();
-    let was_draining = cell.workers.get(&peer.life).is_some_and(|worker| worker.entry.draining);
+    let was_draining =
+        cell.workers.get(&peer.incarnation).is_some_and(|worker| worker.entry.draining);
     if entry.draining && !was_draining {
         log::info!(
-            worker:% = peer.life,
+            worker:% = peer.incarnation,
             leaves_in_ms = entry.leaves_in_ms.unwrap_or(0);
             "worker drains"
         );
     }
-    cell.meet(peer, entry, clock::now())
+    cell.discover(peer, entry, clock::now())
 }
--- a/lib/src/batch/scheduler/share/remote.rs
+++ b/lib/src/batch/scheduler/shard/remote.rs
@@ -8,44 +8,44 @@
 
 use tokio::sync::Notify;
 
-use crate::batch::carry::message::Command;
-use crate::batch::carry::message::Moment;
-use crate::batch::carry::remote::Errand;
-use crate::batch::carry::remote::Report;
-use crate::batch::carry::remote::Session;
-use crate::batch::worker::table::Number;
+use crate::batch::dispatch::message::Command;
+use crate::batch::dispatch::message::OffsetMicros;
+use crate::batch::dispatch::remote::Commands;
+use crate::batch::dispatch::remote::Report;
+use crate::batch::dispatch::remote::Session;
+use crate::batch::worker::table::WorkerNumber;
 
 /// How long a carrier may be silent before it is given up: more than three heartbeats. Its workers are
 /// not looked at meanwhile, and what ends there is not heard of.
-const SILENT: Duration = Duration::from_millis(700);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a node may take to say that it carries a share; it does so at once.
-const BEGIN: Duration = Duration::from_millis(500);
+const START_TIMEOUT: Duration = Duration::from_millis(500);
 /// How late the timers of a carrier may be before its share goes to others: clients of that node would
 /// soon wait as well.
-const LATE: Duration = Duration::from_millis(250);
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(250);
 /// Reports in a row that tell of such lateness.
-const LATE_REPORTS: u32 = 4;
+const LATE_REPORT_LIMIT: u32 = 4;
 
 /// A share on another node.
-pub(super) struct Remote {
+pub(super) struct RemoteShard {
     pub(super) addr: SocketAddr,
     /// Processor of the node, in thousandths of a core.
     pub(super) weight: u32,
-    pub(super) workers: HashSet<Number>,
+    pub(super) workers: HashSet<WorkerNumber>,
     commands: Vec<Command>,
     /// Number of the last message made of commands.
     sequence: u64,
     /// Wakes the task that sends them.
     pub(super) wake: Arc<Notify>,
     /// When something was last heard of it.
-    pub(super) heard_at: Instant,
+    pub(super) received_at: Instant,
     /// When its last report was acknowledged. Its licence runs from when it sent that report, so it is
     /// over a licence's length after this.
     pub(super) acked_at: Option<Instant>,
     /// The moment from which it counts its own, by our clock or later.
-    base: Option<Instant>,
+    time_base: Option<Instant>,
     /// Number of the last report that was taken; it has workers only after the first one.
-    reports: u64,
+    last_report: u64,
     late_reports: u32,
 }
 
@@ -63,36 +63,41 @@
 }
 
 /// Where a report stands among those of its share.
-pub(super) enum Sequence {
+pub(super) enum ReportOrder {
     /// It is the next one; from when its moments count.
     Next(Instant),
     /// It was taken before.
-    Again,
+    Duplicate,
     /// One before it is missing.
     Gap,
 }
 
-impl Remote {
+impl RemoteShard {
     /// A share without workers, whose carrier has said nothing yet.
-    pub(super) fn new(addr: SocketAddr, weight: u32, wake: Arc<Notify>, now: Instant) -> Remote {
-        Remote {
+    pub(super) fn new(
+        addr: SocketAddr,
+        weight: u32,
+        wake: Arc<Notify>,
+        now: Instant,
+    ) -> RemoteShard {
+        RemoteShard {
             addr,
             weight: weight.max(1),
             workers: HashSet::new(),
             commands: Vec::new(),
             sequence: 0,
             wake,
-            heard_at: now,
+            received_at: now,
             acked_at: None,
-            base: None,
-            reports: 0,
+            time_base: None,
+            last_report: 0,
             late_reports: 0,
         }
     }
 
     /// Whether its carrier has said that it carries.
     pub(super) fn is_ready(&self) -> bool {
-        self.reports > 0
+        self.last_report > 0
     }
 
     /// Its workers for its node's processor.
@@ -120,50 +125,50 @@
 
     /// Takes the commands as one message; nothing if there are none, but for the first one, which begins
     /// the share.
-    pub(super) fn next_errand(&mut self, session: Session, own: SocketAddr) -> Option<Errand> {
+    pub(super) fn next_commands(&mut self, session: Session, own: SocketAddr) -> Option<Commands> {
         if self.commands.is_empty() && self.sequence > 0 {
             return None;
         }
         self.sequence += 1;
         let commands = std::mem::take(&mut self.commands);
-        Some(Errand { scheduler: own, session, sequence: self.sequence, commands })
+        Some(Commands { scheduler: own, session, sequence: self.sequence, commands })
     }
 
     /// The message that ends the share, in place of all that its carrier was to be told.
-    pub(super) fn last_errand(&mut self, session: Session, own: SocketAddr) -> Errand {
+    pub(super) fn final_commands(&mut self, session: Session, own: SocketAddr) -> Commands {
         self.commands.clear();
         self.sequence += 1;
         let commands = vec![Command::End];
-        Errand { scheduler: own, session, sequence: self.sequence, commands }
+        Commands { scheduler: own, session, sequence: self.sequence, commands }
     }
 
     /// Takes in that a report has come. Each counts once, in its order.
-    pub(super) fn take(&mut self, report: &Report, now: Instant) -> Sequence {
-        if report.sequence > self.reports + 1 {
-            return Sequence::Gap;
+    pub(super) fn take_report(&mut self, report: &Report, now: Instant) -> ReportOrder {
+        if report.sequence > self.last_report + 1 {
+            return ReportOrder::Gap;
         }
-        self.heard_at = now;
+        self.received_at = now;
         self.acked_at = Some(now);
-        if report.sequence <= self.reports {
-            return Sequence::Again;
+        if report.sequence <= self.last_report {
+            return ReportOrder::Duplicate;
         }
-        self.reports = report.sequence;
-        let is_late = Duration::from_millis(report.late_ms) > LATE;
+        self.last_report = report.sequence;
+        let is_late = Duration::from_millis(report.late_ms) > MAX_TIMER_DELAY;
         self.late_reports = if is_late { self.late_reports + 1 } else { 0 };
-        Sequence::Next(*self.base.get_or_insert_with(|| before(now, report.made_at)))
+        ReportOrder::Next(*self.time_base.get_or_insert_with(|| earlier_by(now, report.made_at)))
     }
 
     /// Why the share is to be taken back, if so.
-    pub(super) fn lost(&self, now: Instant) -> Option<Lost> {
-        let patience = if self.is_ready() { SILENT } else { BEGIN };
-        if now.saturating_duration_since(self.heard_at) > patience {
+    pub(super) fn loss_reason(&self, now: Instant) -> Option<Lost> {
+        let patience = if self.is_ready() { SILENCE_TIMEOUT } else { START_TIMEOUT };
+        if now.saturating_duration_since(self.received_at) > patience {
             return Some(Lost::Silent);
         }
-        (self.late_reports >= LATE_REPORTS).then_some(Lost::Late)
+        (self.late_reports >= LATE_REPORT_LIMIT).then_some(Lost::Late)
     }
 }
 
 /// A moment so many microseconds before another, or as early as the clock can tell.
-fn before(now: Instant, moment: Moment) -> Instant {
+fn earlier_by(now: Instant, moment: OffsetMicros) -> Instant {
     now.checked_sub(Duration::from_micros(moment)).unwrap_or(now)
 }
--- a/lib/src/batch/scheduler/tick.rs
+++ b/lib/src/batch/scheduler/tick.rs
@@ -5,33 +5,33 @@
 
 use tokio::time::sleep;
 
+use crate::batch::maintenance;
 use crate::batch::scheduler::Scheduler;
 use crate::batch::scheduler::wall_clock;
-use crate::batch::upkeep;
 use crate::transport::clock;
 
 /// Time between looks at clocks: leases, due times, rests.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Does what depends on clocks.
 pub(super) async fn tick(scheduler: Arc<Scheduler>) {
     loop {
-        sleep(TICK).await;
+        sleep(TICK_INTERVAL).await;
         let now = clock::now();
         {
             let mut cell = scheduler.cell();
-            cell.open_due(wall_clock());
-            cell.let_lapse(now);
-            cell.stop_unknown(now);
-            upkeep::leave_draining(&mut cell, now);
+            cell.open_due_repetitions(wall_clock());
+            cell.expire_due(now);
+            cell.stop_unknown_jobs(now);
+            maintenance::evacuate_draining(&mut cell, now);
             for life in cell.leaving_unannounced(now) {
-                upkeep::empty(&mut cell, &life, false);
+                maintenance::evacuate(&mut cell, &life, false);
             }
-            cell.spare_users(now);
-            cell.forget_gone(now);
-            cell.forget_lost(now);
-            cell.stir();
+            cell.adjust_best_effort_paces(now);
+            cell.forget_ended(now);
+            cell.forget_crash_candidates(now);
+            cell.request_placement();
         }
-        scheduler.kick();
+        scheduler.wake();
     }
 }
--- a/lib/src/batch/submit.rs
+++ b/lib/src/batch/submit.rs
@@ -21,17 +21,17 @@
 use crate::transport::clock;
 
 /// How long the write of a wish to cancel may take.
-const WRITE: Duration = Duration::from_millis(600);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Pause between tries.
-const PAUSE: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// What the holder of the lead said of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum JobAnswer {
     /// Its state.
     State(JobState),
     /// A wish to cancel it is kept; its state was not told.
-    CancelKept,
+    CancelStored,
     /// There is no such job.
     NoJob,
     /// Nobody who knows could be asked in time.
@@ -39,7 +39,7 @@
 }
 
 /// A job as accepted now from a caller, with what its queue says of it.
-pub fn accept(job: Job, queue: &config::Queue, caller: &Caller) -> Accepted {
+pub fn accepted_job(job: Job, queue: &config::Queue, caller: &Caller) -> Accepted {
     Accepted {
         job,
         queue: queue.name.clone(),
@@ -55,41 +55,45 @@
 }
 
 /// Asks the holder of the lead until it answers or time is up.
-pub async fn ask(node: &Node, request: &peer::Request, until: Instant) -> Option<Reply> {
+pub async fn ask_leader_until(
+    node: &Node,
+    request: &peer::Request,
+    until: Instant,
+) -> Option<Reply> {
     loop {
-        match node.ask_lead(request.clone()).await {
+        match node.ask_leader(request.clone()).await {
             Some(Reply::NotReady) | None => {}
             answered => return answered,
         }
-        if clock::now() + PAUSE >= until {
+        if clock::now() + RETRY_DELAY >= until {
             return None;
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
 /// Asks how far a job of the caller's is.
-pub async fn state(node: &Node, id: JobId, caller: Caller, until: Instant) -> Known {
-    match ask(node, &peer::Request::State(id, caller), until).await {
-        Some(Reply::State(Some(state))) => Known::State(state),
-        Some(Reply::State(None)) => Known::NoJob,
-        _ => Known::NoAnswer,
+pub async fn get_job_state(node: &Node, id: JobId, caller: Caller, until: Instant) -> JobAnswer {
+    match ask_leader_until(node, &peer::Request::State(id, caller), until).await {
+        Some(Reply::State(Some(state))) => JobAnswer::State(state),
+        Some(Reply::State(None)) => JobAnswer::NoJob,
+        _ => JobAnswer::NoAnswer,
     }
 }
 
 /// Cancels a job of the caller's. If nobody who knows it can be asked, the wish is kept in the store.
-pub async fn cancel(node: &Node, id: JobId, caller: Caller, until: Instant) -> Known {
-    match ask(node, &peer::Request::Cancel(id, caller.clone()), until).await {
-        Some(Reply::State(Some(state))) => Known::State(state),
-        Some(Reply::State(None)) => Known::NoJob,
+pub async fn cancel_job(node: &Node, id: JobId, caller: Caller, until: Instant) -> JobAnswer {
+    match ask_leader_until(node, &peer::Request::Cancel(id, caller.clone()), until).await {
+        Some(Reply::State(Some(state))) => JobAnswer::State(state),
+        Some(Reply::State(None)) => JobAnswer::NoJob,
         _ => {
             let record = record::cancel(id, &caller);
-            match node.append(record::JOB_TOPIC, &[record], &Guard::None, WRITE).await {
-                Ok(_) => Known::CancelKept,
+            match node.append(record::JOB_TOPIC, &[record], &Guard::None, WRITE_TIMEOUT).await {
+                Ok(_) => JobAnswer::CancelStored,
                 Err(error) => {
                     let job = format!("{id:016x}");
                     log::info!(job = job.as_str(); "cancel not written: {error}");
-                    Known::NoAnswer
+                    JobAnswer::NoAnswer
                 }
             }
         }
--- a/lib/src/batch/usage.rs
+++ b/lib/src/batch/usage.rs
@@ -5,7 +5,7 @@
 
 use spokelift_platform::config::Maximum;
 use spokelift_platform::job::Step;
-use spokelift_platform::worker::Room;
+use spokelift_platform::worker::Resources;
 
 use crate::state::id::AccountId;
 
@@ -20,8 +20,8 @@
     pub gpu: u64,
 }
 
-impl From<Room> for Usage {
-    fn from(room: Room) -> Usage {
+impl From<Resources> for Usage {
+    fn from(room: Resources) -> Usage {
         Usage { cpu: room.cpu.into(), memory_mb: room.memory_mb.into(), gpu: room.gpu.into() }
     }
 }
@@ -55,7 +55,7 @@
     }
 
     /// The lower of both, part by part.
-    pub fn lower(self, other: Usage) -> Usage {
+    pub fn component_min(self, other: Usage) -> Usage {
         Usage {
             cpu: self.cpu.min(other.cpu),
             memory_mb: self.memory_mb.min(other.memory_mb),
@@ -84,25 +84,25 @@
 /// is above it.
 ///
 /// ```
-/// use spokelift_lib::batch::usage::too_wide;
+/// use spokelift_lib::batch::usage::first_step_over_quota;
 /// use spokelift_platform::config::Maximum;
 /// use spokelift_platform::job::Step;
 /// let bound = Maximum { cpu: 1_000, ..Maximum::default() };
 /// let step = |gang| Step { count: 4, cpu: 500, gang, ..Step::default() };
-/// assert_eq!(too_wide(&[step(false)], &bound), None);
-/// assert_eq!(too_wide(&[step(false), step(true)], &bound), Some(1));
+/// assert_eq!(first_step_over_quota(&[step(false)], &bound), None);
+/// assert_eq!(first_step_over_quota(&[step(false), step(true)], &bound), Some(1));
 /// ```
-pub fn too_wide(steps: &[Step], bound: &Maximum) -> Option<usize> {
+pub fn first_step_over_quota(steps: &[Step], bound: &Maximum) -> Option<usize> {
     let least = |step: &Step| Usage::of(step, if step.gang { step.count.into() } else { 1 });
     steps.iter().position(|step| step.count > 0 && !least(step).is_within(bound))
 }
 
 /// Stands for whoever has no account where shares are compared; it has no bound.
-static NOBODY: LazyLock<AccountId> = LazyLock::new(|| AccountId::from(""));
+static NO_ACCOUNT: LazyLock<AccountId> = LazyLock::new(|| AccountId::from(""));
 
 /// The account that a job's runs count for.
 pub fn owner(account: Option<&AccountId>) -> AccountId {
-    account.unwrap_or(&NOBODY).clone()
+    account.unwrap_or(&NO_ACCOUNT).clone()
 }
 
 /// A part of what an account has running: one run.
@@ -116,8 +116,8 @@
 
 impl Claim {
     /// Whether there may be a bound to what it is a part of.
-    pub fn has_bound(&self) -> bool {
-        self.account != *NOBODY
+    pub fn has_quota(&self) -> bool {
+        self.account != *NO_ACCOUNT
     }
 }
 
--- a/lib/src/batch/view.rs
+++ b/lib/src/batch/view.rs
@@ -18,11 +18,11 @@
 
 use crate::batch::cell::Cell;
 use crate::batch::crash::Crash;
-use crate::batch::crash::is_given_up;
+use crate::batch::crash::is_abandoned;
 use crate::batch::job::Entry;
-use crate::batch::place::fit::held_by;
+use crate::batch::place::fit::count_unfit_workers;
 use crate::batch::pool::load::loads;
-use crate::batch::record::TaskPlace;
+use crate::batch::record::TaskPosition;
 use crate::batch::worker::Phase;
 use crate::transport::clock;
 
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Crashed {
     /// Its repetition, step and index.
-    pub place: TaskPlace,
+    pub place: TaskPosition,
     /// The workers, and what each crash says of the task.
     pub crashes: Vec<Crash>,
     /// The job has failed for it.
@@ -142,11 +142,12 @@
 
 /// The workers that one node looks after for the scheduler.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Share {
+pub struct Shard {
     /// Number of the share; 0 is that of the scheduler's own node.
     pub number: u64,
     /// Where the node answers other nodes; none for the scheduler's own.
-    pub carrier: Option<SocketAddr>,
+    #[serde(rename = "carrier")]
+    pub dispatcher: Option<SocketAddr>,
     /// How many workers it looks after.
     pub workers: usize,
 }
@@ -171,7 +172,7 @@
 }
 
 /// Shows what `path` names, as JSON; `None` if there is no such thing.
-pub fn show(cell: &Cell, waves: &[wave::Wave], shares: &[Share], path: &str) -> Option<String> {
+pub fn render(cell: &Cell, waves: &[wave::Wave], shares: &[Shard], path: &str) -> Option<String> {
     let now = clock::now();
     let shown = match path.strip_prefix(PATH)? {
         "accounts" => serde_json::to_string(&account::accounts(cell)),
@@ -190,7 +191,7 @@
     let shown = loads(cell, now).into_iter().map(|(name, load)| Service {
         name,
         workers: load.workers,
-        has: cores(load.has),
+        has: cores(load.capacity),
         used: cores(load.used),
         waiting: cores(load.waiting),
         wanted: cores(load.wanted()),
@@ -205,7 +206,7 @@
         let name = entry.accepted.queue.as_str();
         let queue = queues.entry(name).or_default();
         queue.name = name.to_owned();
-        match entry.shown() {
+        match entry.visible_state() {
             JobState::Pending => queue.pending += 1,
             JobState::Running => queue.running += 1,
             _ => queue.ended += 1,
@@ -220,12 +221,12 @@
         .workers
         .values()
         .map(|worker| Worker {
-            id: worker.peer.life.to_string(),
+            id: worker.peer.incarnation.to_string(),
             machine: worker.entry.machine.clone().unwrap_or_default(),
             service: worker.entry.service.clone(),
-            runs: worker.slots.len(),
+            runs: worker.allocations.len(),
             free: cores(worker.free.cpu),
-            closed: worker.closed(now).map(|why| why.to_string()),
+            closed: worker.unschedulable(now).map(|why| why.to_string()),
         })
         .collect();
     let unknown = cell.unusable.iter().filter(|(id, _)| cell.workers.current(id).is_none());
@@ -244,8 +245,8 @@
 /// The waves asked for.
 pub fn waves(cell: &Cell, asked: &[wave::Wave]) -> Vec<Wave> {
     let shown = asked.iter().map(|wave| {
-        let over = cell.waves_over.contains(&wave.number);
-        let begun = cell.begun.get(&wave.number).map_or(0, HashSet::len);
+        let over = cell.ended_waves.contains(&wave.number);
+        let begun = cell.maintenance_started.get(&wave.number).map_or(0, HashSet::len);
         Wave {
             number: wave.number,
             machines: wave.machines.len(),
@@ -261,16 +262,17 @@
 pub fn job(cell: &Cell, id: JobId, now: Instant) -> Option<Job> {
     let entry = cell.jobs.get(&id)?;
     let mut steps = Vec::new();
-    for (time, repetition) in entry.times.iter().enumerate() {
+    for (time, repetition) in entry.repetitions.iter().enumerate() {
         for (step, run) in repetition.steps.iter().enumerate().filter(|(_, run)| run.left > 0) {
             let place = (time as u32, step as u16);
             let waits = run.waiting.first().map(|index| TaskName {
                 job: id,
-                time: place.0,
+                repetition: place.0,
                 step: place.1,
                 index: *index,
             });
-            let held_by = waits.map(|task| held_by(cell, task, now)).unwrap_or_default();
+            let held_by =
+                waits.map(|task| count_unfit_workers(cell, task, now)).unwrap_or_default();
             let waits_for_turn = !run.open;
             let waiting = run.waiting.len();
             let runs = runs(cell, id, place, now);
@@ -280,15 +282,15 @@
     let accepted = &entry.accepted;
     let (queue, service) = (accepted.queue.clone(), accepted.service.clone());
     let account = accepted.account.as_ref().map(ToString::to_string);
-    let (state, crashed) = (entry.shown(), crashed(entry));
+    let (state, crashed) = (entry.visible_state(), crashed(entry));
     Some(Job { id: format!("{id:016x}"), queue, service, account, state, steps, crashed })
 }
 
 fn crashed(entry: &Entry) -> Vec<Crashed> {
     let has_failed = entry.end == Some(JobState::Failed);
-    let shown = entry.crashed().map(|(place, task)| {
+    let shown = entry.crashed_tasks().map(|(place, task)| {
         let lasts = entry.step(place.1).is_some_and(|step| step.long_running);
-        let given_up = has_failed && is_given_up(&task.crashes, lasts);
+        let given_up = has_failed && is_abandoned(&task.crashes, lasts);
         Crashed { place, crashes: task.crashes.clone(), given_up }
     });
     shown.collect()
@@ -297,15 +299,19 @@
 fn runs(cell: &Cell, job: JobId, place: (u32, u16), now: Instant) -> Vec<(String, String, f64)> {
     let mut runs = Vec::new();
     for worker in cell.workers.values() {
-        for (task, slot) in &worker.slots {
-            if task.job == job && (task.time, task.step) == place {
+        for (task, slot) in &worker.allocations {
+            if task.job == job && (task.repetition, task.step) == place {
                 let phase = match slot.phase {
                     Phase::Starting => "starting",
                     Phase::Live(_) => "running",
                     Phase::Stopping(_) => "stopping",
                 };
-                let since: Duration = now.saturating_duration_since(slot.since);
-                runs.push((worker.peer.life.to_string(), phase.to_owned(), since.as_secs_f64()));
+                let since: Duration = now.saturating_duration_since(slot.ordered_at);
+                runs.push((
+                    worker.peer.incarnation.to_string(),
+                    phase.to_owned(),
+                    since.as_secs_f64(),
+                ));
             }
         }
     }
--- a/lib/src/batch/view/account.rs
+++ b/lib/src/batch/view/account.rs
@@ -58,9 +58,11 @@
         let (Some(owner), Some(step)) = (&entry.accepted.account, entry.step(rank.step)) else {
             continue;
         };
-        let tasks = entry.seen_run(rank.time, rank.step).map_or(0, |run| run.waiting.len() as u64);
+        let tasks = entry
+            .find_step_run(rank.repetition, rank.step)
+            .map_or(0, |run| run.waiting.len() as u64);
         let account = shown.entry(owner.clone()).or_default();
-        match cell.is_at_bound(entry, step) {
+        match cell.is_at_quota(entry, step) {
             true => account.held += tasks,
             false => account.waiting += tasks,
         }
@@ -72,7 +74,7 @@
 
 fn with_usage(cell: &Cell, id: &AccountId, account: Account) -> Account {
     let Usage { cpu, memory_mb, .. } = cell.usage_of(id);
-    let bound = cell.bound_of(id).copied().unwrap_or_default();
+    let bound = cell.quota_of(id).copied().unwrap_or_default();
     Account {
         name: id.to_string(),
         cores: cores(cpu),
--- a/lib/src/batch/worker.rs
+++ b/lib/src/batch/worker.rs
@@ -1,8 +1,8 @@
 //! A worker in the scheduler's memory: its room, its lease and what may run on it.
 
-mod closed;
-mod life;
-mod slot;
+mod allocation;
+mod incarnation;
+mod schedulable;
 pub mod table;
 
 use std::collections::HashMap;
@@ -13,31 +13,31 @@
 use spokelift_platform::job::TaskName;
 use spokelift_platform::worker::Entry;
 use spokelift_platform::worker::Peer;
-use spokelift_platform::worker::Room;
+use spokelift_platform::worker::Resources;
 use spokelift_platform::worker::WorkerMs;
 
-use crate::batch::crash::silence::Silence;
-use crate::batch::record::Known;
+use crate::batch::crash::outage::Outage;
+use crate::batch::record::StoredWorker;
 use crate::batch::usage::Claim;
-pub use crate::batch::worker::closed::Closed;
-pub use crate::batch::worker::closed::Lack;
-pub use crate::batch::worker::life::is_off_clock;
-pub use crate::batch::worker::life::token;
-use crate::batch::worker::slot::Changes;
-pub use crate::batch::worker::slot::Kind;
-pub use crate::batch::worker::slot::Lasting;
-pub use crate::batch::worker::slot::Phase;
-pub use crate::batch::worker::slot::Slot;
-use crate::batch::worker::table::Number;
+pub use crate::batch::worker::allocation::Allocation;
+use crate::batch::worker::allocation::ClaimChanges;
+pub use crate::batch::worker::allocation::Class;
+pub use crate::batch::worker::allocation::LongRunningTotals;
+pub use crate::batch::worker::allocation::Phase;
+pub use crate::batch::worker::incarnation::compose_token;
+pub use crate::batch::worker::incarnation::is_clock_discontinuous;
+pub use crate::batch::worker::schedulable::Shortage;
+pub use crate::batch::worker::schedulable::Unschedulable;
+use crate::batch::worker::table::WorkerNumber;
 
 /// How long a look waits for an end; a lease is renewed at each look.
-pub const LOOK_WAIT: Duration = Duration::from_millis(1_200);
+pub const POLL_WAIT: Duration = Duration::from_millis(1_200);
 /// How long a lease is granted for, from each look on. Long enough for another node to take the
 /// lead and look in its turn (about 3 s), short enough that the tasks of a worker that has fallen
 /// silent are soon started elsewhere.
-pub const LEASE: Duration = Duration::from_millis(5_500);
+pub const WORKER_LEASE: Duration = Duration::from_millis(5_500);
 /// Slowest pace of a worker's steady clock against ours; the platform says 2% slow.
-const SLOWEST_CLOCK: f64 = 0.98;
+const MIN_CLOCK_RATE: f64 = 0.98;
 /// Added to the end of a lease before what ran under it counts as gone.
 const LEASE_SLACK: Duration = Duration::from_millis(100);
 
@@ -45,46 +45,46 @@
 #[derive(Debug)]
 pub struct Worker {
     /// Its number, by which the scheduler's carriers know it.
-    pub number: Number,
+    pub number: WorkerNumber,
     /// Orders to it carry this after the scheduler's own number, and a later life's is higher: see [`token`].
-    pub fence: Number,
+    pub fence: WorkerNumber,
     /// How it is called.
     pub peer: Peer,
     /// What it says of itself.
     pub entry: Entry,
     /// What is left of its room.
-    pub free: Room,
+    pub free: Resources,
     /// What of its slots does not end by itself.
-    pub lasting: Lasting,
+    pub long_running: LongRunningTotals,
     /// What may run there. Slots are added and removed by [`Worker::insert`] and [`Worker::remove`], which keep the sums.
-    pub slots: HashMap<TaskName, Slot>,
+    pub allocations: HashMap<TaskName, Allocation>,
     /// Claims of runs that came and went since the table last took them in.
-    pub(super) claims: Changes,
+    pub(super) claim_changes: ClaimChanges,
     /// The highest end that was taken into account.
-    pub processed: u64,
+    pub processed_end: u64,
     /// The highest end whose effect the store knows of.
-    pub durable: u64,
+    pub durable_end: u64,
     /// The worker's clock, and when it was told.
     pub clock: Option<(WorkerMs, Instant)>,
     /// When it last answered a look or a start.
-    pub heard_at: Instant,
+    pub last_answer_at: Instant,
     /// The latest end of a lease that was ever asked for.
     pub lease_until: WorkerMs,
     /// It has seen this scheduler's token.
-    pub fenced: bool,
+    pub has_token: bool,
     /// Looks in a row without an answer.
-    pub misses: u32,
+    pub failed_polls: u32,
     /// When the first of them failed.
-    pub missed_at: Option<Instant>,
+    pub first_failed_at: Option<Instant>,
     /// It gets nothing new until then.
-    pub rest_until: Instant,
+    pub backoff_until: Instant,
     /// Its entry in the store was replaced by one that no worker writes.
     pub unusable: bool,
     /// The store lists it.
     pub listed: bool,
     /// The store may not list it for a while and it takes work all the same, until then: entries
     /// that ran out while the store was away come back soon after it.
-    pub excused_until: Option<Instant>,
+    pub unlisted_grace_until: Option<Instant>,
     /// It is being emptied for upkeep or a move.
     pub cordoned: bool,
     /// Runs in a row that failed, of different tasks.
@@ -92,28 +92,28 @@
     /// The job of a suspect task that was started there, and until when no other job's task is.
     pub quarantine: Option<(JobId, Instant)>,
     /// When it was met.
-    pub met_at: Instant,
+    pub discovered_at: Instant,
     /// It was met when another node may already have claimed the lead.
-    pub unfenced: bool,
+    pub fencing_uncertain: bool,
     /// Its carrier was told to look more often.
-    pub watched_closely: bool,
+    pub fast_polling: bool,
     /// Another carrier looks after it now, and has not heard from it yet.
     pub handed_over: bool,
     /// A carrier that was given up may have extended its lease, but no further than to here.
-    pub lapses_after: Option<Instant>,
+    pub not_expired_before: Option<Instant>,
     /// For how long earlier schedulers had not heard of it, and had granted it nothing.
-    pub unheard: Duration,
+    pub unreachable_before: Duration,
     /// For how long nobody has heard of it, as the store knows or is about to; zero if it has no record.
-    pub unheard_told: Duration,
+    pub recorded_unreachable: Duration,
     /// Its leases are extended.
-    pub granted: bool,
+    pub renews_lease: bool,
     /// The store has, or is about to have, a record that it fell silent.
-    pub noted_silent: bool,
+    pub recorded_unresponsive: bool,
     /// It is heard of again, and the store does not know that yet.
-    pub reopening: bool,
+    pub recovering: bool,
     /// Another life had its id, so orders meant for that one may have been carried out here before this scheduler was
     /// heard: starts, and leases as long as a worker grants.
-    pub is_later_life: bool,
+    pub is_later_incarnation: bool,
 }
 
 impl Worker {
@@ -123,145 +123,156 @@
             number: 0,
             fence: 0,
             peer,
-            free: entry.room,
-            lasting: Lasting::default(),
+            free: entry.capacity,
+            long_running: LongRunningTotals::default(),
             entry,
-            slots: HashMap::new(),
-            claims: Changes::default(),
-            processed: 0,
-            durable: 0,
+            allocations: HashMap::new(),
+            claim_changes: ClaimChanges::default(),
+            processed_end: 0,
+            durable_end: 0,
             clock: None,
-            heard_at: now,
+            last_answer_at: now,
             lease_until: 0,
-            fenced: false,
-            misses: 0,
-            missed_at: None,
-            rest_until: now,
+            has_token: false,
+            failed_polls: 0,
+            first_failed_at: None,
+            backoff_until: now,
             unusable: false,
             listed: true,
-            excused_until: None,
+            unlisted_grace_until: None,
             cordoned: false,
             failures: 0,
             quarantine: None,
-            met_at: now,
-            unfenced: false,
-            watched_closely: false,
+            discovered_at: now,
+            fencing_uncertain: false,
+            fast_polling: false,
             handed_over: false,
-            lapses_after: None,
-            unheard: Duration::ZERO,
-            unheard_told: Duration::ZERO,
-            granted: false,
-            noted_silent: false,
-            reopening: false,
-            is_later_life: false,
+            not_expired_before: None,
+            unreachable_before: Duration::ZERO,
+            recorded_unreachable: Duration::ZERO,
+            renews_lease: false,
+            recorded_unresponsive: false,
+            recovering: false,
+            is_later_incarnation: false,
         }
     }
 
     /// What the store is to keep of it.
-    pub fn known(&self) -> Known {
-        let tasks = self.slots.keys().map(|task| (task.job, (task.time, task.step, task.index)));
-        Known {
+    pub fn to_stored(&self) -> StoredWorker {
+        let tasks = self
+            .allocations
+            .keys()
+            .map(|task| (task.job, (task.repetition, task.step, task.index)));
+        StoredWorker {
             addr: self.peer.addr,
             service: self.entry.service.clone(),
             machine: self.entry.machine.clone(),
-            silent_with: self.noted_silent.then(|| tasks.collect()),
+            unresponsive_with: self.recorded_unresponsive.then(|| tasks.collect()),
         }
     }
 
     /// Whether it did not answer the last look, or has not answered any.
-    pub fn is_silent(&self) -> bool {
-        self.misses > 0 || !self.fenced
+    pub fn is_unresponsive(&self) -> bool {
+        self.failed_polls > 0 || !self.has_token
     }
 
     /// Whether it fell silent although nobody had ordered or announced that.
-    pub fn fell_silent(&self) -> bool {
-        self.misses > 0 && !self.leaves()
+    pub fn is_unexpectedly_unresponsive(&self) -> bool {
+        self.failed_polls > 0 && !self.is_leaving()
     }
 
     /// Between when and when it fell silent, as far as is known now.
-    pub fn silence(&self, now: Instant) -> Silence {
-        let missed_at = self.missed_at.unwrap_or(now).max(self.heard_at);
-        Silence { heard_at: self.heard_at, missed_at }
+    pub fn outage(&self, now: Instant) -> Outage {
+        let missed_at = self.first_failed_at.unwrap_or(now).max(self.last_answer_at);
+        Outage { last_answer_at: self.last_answer_at, first_failed_at: missed_at }
     }
 
     /// When it last answered a look.
-    pub fn answered_at(&self) -> Option<Instant> {
+    pub fn last_poll_answer_at(&self) -> Option<Instant> {
         self.clock.map(|(_, told)| told)
     }
 
     /// A carrier that may have extended the lease until `last` is given up for another one.
     pub fn hand_over(&mut self, last: Instant) {
         self.handed_over = true;
-        self.watched_closely = false;
-        self.may_lapse_late(last, LEASE);
+        self.fast_polling = false;
+        self.record_possible_renewal(last, WORKER_LEASE);
     }
 
     /// Orders may have extended the lease by so much until `last`, which its clock does not tell.
-    pub fn may_lapse_late(&mut self, last: Instant, lease: Duration) {
-        let lapsed = last + lease.div_f64(SLOWEST_CLOCK) + LEASE_SLACK;
-        self.lapses_after = self.lapses_after.max(Some(lapsed));
+    pub fn record_possible_renewal(&mut self, last: Instant, lease: Duration) {
+        let lapsed = last + lease.div_f64(MIN_CLOCK_RATE) + LEASE_SLACK;
+        self.not_expired_before = self.not_expired_before.max(Some(lapsed));
     }
 
     /// When every lease that was asked for has run out for certain, if the worker hears nothing
     /// more from anyone. An earlier scheduler asked for no longer leases than this one.
-    pub fn lapses_at(&self) -> Instant {
-        let longest = |lease: Duration| lease.div_f64(SLOWEST_CLOCK) + LEASE_SLACK;
+    pub fn expires_at(&self) -> Instant {
+        let longest = |lease: Duration| lease.div_f64(MIN_CLOCK_RATE) + LEASE_SLACK;
         let lapses_at = match self.clock {
             Some((clock, told)) => {
                 told + longest(Duration::from_millis(self.lease_until.saturating_sub(clock)))
             }
-            None => self.met_at + longest(LEASE).saturating_sub(self.unheard),
+            None => {
+                self.discovered_at + longest(WORKER_LEASE).saturating_sub(self.unreachable_before)
+            }
         };
-        self.lapses_after.map_or(lapses_at, |after| after.max(lapses_at))
+        self.not_expired_before.map_or(lapses_at, |after| after.max(lapses_at))
     }
 
     /// Whether it has said that it leaves, by its entry in the store.
-    pub fn is_announced_to_leave(&self) -> bool {
+    pub fn is_listed_draining(&self) -> bool {
         self.entry.draining && self.listed
     }
 
     /// For how long nobody has heard of it by `now`, if it has not answered this scheduler.
-    pub fn unheard_for(&self, now: Instant) -> Duration {
-        self.unheard + now.saturating_duration_since(self.met_at)
+    pub fn unreachable_for(&self, now: Instant) -> Duration {
+        self.unreachable_before + now.saturating_duration_since(self.discovered_at)
     }
 
     /// Whether its end is no surprise: it has said that it leaves, or is being emptied.
-    pub fn leaves(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         self.entry.draining || self.cordoned
     }
 
     /// For how long a run had been on it when it last answered. It may have gone on for longer.
-    pub fn lived(&self, slot: &Slot) -> Duration {
-        self.heard_at.saturating_duration_since(slot.since)
+    pub fn observed_run_time(&self, slot: &Allocation) -> Duration {
+        self.last_answer_at.saturating_duration_since(slot.ordered_at)
     }
 
     /// Adds a run and takes its room.
-    pub fn insert(&mut self, task: TaskName, slot: Slot) {
-        self.free.cpu = self.free.cpu.saturating_sub(slot.room.cpu);
-        self.free.memory_mb = self.free.memory_mb.saturating_sub(slot.room.memory_mb);
-        self.free.gpu = self.free.gpu.saturating_sub(slot.room.gpu);
-        if slot.kind != Kind::Works {
-            self.lasting.tasks += 1;
-            self.lasting.cpu += slot.room.cpu;
+    pub fn insert(&mut self, task: TaskName, slot: Allocation) {
+        self.free.cpu = self.free.cpu.saturating_sub(slot.resources.cpu);
+        self.free.memory_mb = self.free.memory_mb.saturating_sub(slot.resources.memory_mb);
+        self.free.gpu = self.free.gpu.saturating_sub(slot.resources.gpu);
+        if slot.class != Class::Batch {
+            self.long_running.tasks += 1;
+            self.long_running.cpu += slot.resources.cpu;
         }
-        self.claims.came.extend(slot.claim.clone());
-        self.slots.insert(task, slot);
+        self.claim_changes.added.extend(slot.claim.clone());
+        self.allocations.insert(task, slot);
     }
 
     /// Whose a run is has become known, and what it takes.
-    pub fn identify(&mut self, task: &TaskName, room: Room, kind: Kind, claim: Option<Claim>) {
-        let Some(slot) = self.slots.get_mut(task) else { return };
-        self.claims.went.extend(slot.claim.take());
-        self.claims.came.extend(claim.clone());
-        (slot.room, slot.kind, slot.claim) = (room, kind, claim);
-        self.recount();
+    pub fn identify(
+        &mut self,
+        task: &TaskName,
+        room: Resources,
+        kind: Class,
+        claim: Option<Claim>,
+    ) {
+        let Some(slot) = self.allocations.get_mut(task) else { return };
+        self.claim_changes.removed.extend(slot.claim.take());
+        self.claim_changes.added.extend(claim.clone());
+        (slot.resources, slot.class, slot.claim) = (room, kind, claim);
+        self.recompute_free();
     }
 
     /// Removes a run that is known to be gone.
-    pub fn remove(&mut self, task: &TaskName) -> Option<Slot> {
-        let slot = self.slots.remove(task)?;
-        self.claims.went.extend(slot.claim.clone());
-        self.recount();
+    pub fn remove(&mut self, task: &TaskName) -> Option<Allocation> {
+        let slot = self.allocations.remove(task)?;
+        self.claim_changes.removed.extend(slot.claim.clone());
+        self.recompute_free();
         Some(slot)
     }
 
@@ -274,37 +285,37 @@
             self.cordoned = false;
         }
         self.listed = true;
-        self.recount();
+        self.recompute_free();
     }
 
     /// Works out what is left of its room.
-    pub fn recount(&mut self) {
-        let mut free = self.entry.room;
-        self.lasting = Lasting::default();
-        for slot in self.slots.values() {
-            if slot.kind != Kind::Works {
-                self.lasting.tasks += 1;
-                self.lasting.cpu += slot.room.cpu;
+    pub fn recompute_free(&mut self) {
+        let mut free = self.entry.capacity;
+        self.long_running = LongRunningTotals::default();
+        for slot in self.allocations.values() {
+            if slot.class != Class::Batch {
+                self.long_running.tasks += 1;
+                self.long_running.cpu += slot.resources.cpu;
             }
-            free.cpu = free.cpu.saturating_sub(slot.room.cpu);
-            free.memory_mb = free.memory_mb.saturating_sub(slot.room.memory_mb);
-            free.gpu = free.gpu.saturating_sub(slot.room.gpu);
+            free.cpu = free.cpu.saturating_sub(slot.resources.cpu);
+            free.memory_mb = free.memory_mb.saturating_sub(slot.resources.memory_mb);
+            free.gpu = free.gpu.saturating_sub(slot.resources.gpu);
         }
         self.free = free;
     }
 
     /// Whether tasks that serve users stand beside tasks that take leftovers.
-    pub fn serves_beside_fillers(&self) -> bool {
-        let mut kinds = self.slots.values().map(|slot| slot.kind);
-        kinds.any(|kind| kind == Kind::Fills)
-            && self.slots.values().any(|slot| matches!(slot.kind, Kind::Serves(_)))
+    pub fn has_service_beside_best_effort(&self) -> bool {
+        let mut kinds = self.allocations.values().map(|slot| slot.class);
+        kinds.any(|kind| kind == Class::BestEffort)
+            && self.allocations.values().any(|slot| matches!(slot.class, Class::Service(_)))
     }
 
     /// How many tasks of a step, in one repetition, may run there.
     pub fn count_of_step(&self, task: TaskName) -> u32 {
         let same = |other: &&TaskName| {
-            (other.job, other.time, other.step) == (task.job, task.time, task.step)
+            (other.job, other.repetition, other.step) == (task.job, task.repetition, task.step)
         };
-        self.slots.keys().filter(same).count() as u32
+        self.allocations.keys().filter(same).count() as u32
     }
 }
--- a/lib/src/batch/worker/slot.rs
+++ b/lib/src/batch/worker/allocation.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use spokelift_platform::worker::Room;
+use spokelift_platform::worker::Resources;
 use spokelift_platform::worker::Run;
 
 use crate::batch::usage::Claim;
@@ -20,23 +20,23 @@
 
 /// A run that may be on the worker. Its room counts until it is known to be gone.
 #[derive(Clone, Debug)]
-pub struct Slot {
+pub struct Allocation {
     /// Its number.
     pub run: Run,
     /// How sure it is there.
     pub phase: Phase,
     /// The worker is known to have taken it.
-    pub taken: bool,
+    pub confirmed: bool,
     /// It was found on the worker, so it may be older than `since` says.
     pub adopted: bool,
     /// What it takes.
-    pub room: Room,
+    pub resources: Resources,
     /// When it was ordered.
-    pub since: Instant,
+    pub ordered_at: Instant,
     /// How far it is, in hundredths.
     pub percent: u32,
     /// When `percent` last rose.
-    pub moved_at: Instant,
+    pub progressed_at: Instant,
     /// Where it could go on from elsewhere.
     pub checkpoint: String,
     /// Processor in use, or tail of answer times in milliseconds.
@@ -46,41 +46,41 @@
     /// Share of its speed it is let work at, in hundredths.
     pub pace: u32,
     /// The task serves users, takes leftovers, or neither.
-    pub kind: Kind,
+    pub class: Class,
     /// What it counts for, and for whom; none while its job is not known.
     pub claim: Option<Claim>,
 }
 
 /// What kind of neighbour a task is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum Class {
     /// It serves users of its own under a limit of the tail, in milliseconds.
-    Serves(u64),
+    Service(u64),
     /// It takes what others leave unused.
-    Fills,
+    BestEffort,
     /// It ends by itself.
-    Works,
+    Batch,
     /// It runs until it is cancelled, without a limit of its own.
-    Lasts,
+    LongRunning,
 }
 
-impl Slot {
+impl Allocation {
     /// A run that has just been ordered or found.
-    pub fn new(run: Run, phase: Phase, room: Room, kind: Kind, now: Instant) -> Slot {
-        Slot {
+    pub fn new(run: Run, phase: Phase, room: Resources, kind: Class, now: Instant) -> Allocation {
+        Allocation {
             run,
             phase,
-            taken: false,
+            confirmed: false,
             adopted: false,
-            room,
-            since: now,
+            resources: room,
+            ordered_at: now,
             percent: 0,
-            moved_at: now,
+            progressed_at: now,
             checkpoint: String::new(),
             figure: 0,
             paced_at: None,
             pace: 100,
-            kind,
+            class: kind,
             claim: None,
         }
     }
@@ -88,7 +88,7 @@
 
 /// Tasks that do not end by themselves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Lasting {
+pub struct LongRunningTotals {
     /// How many.
     pub tasks: u32,
     /// What they take, in thousandths of a core.
@@ -97,7 +97,7 @@
 
 /// Claims of runs that came and went.
 #[derive(Clone, Debug, Default)]
-pub(in crate::batch) struct Changes {
-    pub(in crate::batch) came: Vec<Claim>,
-    pub(in crate::batch) went: Vec<Claim>,
+pub(in crate::batch) struct ClaimChanges {
+    pub(in crate::batch) added: Vec<Claim>,
+    pub(in crate::batch) removed: Vec<Claim>,
 }
--- a/lib/src/batch/worker/life.rs
+++ b/lib/src/batch/worker/incarnation.rs
@@ -5,30 +5,30 @@
 use spokelift_platform::worker::Token;
 use spokelift_platform::worker::WorkerMs;
 
-use crate::batch::worker::SLOWEST_CLOCK;
-use crate::batch::worker::table::Number;
+use crate::batch::worker::MIN_CLOCK_RATE;
+use crate::batch::worker::table::WorkerNumber;
 
 /// How many bits of a [`Token`] tell the lives apart that one scheduler has met.
-const LIFE_BITS: u32 = 20;
+const INCARNATION_BITS: u32 = 20;
 
 /// By how much two answers' clocks may seem apart since the answers were on their way.
-const ON_THE_WAY: Duration = Duration::from_millis(1_000);
+const TRANSIT_SLACK: Duration = Duration::from_millis(1_000);
 
 /// Whether a clock that showed `last` cannot show `clock` so much later: another life has answered.
 ///
 /// ```
 /// use std::time::Duration;
-/// use spokelift_lib::batch::worker::is_off_clock;
+/// use spokelift_lib::batch::worker::is_clock_discontinuous;
 /// let passed = Duration::from_millis(10_000);
-/// assert!(!is_off_clock(50_000, 60_000, passed));
-/// assert!(!is_off_clock(50_000, 59_800, passed));
-/// assert!(is_off_clock(50_000, 400, passed));
-/// assert!(is_off_clock(50_000, 90_000, passed));
+/// assert!(!is_clock_discontinuous(50_000, 60_000, passed));
+/// assert!(!is_clock_discontinuous(50_000, 59_800, passed));
+/// assert!(is_clock_discontinuous(50_000, 400, passed));
+/// assert!(is_clock_discontinuous(50_000, 90_000, passed));
 /// ```
-pub fn is_off_clock(last: WorkerMs, clock: WorkerMs, passed: Duration) -> bool {
-    let slack = ON_THE_WAY.as_millis() as WorkerMs;
+pub fn is_clock_discontinuous(last: WorkerMs, clock: WorkerMs, passed: Duration) -> bool {
+    let slack = TRANSIT_SLACK.as_millis() as WorkerMs;
     let latest = last + passed.as_millis() as WorkerMs + slack;
-    let earliest = last + passed.mul_f64(SLOWEST_CLOCK).as_millis() as WorkerMs;
+    let earliest = last + passed.mul_f64(MIN_CLOCK_RATE).as_millis() as WorkerMs;
     clock > latest || clock + slack < earliest
 }
 
@@ -40,10 +40,10 @@
 /// one bars all of them.
 ///
 /// ```
-/// use spokelift_lib::batch::worker::token;
-/// assert!(token(7, 1) < token(7, 2));
-/// assert!(token(7, u64::MAX) < token(8, 1));
+/// use spokelift_lib::batch::worker::compose_token;
+/// assert!(compose_token(7, 1) < compose_token(7, 2));
+/// assert!(compose_token(7, u64::MAX) < compose_token(8, 1));
 /// ```
-pub fn token(scheduler: Token, fence: Number) -> Token {
-    (scheduler << LIFE_BITS) | fence.min((1 << LIFE_BITS) - 1)
+pub fn compose_token(scheduler: Token, fence: WorkerNumber) -> Token {
+    (scheduler << INCARNATION_BITS) | fence.min((1 << INCARNATION_BITS) - 1)
 }
--- a/lib/src/batch/worker/table.rs
+++ b/lib/src/batch/worker/table.rs
@@ -4,7 +4,7 @@
 //! is asked for each task (a worker with room, another life on the same box, ends the store does not know
 //! of) is therefore looked up, never searched for among all workers.
 //!
-//! Invariant: the indexes say of each worker what [`Standing::of`] says. A worker is changed only through
+//! Invariant: the indexes say of each worker what [`IndexedState::of`] says. A worker is changed only through
 //! a [`Handle`], which brings them up to date as it is dropped.
 
 mod index;
@@ -17,46 +17,46 @@
 use std::ops::Index as IndexById;
 
 use spokelift_platform::worker::Entry;
-use spokelift_platform::worker::Life;
+use spokelift_platform::worker::Incarnation;
 use spokelift_platform::worker::WorkerId;
 
 use crate::batch::usage::Totals;
 use crate::batch::usage::Usage;
-use crate::batch::worker::Changes;
+use crate::batch::worker::ClaimChanges;
 use crate::batch::worker::Worker;
 use crate::batch::worker::table::index::ByFree;
 use crate::batch::worker::table::index::Index;
+use crate::batch::worker::table::index::IndexedState;
 use crate::batch::worker::table::index::Service;
-use crate::batch::worker::table::index::Standing;
 
 /// Number of a worker in the order in which a scheduler met them; no two lives share one.
-pub type Number = u64;
+pub type WorkerNumber = u64;
 
 /// All workers.
 #[derive(Default)]
 pub struct Table {
-    numbers: HashMap<Life, Number>,
+    numbers: HashMap<Incarnation, WorkerNumber>,
     /// The lives known of each id. There are several while it is not known which of them lives.
-    lives: HashMap<WorkerId, Lives>,
-    workers: BTreeMap<Number, Worker>,
-    last: Number,
+    incarnations: HashMap<WorkerId, Incarnations>,
+    workers: BTreeMap<WorkerNumber, Worker>,
+    last_number: WorkerNumber,
     index: Index,
 }
 
 /// The lives known of an id.
 #[derive(Default)]
-struct Lives {
-    numbers: BTreeSet<Number>,
+struct Incarnations {
+    numbers: BTreeSet<WorkerNumber>,
     /// The highest fence that any life of the id was given, also one that is not known any more.
-    fence: Number,
+    fence: WorkerNumber,
 }
 
 /// A worker that may be changed. The indexes follow as it is dropped.
 pub struct Handle<'a> {
     worker: &'a mut Worker,
     index: &'a mut Index,
-    number: Number,
-    before: Standing,
+    number: WorkerNumber,
+    before: IndexedState,
 }
 
 impl Deref for Handle<'_> {
@@ -75,13 +75,13 @@
 
 impl Drop for Handle<'_> {
     fn drop(&mut self) {
-        let after = Standing::of(self.worker);
+        let after = IndexedState::of(self.worker);
         if after != self.before {
-            self.index.leave(self.number, self.worker, &self.before);
-            self.index.enter(self.number, self.worker, &after);
+            self.index.remove(self.number, self.worker, &self.before);
+            self.index.insert(self.number, self.worker, &after);
             self.index.has_freed |= after.has_more_than(&self.before);
         }
-        self.index.take_claims(self.worker);
+        self.index.apply_claim_changes(self.worker);
     }
 }
 
@@ -97,40 +97,40 @@
     }
 
     /// Whether a life is known.
-    pub fn contains_key(&self, life: &Life) -> bool {
+    pub fn contains_key(&self, life: &Incarnation) -> bool {
         self.numbers.contains_key(life)
     }
 
     /// A worker.
-    pub fn get(&self, life: &Life) -> Option<&Worker> {
+    pub fn get(&self, life: &Incarnation) -> Option<&Worker> {
         self.workers.get(self.numbers.get(life)?)
     }
 
     /// The life of the worker with a number.
-    pub fn life_of(&self, number: Number) -> Option<&Life> {
-        self.workers.get(&number).map(|worker| &worker.peer.life)
+    pub fn incarnation_of(&self, number: WorkerNumber) -> Option<&Incarnation> {
+        self.workers.get(&number).map(|worker| &worker.peer.incarnation)
     }
 
     /// All lives known of an id, in the order in which they were met.
-    pub fn lives(&self, id: &str) -> impl DoubleEndedIterator<Item = &Worker> {
-        let numbers = self.lives.get(id).into_iter().flat_map(|lives| &lives.numbers);
+    pub fn incarnations(&self, id: &str) -> impl DoubleEndedIterator<Item = &Worker> {
+        let numbers = self.incarnations.get(id).into_iter().flat_map(|lives| &lives.numbers);
         numbers.filter_map(|number| self.workers.get(number))
     }
 
     /// The life that an id has now, as far as is known: the last one that was met.
     pub fn current(&self, id: &str) -> Option<&Worker> {
-        self.lives(id).next_back()
+        self.incarnations(id).next_back()
     }
 
     /// The highest fence that any life of an id was given, as long as one is known.
-    pub fn fence_of(&self, id: &str) -> Number {
-        self.lives.get(id).map_or(0, |lives| lives.fence)
+    pub fn fence_of(&self, id: &str) -> WorkerNumber {
+        self.incarnations.get(id).map_or(0, |lives| lives.fence)
     }
 
     /// Gives a worker a fence above those of all others so far.
-    pub fn raise_fence(&mut self, life: &Life) {
+    pub fn raise_fence(&mut self, life: &Incarnation) {
         let fence = self.next_number();
-        if let Some(lives) = self.lives.get_mut(&life.id) {
+        if let Some(lives) = self.incarnations.get_mut(&life.id) {
             lives.fence = fence;
         }
         if let Some(mut worker) = self.get_mut(life) {
@@ -138,27 +138,27 @@
         }
     }
 
-    fn next_number(&mut self) -> Number {
-        self.last += 1;
-        self.last
+    fn next_number(&mut self) -> WorkerNumber {
+        self.last_number += 1;
+        self.last_number
     }
 
     /// A worker that is to be changed.
-    pub fn get_mut(&mut self, life: &Life) -> Option<Handle<'_>> {
+    pub fn get_mut(&mut self, life: &Incarnation) -> Option<Handle<'_>> {
         let number = *self.numbers.get(life)?;
         self.handle(number)
     }
 
-    fn handle(&mut self, number: Number) -> Option<Handle<'_>> {
+    fn handle(&mut self, number: WorkerNumber) -> Option<Handle<'_>> {
         let worker = self.workers.get_mut(&number)?;
-        let before = Standing::of(worker);
+        let before = IndexedState::of(worker);
         Some(Handle { worker, index: &mut self.index, number, before })
     }
 
     /// Changes each worker.
     pub fn for_each_mut(&mut self, mut change: impl FnMut(&mut Worker)) {
         for (number, worker) in &mut self.workers {
-            let before = Standing::of(worker);
+            let before = IndexedState::of(worker);
             change(&mut Handle { worker, index: &mut self.index, number: *number, before });
         }
     }
@@ -169,58 +169,58 @@
     }
 
     /// All lives, in no order.
-    pub fn keys(&self) -> impl Iterator<Item = &Life> {
+    pub fn keys(&self) -> impl Iterator<Item = &Incarnation> {
         self.numbers.keys()
     }
 
     /// Adds a worker that is not known.
     pub fn insert(&mut self, worker: Worker) {
-        let life = worker.peer.life.clone();
+        let life = worker.peer.incarnation.clone();
         self.remove(&life);
         let number = self.next_number();
-        let claims = Changes::default();
-        let worker = Worker { number, fence: number, claims, ..worker };
+        let claims = ClaimChanges::default();
+        let worker = Worker { number, fence: number, claim_changes: claims, ..worker };
         self.index.add_claims(&worker);
-        let standing = Standing::of(&worker);
-        self.index.enter(self.last, &worker, &standing);
-        self.index.live_on(self.last, &worker);
-        self.index.has_freed |= standing.open;
-        let lives = self.lives.entry(life.id.clone()).or_default();
+        let standing = IndexedState::of(&worker);
+        self.index.insert(self.last_number, &worker, &standing);
+        self.index.insert_on_box(self.last_number, &worker);
+        self.index.has_freed |= standing.eligible;
+        let lives = self.incarnations.entry(life.id.clone()).or_default();
         lives.numbers.insert(number);
         lives.fence = number;
-        self.numbers.insert(life, self.last);
-        self.workers.insert(self.last, worker);
+        self.numbers.insert(life, self.last_number);
+        self.workers.insert(self.last_number, worker);
     }
 
     /// Removes a worker.
-    pub fn remove(&mut self, life: &Life) -> Option<Worker> {
+    pub fn remove(&mut self, life: &Incarnation) -> Option<Worker> {
         let number = self.numbers.remove(life)?;
-        if let Some(lives) = self.lives.get_mut(&life.id) {
+        if let Some(lives) = self.incarnations.get_mut(&life.id) {
             lives.numbers.remove(&number);
             if lives.numbers.is_empty() {
-                self.lives.remove(&life.id);
+                self.incarnations.remove(&life.id);
             }
         }
         let worker = self.workers.remove(&number)?;
-        self.index.leave(number, &worker, &Standing::of(&worker));
-        self.index.leave_box(number, &worker);
+        self.index.remove(number, &worker, &IndexedState::of(&worker));
+        self.index.remove_from_box(number, &worker);
         self.index.remove_claims(&worker);
         Some(worker)
     }
 
     /// Takes over the changed entry of a worker; `false` if it is not known.
-    pub fn update(&mut self, life: &Life, entry: Entry) -> bool {
+    pub fn update(&mut self, life: &Incarnation, entry: Entry) -> bool {
         let Some(number) = self.numbers.get(life).copied() else { return false };
         let Some(worker) = self.workers.get_mut(&number) else { return false };
-        let before = Standing::of(worker);
-        self.index.leave(number, worker, &before);
-        self.index.leave_box(number, worker);
+        let before = IndexedState::of(worker);
+        self.index.remove(number, worker, &before);
+        self.index.remove_from_box(number, worker);
         worker.update(entry);
-        let after = Standing::of(worker);
-        self.index.enter(number, worker, &after);
-        self.index.live_on(number, worker);
+        let after = IndexedState::of(worker);
+        self.index.insert(number, worker, &after);
+        self.index.insert_on_box(number, worker);
         // It may only now be listed again, which its standing does not say.
-        self.index.has_freed |= after.open;
+        self.index.has_freed |= after.eligible;
         true
     }
 
@@ -232,13 +232,17 @@
 
     /// The workers of a service that are open, as [`Worker::is_open`] says, and have so much processor
     /// left: those with the least left first.
-    pub fn open_with(&self, service: &str, cpu: u32) -> impl DoubleEndedIterator<Item = &Worker> {
-        let open = self.index.services.get(service).map(|service| &service.open);
+    pub fn eligible_with(
+        &self,
+        service: &str,
+        cpu: u32,
+    ) -> impl DoubleEndedIterator<Item = &Worker> {
+        let open = self.index.services.get(service).map(|service| &service.eligible);
         self.with_free(open, cpu)
     }
 
     /// The same on one rack.
-    pub fn open_on_rack(
+    pub fn eligible_on_rack(
         &self,
         service: &str,
         rack: &str,
@@ -264,8 +268,8 @@
     }
 
     /// The room of all workers.
-    pub fn room(&self) -> Usage {
-        self.index.room
+    pub fn capacity(&self) -> Usage {
+        self.index.capacity
     }
 
     /// What accounts may have running, over all workers.
@@ -274,13 +278,13 @@
     }
 
     /// Workers with ends that the store does not know of.
-    pub fn unsaid(&self) -> impl Iterator<Item = &Worker> {
-        self.index.unsaid.iter().filter_map(|number| self.workers.get(number))
+    pub fn with_pending_ends(&self) -> impl Iterator<Item = &Worker> {
+        self.index.with_pending_ends.iter().filter_map(|number| self.workers.get(number))
     }
 
     /// Workers that are heard of again, which the store does not know.
-    pub fn reopening(&self) -> impl Iterator<Item = &Worker> {
-        self.index.reopening.iter().filter_map(|number| self.workers.get(number))
+    pub fn recovering(&self) -> impl Iterator<Item = &Worker> {
+        self.index.recovering.iter().filter_map(|number| self.workers.get(number))
     }
 
     /// Whether a worker has got more room, or takes work again, since the last time this was asked.
@@ -292,8 +296,8 @@
     pub fn faults(&self) -> Vec<String> {
         let mut counted = Index::default();
         for (number, worker) in &self.workers {
-            counted.enter(*number, worker, &Standing::of(worker));
-            counted.live_on(*number, worker);
+            counted.insert(*number, worker, &IndexedState::of(worker));
+            counted.insert_on_box(*number, worker);
             counted.add_claims(worker);
         }
         let mut faults = Vec::new();
@@ -302,16 +306,16 @@
                 faults.push(format!("{what} differ from a full count"));
             }
         };
-        compare("room", counted.room == self.index.room);
+        compare("room", counted.capacity == self.index.capacity);
         compare("totals of accounts", counted.totals == self.index.totals);
         compare("boxes", counted.boxes == self.index.boxes);
-        compare("unsaid ends", counted.unsaid == self.index.unsaid);
-        compare("reopening workers", counted.reopening == self.index.reopening);
-        let mut lives: HashMap<WorkerId, BTreeSet<Number>> = HashMap::new();
+        compare("unsaid ends", counted.with_pending_ends == self.index.with_pending_ends);
+        compare("reopening workers", counted.recovering == self.index.recovering);
+        let mut lives: HashMap<WorkerId, BTreeSet<WorkerNumber>> = HashMap::new();
         for (life, number) in &self.numbers {
             lives.entry(life.id.clone()).or_default().insert(*number);
         }
-        let kept = self.lives.iter().map(|(id, lives)| (id.clone(), lives.numbers.clone()));
+        let kept = self.incarnations.iter().map(|(id, lives)| (id.clone(), lives.numbers.clone()));
         compare("lives", lives == kept.collect());
         let none = Service::default();
         let names = self.index.services.keys().chain(counted.services.keys());
@@ -319,8 +323,8 @@
             let kept = self.index.services.get(name).unwrap_or(&none);
             let counted = counted.services.get(name).unwrap_or(&none);
             compare("members", kept.members == counted.members);
-            compare("open workers", kept.open == counted.open);
-            let on_racks = |service: &Service| -> BTreeSet<(u32, Number)> {
+            compare("open workers", kept.eligible == counted.eligible);
+            let on_racks = |service: &Service| -> BTreeSet<(u32, WorkerNumber)> {
                 service.racks.values().flatten().copied().collect()
             };
             compare("workers on racks", on_racks(kept) == on_racks(counted));
@@ -338,10 +342,10 @@
     }
 }
 
-impl IndexById<&Life> for Table {
+impl IndexById<&Incarnation> for Table {
     type Output = Worker;
 
-    fn index(&self, life: &Life) -> &Worker {
+    fn index(&self, life: &Incarnation) -> &Worker {
         self.get(life).expect("the worker is known")
     }
 }
--- a/lib/tests/test_accounts.rs
+++ b/lib/tests/test_accounts.rs
@@ -130,13 +130,13 @@
     cell.admit(2, job(None), None);
     let anyone = Caller::Anyone { queue: "open".to_owned() };
     for stranger in [of("b"), anyone.clone()] {
-        assert_eq!(cell.state(1, &stranger), None);
+        assert_eq!(cell.job_state_for(1, &stranger), None);
         assert_eq!(cell.cancel_for(1, &stranger), None);
-        assert_eq!(cell.pending("q", &stranger), 1);
-        assert_eq!(cell.state(2, &stranger), Some(JobState::Pending), "it is nobody's");
+        assert_eq!(cell.count_pending("q", &stranger), 1);
+        assert_eq!(cell.job_state_for(2, &stranger), Some(JobState::Pending), "it is nobody's");
     }
-    assert_eq!(cell.state(1, &of("a")), Some(JobState::Pending));
-    assert_eq!(cell.pending("q", &of("a")), 2);
+    assert_eq!(cell.job_state_for(1, &of("a")), Some(JobState::Pending));
+    assert_eq!(cell.count_pending("q", &of("a")), 2);
     assert_eq!(cell.cancel_for(1, &of("a")), Some(JobState::Canceled));
 }
 
@@ -145,12 +145,12 @@
     let mut cell = Cell::new(7);
     assert!(cell.admit(1, job(Some("a")), None));
     assert!(!cell.admit(1, job(Some("b")), None));
-    assert!(cell.is_of(1, Some(&"a".into())));
-    assert!(!cell.is_of(1, Some(&"b".into())) && !cell.is_of(1, None));
+    assert!(cell.is_job_of(1, Some(&"a".into())));
+    assert!(!cell.is_job_of(1, Some(&"b".into())) && !cell.is_job_of(1, None));
     let key = |account: &str| JobKey { id: 1, account: Some(account.into()) };
-    cell.note_kept(key("a"), 3);
-    cell.note_kept(key("b"), 3);
-    assert_eq!(cell.take_foreign(), [(key("b"), 3)].into());
+    cell.record_kept(key("a"), 3);
+    cell.record_kept(key("b"), 3);
+    assert_eq!(cell.take_id_conflicts(), [(key("b"), 3)].into());
     // Its record took no other's place in the store, and neither does that which drops it.
     let keys = ["a", "b"].map(|account| record::accepted(1, &job(Some(account))).key);
     assert_ne!(keys[0], keys[1]);
@@ -199,5 +199,5 @@
     let read = JobRecord::decode(&kept).unwrap();
     assert_eq!(read, JobRecord::Accepted(9, Box::new(now)));
     let wish = Record::set("cancel/0000000000000009", postcard::to_stdvec(&true).unwrap());
-    assert_eq!(JobRecord::decode(&wish).unwrap(), JobRecord::Cancel(9, Caller::Site));
+    assert_eq!(JobRecord::decode(&wish).unwrap(), JobRecord::Cancel(9, Caller::Operator));
 }
--- a/lib/tests/test_batch.rs
+++ b/lib/tests/test_batch.rs
@@ -6,8 +6,10 @@
 
 use assert_matches::assert_matches;
 use spokelift_lib::batch::cell::Cell;
-use spokelift_lib::batch::cell::Finished;
+use spokelift_lib::batch::cell::FinishedJob;
 use spokelift_lib::batch::cell::Order;
+use spokelift_lib::batch::maintenance;
+use spokelift_lib::batch::order_window::EXCLUSIVE_LEASE;
 use spokelift_lib::batch::pool::load::loads;
 use spokelift_lib::batch::record::Accepted;
 use spokelift_lib::batch::record::JobKey;
@@ -15,10 +17,8 @@
 use spokelift_lib::batch::record::Progress;
 use spokelift_lib::batch::record::ProgressRecord;
 use spokelift_lib::batch::record::RecordError;
-use spokelift_lib::batch::turn::RENEWED;
-use spokelift_lib::batch::upkeep;
-use spokelift_lib::batch::worker::LEASE;
-use spokelift_lib::batch::worker::token;
+use spokelift_lib::batch::worker::WORKER_LEASE;
+use spokelift_lib::batch::worker::compose_token;
 use spokelift_lib::transport::clock;
 use spokelift_platform::ingress::JobState;
 use spokelift_platform::job::JobId;
@@ -26,14 +26,14 @@
 use spokelift_platform::job::TaskName;
 use spokelift_platform::worker::End;
 use spokelift_platform::worker::Entry;
-use spokelift_platform::worker::Life;
+use spokelift_platform::worker::Incarnation;
 use spokelift_platform::worker::Outcome;
 use spokelift_platform::worker::Peer;
+use spokelift_platform::worker::PollResponse;
 use spokelift_platform::worker::Refusal;
-use spokelift_platform::worker::Room;
+use spokelift_platform::worker::Resources;
 use spokelift_platform::worker::Run;
 use spokelift_platform::worker::Running;
-use spokelift_platform::worker::Seen;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::accepted;
 use spokelift_testutils::batch::addr;
@@ -46,11 +46,11 @@
 }
 
 fn lasting(count: u32) -> Step {
-    Step { long_running: true, may_miss: Some(1), max_per_worker: 1, ..step(count) }
+    Step { long_running: true, max_unavailable: Some(1), max_per_worker: 1, ..step(count) }
 }
 
 fn task(job: JobId, step: u16, index: u32) -> TaskName {
-    TaskName { job, time: 0, step, index }
+    TaskName { job, repetition: 0, step, index }
 }
 
 fn entry(machine: &str) -> Entry {
@@ -75,8 +75,8 @@
     }
 
     fn meet(&mut self, id: &str, machine: &str) {
-        let peer = Peer { life: id.into(), addr: addr() };
-        self.cell.meet(peer, entry(machine), self.now);
+        let peer = Peer { incarnation: id.into(), addr: addr() };
+        self.cell.discover(peer, entry(machine), self.now);
     }
 
     /// A look that was sent a millisecond ago is answered.
@@ -104,20 +104,25 @@
         });
         // A worker's clock goes on from one answer to the next.
         let clock = 1_000 + (self.now - self.begun).as_millis() as u64;
-        let seen = Seen { clock, running: running.collect(), ended: ended.collect(), born: None };
+        let seen = PollResponse {
+            clock,
+            running: running.collect(),
+            ended: ended.collect(),
+            birth_ms: None,
+        };
         self.now += MILLI;
-        self.cell.on_look(&id.into(), sent, self.now, seen);
+        self.cell.on_poll(&id.into(), sent, self.now, seen);
     }
 
     /// A worker does not answer; its carrier tells until when it has asked for a lease, at a start.
     fn miss(&mut self, id: &str) {
         let clock = 1_000 + (self.now - self.begun).as_millis() as u64;
-        self.cell.note_lease(&id.into(), clock + LEASE.as_millis() as u64);
-        self.cell.on_miss(&id.into());
+        self.cell.record_lease(&id.into(), clock + WORKER_LEASE.as_millis() as u64);
+        self.cell.on_failed_poll(&id.into());
     }
 
     fn look_at_all(&mut self) {
-        let ids: Vec<String> = self.cell.workers.keys().map(Life::to_string).collect();
+        let ids: Vec<String> = self.cell.workers.keys().map(Incarnation::to_string).collect();
         for id in ids {
             self.look(&id, &[], &[]);
         }
@@ -125,10 +130,10 @@
 
     /// Starts what can be started: worker, task and run.
     fn place(&mut self) -> Vec<(String, TaskName, Run)> {
-        self.cell.place(self.now, Duration::from_secs(1));
+        self.cell.place_ready(self.now, Duration::from_secs(1));
         let orders = std::mem::take(&mut self.cell.outbox);
         let starts = orders.into_iter().filter_map(|order| match order {
-            Order::Start { peer, task, run, .. } => Some((peer.life.to_string(), task, run)),
+            Order::Start { peer, task, run, .. } => Some((peer.incarnation.to_string(), task, run)),
             _ => None,
         });
         starts.collect()
@@ -147,7 +152,7 @@
     fn stops(&mut self) -> Vec<(String, TaskName, Run)> {
         let orders = std::mem::take(&mut self.cell.outbox);
         let stops = orders.into_iter().filter_map(|order| match order {
-            Order::Stop { peer, task, run } => Some((peer.life.to_string(), task, run)),
+            Order::Stop { peer, task, run } => Some((peer.incarnation.to_string(), task, run)),
             _ => None,
         });
         stops.collect()
@@ -173,19 +178,19 @@
 #[test]
 fn only_a_worker_that_has_answered_and_has_no_order_open_passes_to_another_carrier_unasked() {
     let mut bed = Bed::new(1);
-    assert!(!bed.cell.workers["w0"].is_calm());
+    assert!(!bed.cell.workers["w0"].can_change_dispatcher());
     bed.look_at_all();
-    assert!(bed.cell.workers["w0"].is_calm());
+    assert!(bed.cell.workers["w0"].can_change_dispatcher());
     bed.cell.admit(1, accepted(vec![step(1)]), None);
     let (worker, task, run) = bed.place().remove(0);
-    assert!(!bed.cell.workers["w0"].is_calm());
+    assert!(!bed.cell.workers["w0"].can_change_dispatcher());
     bed.cell.on_started(&worker.as_str().into(), task, run, bed.now);
-    assert!(bed.cell.workers["w0"].is_calm());
+    assert!(bed.cell.workers["w0"].can_change_dispatcher());
     bed.cell.hand_over(&"w0".into(), bed.now);
-    assert!(!bed.cell.workers["w0"].is_calm());
+    assert!(!bed.cell.workers["w0"].can_change_dispatcher());
     bed.look("w0", &[(task, run)], &[]);
-    bed.cell.on_miss(&"w0".into());
-    assert!(!bed.cell.workers["w0"].is_calm());
+    bed.cell.on_failed_poll(&"w0".into());
+    assert!(!bed.cell.workers["w0"].can_change_dispatcher());
 }
 
 /// Tasks that last were ended beyond what their steps may miss: 0.3 s after it began, a scheduler moved
@@ -193,9 +198,9 @@
 #[test]
 fn a_box_whose_worker_has_not_answered_is_not_empty() {
     let mut bed = Bed::new(1);
-    assert!(!upkeep::empty(&mut bed.cell, &"w0".into(), true));
+    assert!(!maintenance::evacuate(&mut bed.cell, &"w0".into(), true));
     bed.look_at_all();
-    assert!(upkeep::empty(&mut bed.cell, &"w0".into(), true));
+    assert!(maintenance::evacuate(&mut bed.cell, &"w0".into(), true));
 }
 
 /// What happens: a scheduler that has just begun orders the upkeep of a box though a worker lives there, which runs what an
@@ -208,13 +213,13 @@
     let mut bed = Bed::new(1);
     bed.look_at_all();
     let now = clock::now();
-    bed.cell.known_from = Some(now + Duration::from_secs(1));
-    assert!(!upkeep::empty(&mut bed.cell, &"elsewhere".into(), false));
+    bed.cell.known_everywhere_from = Some(now + Duration::from_secs(1));
+    assert!(!maintenance::evacuate(&mut bed.cell, &"elsewhere".into(), false));
     // One whose life is known to be over runs nothing.
-    bed.cell.inherit_gone("over".into(), now);
-    assert!(upkeep::empty(&mut bed.cell, &"over".into(), false));
-    bed.cell.known_from = Some(now - LEASE - Duration::from_secs(1));
-    assert!(upkeep::empty(&mut bed.cell, &"elsewhere".into(), false));
+    bed.cell.restore_ended("over".into(), now);
+    assert!(maintenance::evacuate(&mut bed.cell, &"over".into(), false));
+    bed.cell.known_everywhere_from = Some(now - WORKER_LEASE - Duration::from_secs(1));
+    assert!(maintenance::evacuate(&mut bed.cell, &"elsewhere".into(), false));
 }
 
 #[test]
@@ -233,9 +238,9 @@
     bed.cell.admit(2, accepted(vec![step(1)]), None);
     assert_eq!(bed.place(), []);
     // The first carrier may have extended the lease as long as it could act.
-    bed.cell.on_miss(&"w0".into());
-    assert_eq!(bed.cell.lapsed(last + LEASE), []);
-    assert_eq!(bed.cell.lapsed(last + LEASE * 2), [("w0".into(), true)]);
+    bed.cell.on_failed_poll(&"w0".into());
+    assert_eq!(bed.cell.expired_workers(last + WORKER_LEASE), []);
+    assert_eq!(bed.cell.expired_workers(last + WORKER_LEASE * 2), [("w0".into(), true)]);
     bed.look("w0", &[(task(1, 0, 0), TOKEN)], &[]);
     let flush = bed.cell.take_flush();
     bed.cell.on_flushed(&flush);
@@ -249,18 +254,18 @@
     bed.cell.admit(1, accepted(vec![step(1)]), None);
     bed.start();
     bed.look("w0", &[], &[(1, task(1, 0, 0), TOKEN, Outcome::Done)]);
-    assert_eq!(bed.cell.jobs[&1].shown(), JobState::Running);
-    assert_eq!(bed.cell.workers["w0"].durable, 0);
+    assert_eq!(bed.cell.jobs[&1].visible_state(), JobState::Running);
+    assert_eq!(bed.cell.workers["w0"].durable_end, 0);
     let flush = bed.cell.take_flush();
     bed.cell.on_flushed(&flush);
-    assert_eq!(bed.cell.jobs[&1].shown(), JobState::Succeeded);
-    assert_eq!(bed.cell.workers["w0"].durable, 1);
+    assert_eq!(bed.cell.jobs[&1].visible_state(), JobState::Succeeded);
+    assert_eq!(bed.cell.workers["w0"].durable_end, 1);
 }
 
 #[test]
 fn nothing_inherited_is_started_before_every_worker_was_asked() {
     let mut bed = Bed::new(2);
-    bed.cell.unasked = bed.cell.workers.keys().cloned().collect();
+    bed.cell.unpolled = bed.cell.workers.keys().cloned().collect();
     bed.cell.admit(1, accepted(vec![step(1)]), Some(&Progress::default()));
     bed.look("w0", &[], &[]);
     assert_eq!(bed.place(), []);
@@ -281,7 +286,7 @@
     bed.cell.admit(1, accepted(vec![step(8)]), None);
     // Known to whoever claims the lead later.
     assert_eq!(bed.start().len(), 4);
-    bed.now += RENEWED + MILLI;
+    bed.now += EXCLUSIVE_LEASE + MILLI;
     bed.meet("w1", "m1");
     bed.look("w1", &[], &[]);
     assert_eq!(bed.start(), []);
@@ -292,7 +297,7 @@
 #[test]
 fn a_job_that_arrives_during_the_takeover_counts_as_inherited() {
     let mut bed = Bed::new(2);
-    bed.cell.unasked = bed.cell.workers.keys().cloned().collect();
+    bed.cell.unpolled = bed.cell.workers.keys().cloned().collect();
     bed.look("w0", &[], &[]);
     bed.cell.admit(1, accepted(vec![step(1)]), None);
     assert_eq!(bed.place(), []);
@@ -305,13 +310,13 @@
 #[test]
 fn a_job_whose_node_told_this_scheduler_waits_for_no_worker_once_all_nodes_know_it() {
     let mut bed = Bed::new(2);
-    bed.cell.unasked = bed.cell.workers.keys().cloned().collect();
+    bed.cell.unpolled = bed.cell.workers.keys().cloned().collect();
     bed.look("w0", &[], &[]);
     // Nodes that have not heard of this scheduler yet tell the earlier one.
-    bed.cell.admit_told(1, accepted(vec![step(1)]));
+    bed.cell.admit_announced(1, accepted(vec![step(1)]));
     assert_eq!(bed.place(), []);
-    bed.cell.known_from = Some(clock::now());
-    bed.cell.admit_told(2, accepted(vec![step(1)]));
+    bed.cell.known_everywhere_from = Some(clock::now());
+    bed.cell.admit_announced(2, accepted(vec![step(1)]));
     // What is only read in the store may have been told to the earlier one.
     bed.cell.admit(3, accepted(vec![step(1)]), None);
     assert_eq!(bed.start(), [("w0".to_owned(), task(2, 0, 0), TOKEN)]);
@@ -321,7 +326,7 @@
 fn a_job_that_arrives_after_the_earlier_scheduler_gave_up_the_lead_waits_for_no_worker() {
     let mut bed = Bed::new(2);
     bed.cell.predecessor_is_done = true;
-    bed.cell.unasked = bed.cell.workers.keys().cloned().collect();
+    bed.cell.unpolled = bed.cell.workers.keys().cloned().collect();
     bed.look("w0", &[], &[]);
     bed.cell.admit(1, accepted(vec![step(2)]), None);
     bed.cell.admit(2, accepted(vec![step(2)]), Some(&Progress::default()));
@@ -343,30 +348,30 @@
     // Sent earlier, on another connection, and answered while the task still ran.
     bed.now = before;
     bed.look("w0", &[(task, run)], &[]);
-    assert!(bed.cell.workers["w0"].slots.is_empty());
+    assert!(bed.cell.workers["w0"].allocations.is_empty());
 }
 
 #[test]
 fn a_worker_whose_machine_has_moved_holds_up_no_later_scheduler() {
     let mut first = Bed::new(2);
     first.look_at_all();
-    first.cell.end_lives_elsewhere("m1", "another pool");
+    first.cell.end_incarnations_elsewhere("m1", "another pool");
     let flush = first.cell.take_flush();
     let mut second = Bed::new(0);
     for record in &flush.records {
         match ProgressRecord::decode(record).unwrap() {
-            ProgressRecord::Gone(id) => second.cell.inherit_gone(id, second.now),
-            ProgressRecord::Worker(id, known) => second.cell.meet_known(id, known, second.now),
+            ProgressRecord::Ended(id) => second.cell.restore_ended(id, second.now),
+            ProgressRecord::Worker(id, known) => second.cell.restore_worker(id, known, second.now),
             _ => {}
         }
     }
     // The store lists both for a while.
     second.meet("w0", "m0");
     second.meet("w1", "m1");
-    let known: Vec<String> = second.cell.workers.keys().map(Life::to_string).collect();
+    let known: Vec<String> = second.cell.workers.keys().map(Incarnation::to_string).collect();
     assert_eq!(known, ["w0"]);
     // What was moved to the pool it is in already goes on.
-    first.cell.end_lives_elsewhere("m0", "work");
+    first.cell.end_incarnations_elsewhere("m0", "work");
     assert!(first.cell.workers.contains_key(&"w0".into()));
 }
 
@@ -387,7 +392,7 @@
 fn a_run_whose_job_never_arrives_is_stopped() {
     let mut bed = Bed::new(1);
     bed.look("w0", &[(task(9, 0, 0), 3)], &[]);
-    bed.cell.stop_unknown(bed.now + Duration::from_secs(10));
+    bed.cell.stop_unknown_jobs(bed.now + Duration::from_secs(10));
     assert_eq!(bed.stops(), [("w0".to_owned(), task(9, 0, 0), 3)]);
 }
 
@@ -419,10 +424,10 @@
     bed.cell.admit(1, accepted(vec![step(1)]), None);
     let (worker, name, _) = bed.start().remove(0);
     bed.miss(&worker);
-    assert_eq!(bed.cell.lapsed(bed.now + LEASE / 2), []);
-    let later = bed.now + LEASE + Duration::from_millis(500);
-    assert_eq!(bed.cell.lapsed(later), [(worker.as_str().into(), true)]);
-    bed.cell.lapse(&worker.as_str().into());
+    assert_eq!(bed.cell.expired_workers(bed.now + WORKER_LEASE / 2), []);
+    let later = bed.now + WORKER_LEASE + Duration::from_millis(500);
+    assert_eq!(bed.cell.expired_workers(later), [(worker.as_str().into(), true)]);
+    bed.cell.expire_runs(&worker.as_str().into());
     bed.now = later;
     let again = bed.place();
     assert_eq!(again.len(), 1);
@@ -470,14 +475,14 @@
         bed.look(worker, &[(*name, *run)], &[]);
     }
     // A worker that is silent may have lost its task.
-    bed.cell.on_miss(&"w0".into());
-    assert!(!upkeep::empty(&mut bed.cell, &"w1".into(), false));
+    bed.cell.on_failed_poll(&"w0".into());
+    assert!(!maintenance::evacuate(&mut bed.cell, &"w1".into(), false));
     assert_eq!(bed.stops(), []);
     let at_w0 = starts.iter().find(|start| start.0 == "w0").unwrap();
     bed.look("w0", &[(at_w0.1, at_w0.2)], &[]);
-    assert!(!upkeep::empty(&mut bed.cell, &"w1".into(), false));
+    assert!(!maintenance::evacuate(&mut bed.cell, &"w1".into(), false));
     assert_eq!(bed.stops().len(), 1);
-    assert!(!upkeep::empty(&mut bed.cell, &"w2".into(), false));
+    assert!(!maintenance::evacuate(&mut bed.cell, &"w2".into(), false));
     assert_eq!(bed.stops(), []);
 }
 
@@ -488,7 +493,7 @@
     bed.cell.admit(1, accepted(vec![step(4)]), None);
     assert_eq!(bed.start().len(), 4);
     bed.cell.admit(2, accepted(vec![lasting(1)]), None);
-    bed.cell.place(bed.now, Duration::from_secs(1));
+    bed.cell.place_ready(bed.now, Duration::from_secs(1));
     assert_eq!(bed.stops().len(), 1);
 }
 
@@ -507,7 +512,7 @@
     runs.push((task(9, 0, 0), 3));
     bed.look("w0", &runs, &[]);
     bed.cell.admit(2, accepted(vec![lasting(1)]), None);
-    bed.cell.place(bed.now, Duration::from_secs(1));
+    bed.cell.place_ready(bed.now, Duration::from_secs(1));
     let stopped: Vec<JobId> = bed.stops().into_iter().map(|(_, name, _)| name.job).collect();
     assert_eq!(stopped, [1]);
 }
@@ -519,9 +524,9 @@
     bed.cell.admit(1, accepted(vec![step(1)]), None);
     let (worker, name, run) = bed.place().remove(0);
     let life = worker.as_str().into();
-    bed.cell.on_fenced(&life, token(TOKEN, bed.cell.workers[&life].fence));
+    bed.cell.on_fenced(&life, compose_token(TOKEN, bed.cell.workers[&life].fence));
     bed.cell.on_refused(&life, name, run, Some(Refusal::Fenced), bed.now);
-    assert!(bed.cell.fenced);
+    assert!(bed.cell.is_fenced);
 }
 
 #[test]
@@ -557,12 +562,12 @@
     first.look_at_all();
     first.cell.admit(1, job.clone(), None);
     let (silent, ..) = first.start().remove(0);
-    first.cell.on_miss(&silent.as_str().into());
+    first.cell.on_failed_poll(&silent.as_str().into());
     let flush = first.cell.take_flush();
     let mut records = flush.records.iter().map(|record| ProgressRecord::decode(record).unwrap());
     let known = records.find_map(|record| match record {
         ProgressRecord::Worker(id, known)
-            if id == silent.as_str().into() && known.silent_with.is_some() =>
+            if id == silent.as_str().into() && known.unresponsive_with.is_some() =>
         {
             Some(known)
         }
@@ -570,10 +575,10 @@
     });
 
     let mut second = Bed::new(0);
-    second.cell.meet_known(silent.as_str().into(), known.unwrap(), second.now);
+    second.cell.restore_worker(silent.as_str().into(), known.unwrap(), second.now);
     second.meet(&silent, "m0");
     second.meet("other", "m9");
-    second.cell.unasked = second.cell.workers.keys().cloned().collect();
+    second.cell.unpolled = second.cell.workers.keys().cloned().collect();
     second.cell.admit(1, job.clone(), Some(&Progress::default()));
     second.look("other", &[], &[]);
     (second, silent)
@@ -595,16 +600,16 @@
 
     // Heard of again, it is given work only once the store knows.
     second.look(&silent, &[(task(1, 0, 0), TOKEN)], &[]);
-    assert!(!second.cell.workers[silent.as_str()].takes_work(second.now));
+    assert!(!second.cell.workers[silent.as_str()].is_schedulable(second.now));
     let flush = second.cell.take_flush();
     second.cell.on_flushed(&flush);
-    assert!(second.cell.workers[silent.as_str()].takes_work(second.now));
+    assert!(second.cell.workers[silent.as_str()].is_schedulable(second.now));
 }
 
 #[test]
 fn a_machine_whose_upkeep_has_begun_is_known_to_the_next_scheduler() {
     let mut bed = Bed::new(1);
-    bed.cell.upkeep_begun(7, "m0");
+    bed.cell.record_maintenance_started(7, "m0");
     let flush = bed.cell.take_flush();
     let wave = flush.records.iter().find(|record| record.key == "wave/7").unwrap();
     assert_eq!(
@@ -620,19 +625,19 @@
     bed.look("w0", &[], &[(1, task(1, 0, 0), 3, Outcome::Done)]);
     let flush = bed.cell.take_flush();
     bed.cell.on_flushed(&flush);
-    assert_eq!(bed.cell.workers["w0"].durable, 0);
+    assert_eq!(bed.cell.workers["w0"].durable_end, 0);
     bed.cell.admit(1, accepted(vec![step(1)]), None);
     assert_eq!(bed.place(), []);
     assert_eq!(bed.cell.jobs[&1].end, Some(JobState::Succeeded));
     let flush = bed.cell.take_flush();
     bed.cell.on_flushed(&flush);
-    assert_eq!(bed.cell.workers["w0"].durable, 1);
+    assert_eq!(bed.cell.workers["w0"].durable_end, 1);
     // The end of a job that never arrives is let go after a while.
     bed.look("w0", &[], &[(2, task(9, 0, 0), 3, Outcome::Done)]);
-    bed.cell.stop_unknown(bed.now + Duration::from_secs(10));
+    bed.cell.stop_unknown_jobs(bed.now + Duration::from_secs(10));
     let flush = bed.cell.take_flush();
     bed.cell.on_flushed(&flush);
-    assert_eq!(bed.cell.workers["w0"].durable, 2);
+    assert_eq!(bed.cell.workers["w0"].durable_end, 2);
 }
 
 #[test]
@@ -641,7 +646,7 @@
     bed.look_at_all();
     bed.cell.admit(1, accepted(vec![step(1)]), None);
     let back = bed.now + Duration::from_millis(2_000);
-    bed.cell.unlist("w0", Some(back));
+    bed.cell.mark_unlisted("w0", Some(back));
     assert_eq!(bed.start().len(), 1);
     bed.now = back;
     bed.cell.admit(2, accepted(vec![step(1)]), None);
@@ -650,7 +655,7 @@
     let mut bed = Bed::new(1);
     bed.look_at_all();
     bed.cell.admit(1, accepted(vec![step(1)]), None);
-    bed.cell.unlist("w0", None);
+    bed.cell.mark_unlisted("w0", None);
     assert_eq!(bed.start(), vec![]);
 }
 
@@ -664,13 +669,13 @@
     assert_eq!(starts.len(), 2);
     let running: Vec<(TaskName, Run)> = starts.iter().map(|(_, task, run)| (*task, *run)).collect();
     bed.look("w0", &running, &[]);
-    assert_eq!(bed.cell.leaving_unannounced(bed.now), Vec::<Life>::new());
-    bed.cell.unlist("w0", None);
+    assert_eq!(bed.cell.leaving_unannounced(bed.now), Vec::<Incarnation>::new());
+    bed.cell.mark_unlisted("w0", None);
     bed.meet("w1", "m1");
     bed.look("w1", &[], &[]);
     for _ in 0..3 {
         for id in bed.cell.leaving_unannounced(bed.now) {
-            upkeep::empty(&mut bed.cell, &id, false);
+            maintenance::evacuate(&mut bed.cell, &id, false);
         }
     }
     let stops = bed.stops();
@@ -691,9 +696,9 @@
 fn a_worker_that_was_emptied_as_leaving_and_is_listed_again_takes_work() {
     let mut bed = Bed::new(1);
     bed.look_at_all();
-    bed.cell.unlist("w0", None);
+    bed.cell.mark_unlisted("w0", None);
     for id in bed.cell.leaving_unannounced(bed.now) {
-        upkeep::empty(&mut bed.cell, &id, false);
+        maintenance::evacuate(&mut bed.cell, &id, false);
     }
     bed.cell.admit(1, accepted(vec![step(1)]), None);
     assert_eq!(bed.start(), vec![]);
@@ -704,9 +709,9 @@
 #[test]
 fn room_for_a_task_that_lasts_is_made_only_where_it_may_run() {
     let mut bed = Bed::new(1);
-    let peer = Peer { life: "w9".into(), addr: addr() };
+    let peer = Peer { incarnation: "w9".into(), addr: addr() };
     let labels = vec!["big".to_owned()];
-    bed.cell.meet(peer, Entry { labels, ..entry("m9") }, bed.now);
+    bed.cell.discover(peer, Entry { labels, ..entry("m9") }, bed.now);
     bed.look_at_all();
     // The one worker with the label is full, the other one is empty.
     let full = Step { requires: Some("big".to_owned()), ..step(4) };
@@ -718,7 +723,7 @@
         accepted(vec![Step { requires: Some("big".to_owned()), ..lasting(1) }]),
         None,
     );
-    bed.cell.place(bed.now, Duration::from_secs(1));
+    bed.cell.place_ready(bed.now, Duration::from_secs(1));
     let stops = bed.stops();
     assert_eq!(stops.len(), 1, "{stops:?}");
     assert_eq!(stops[0].0, "w9");
@@ -734,7 +739,7 @@
     bed.cell.admit(1, accepted(vec![gang]), None);
     assert_eq!(bed.start(), vec![]);
     let loads = loads(&bed.cell, bed.now);
-    assert_eq!(loads["work"].least, 5);
+    assert_eq!(loads["work"].min_workers, 5);
     assert!(!loads["work"].can_spare(4_000));
     for number in 2..5 {
         bed.meet(&format!("w{number}"), &format!("m{number}"));
@@ -754,22 +759,22 @@
     let later = clock::now() + Duration::from_secs(60);
     // Nobody knows yet where the store keeps it; a record left there would be a new job to the next
     // scheduler.
-    assert!(bed.cell.finished(keep, later).is_empty());
+    assert!(bed.cell.finished_jobs(keep, later).is_empty());
     let key = JobKey { id: 1, account: None };
-    bed.cell.note_kept(key.clone(), 3);
-    bed.cell.note_kept(key.clone(), 7);
-    let finished = [Finished { key, cancelled: true, kept_in: [3, 7].into() }];
-    assert_eq!(bed.cell.finished(keep, later), finished);
+    bed.cell.record_kept(key.clone(), 3);
+    bed.cell.record_kept(key.clone(), 7);
+    let finished = [FinishedJob { key, cancelled: true, kept_in: [3, 7].into() }];
+    assert_eq!(bed.cell.finished_jobs(keep, later), finished);
     // Its end is forgotten last, once no partition keeps it.
     let ends = |bed: &mut Bed| {
         let records = bed.cell.take_flush().records;
         records.iter().filter(|record| record.key == format!("{:016x}", 1)).count()
     };
     assert_eq!(ends(&mut bed), 0);
-    assert_eq!(bed.cell.finished(keep, later), finished);
-    bed.cell.let_go(1);
+    assert_eq!(bed.cell.finished_jobs(keep, later), finished);
+    bed.cell.forget_job(1);
     assert_eq!(ends(&mut bed), 1);
-    assert!(bed.cell.finished(keep, later).is_empty());
+    assert!(bed.cell.finished_jobs(keep, later).is_empty());
 }
 
 #[test]
@@ -778,8 +783,8 @@
     bed.look_at_all();
     bed.cell.admit(1, accepted(vec![step(1)]), None);
     let (_, _, run) = bed.start().remove(0);
-    assert!(bed.cell.note_unusable("w0", "misshapen"));
-    assert!(!bed.cell.note_unusable("w0", "misshapen"), "told once");
+    assert!(bed.cell.record_unusable("w0", "misshapen"));
+    assert!(!bed.cell.record_unusable("w0", "misshapen"), "told once");
     bed.cell.admit(2, accepted(vec![step(1)]), None);
     bed.look("w0", &[(task(1, 0, 0), run)], &[]);
     assert_eq!(bed.start(), []);
@@ -795,11 +800,11 @@
 fn entries_of_others_are_remembered_in_bounds() {
     let mut bed = Bed::new(1);
     for number in 0..1_000 {
-        bed.cell.note_unusable(&format!("x{number}"), "unreadable");
+        bed.cell.record_unusable(&format!("x{number}"), "unreadable");
     }
     assert_eq!(bed.cell.unusable.len(), 256);
     assert_eq!(bed.cell.workers.len(), 1);
-    bed.cell.unlist("x0", None);
+    bed.cell.mark_unlisted("x0", None);
     assert_eq!(bed.cell.unusable.len(), 255);
 }
 
@@ -812,9 +817,9 @@
     let started = bed.start();
     assert_eq!(started.len(), 4);
     let resize = |bed: &mut Bed, cpu: u32| {
-        let peer = Peer { life: "w0".into(), addr: addr() };
-        let room = Room { cpu, memory_mb: 4_000, gpu: 0 };
-        bed.cell.meet(peer, Entry { room, ..entry("m0") }, bed.now);
+        let peer = Peer { incarnation: "w0".into(), addr: addr() };
+        let room = Resources { cpu, memory_mb: 4_000, gpu: 0 };
+        bed.cell.discover(peer, Entry { capacity: room, ..entry("m0") }, bed.now);
     };
     resize(&mut bed, 2_000);
     bed.cell.admit(2, accepted(vec![step(1)]), None);
@@ -837,11 +842,11 @@
     bed.look_at_all();
     bed.cell.admit(1, accepted(vec![step(4)]), None);
     assert_eq!(bed.start().len(), 4);
-    let peer = Peer { life: "w0".into(), addr: addr() };
-    let room = Room { cpu: 2_000, memory_mb: 4_000, gpu: 0 };
-    bed.cell.meet(peer, Entry { room, ..entry("m0") }, bed.now);
+    let peer = Peer { incarnation: "w0".into(), addr: addr() };
+    let room = Resources { cpu: 2_000, memory_mb: 4_000, gpu: 0 };
+    bed.cell.discover(peer, Entry { capacity: room, ..entry("m0") }, bed.now);
     bed.cell.admit(2, accepted(vec![lasting(1)]), None);
-    bed.cell.place(bed.now, Duration::from_secs(1));
+    bed.cell.place_ready(bed.now, Duration::from_secs(1));
     assert_eq!(bed.stops().len(), 3);
 }
 
--- a/lib/tests/test_bounds.rs
+++ b/lib/tests/test_bounds.rs
@@ -13,11 +13,11 @@
 use spokelift_lib::batch::cell::Cell;
 use spokelift_lib::batch::cell::Order;
 use spokelift_lib::batch::config::Config;
-use spokelift_lib::batch::place::fit::held_by;
+use spokelift_lib::batch::place::fit::count_unfit_workers;
 use spokelift_lib::batch::pool::load::loads;
 use spokelift_lib::batch::record::Accepted;
-use spokelift_lib::batch::record::Known;
 use spokelift_lib::batch::record::Progress;
+use spokelift_lib::batch::record::StoredWorker;
 use spokelift_lib::batch::usage::Totals;
 use spokelift_lib::transport::clock;
 use spokelift_platform::job::JobId;
@@ -26,9 +26,9 @@
 use spokelift_platform::worker::End;
 use spokelift_platform::worker::Outcome;
 use spokelift_platform::worker::Peer;
+use spokelift_platform::worker::PollResponse;
 use spokelift_platform::worker::Run;
 use spokelift_platform::worker::Running;
-use spokelift_platform::worker::Seen;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::addr;
 use spokelift_testutils::batch::published;
@@ -85,12 +85,12 @@
 
     fn bound(&mut self, bounds: &[(&str, u64)]) {
         self.version += 1;
-        self.cell.set_bounds(&config(self.version, bounds));
+        self.cell.set_quotas(&config(self.version, bounds));
     }
 
     fn meet(&mut self, number: usize) {
-        let peer = Peer { life: format!("w{number}").into(), addr: addr() };
-        self.cell.meet(peer, batch::entry(&format!("m{number}"), ROOM), self.now);
+        let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
+        self.cell.discover(peer, batch::entry(&format!("m{number}"), ROOM), self.now);
     }
 
     fn tick(&mut self) {
@@ -121,9 +121,10 @@
             percent: 100,
             figure: 0,
         });
-        let seen = Seen { clock: self.clock, running: running.collect(), ended, born: None };
+        let seen =
+            PollResponse { clock: self.clock, running: running.collect(), ended, birth_ms: None };
         self.running.extend_from_slice(on);
-        self.cell.on_look(&id.as_str().into(), sent, self.now, seen);
+        self.cell.on_poll(&id.as_str().into(), sent, self.now, seen);
     }
 
     fn submit(&mut self, account: &str, step: Step) -> JobId {
@@ -134,18 +135,19 @@
 
     /// Places what waits; returns the tasks that are started. The workers take all orders.
     fn place(&mut self) -> Vec<TaskName> {
-        self.cell.place(self.now, Duration::from_secs(1));
+        self.cell.place_ready(self.now, Duration::from_secs(1));
         let mut started = Vec::new();
         for order in std::mem::take(&mut self.cell.outbox) {
             match order {
                 Order::Start { peer, task, run, .. } => {
-                    self.cell.on_started(&peer.life, task, run, self.now);
-                    self.running.push((peer.life.to_string(), task, run));
+                    self.cell.on_started(&peer.incarnation, task, run, self.now);
+                    self.running.push((peer.incarnation.to_string(), task, run));
                     started.push(task);
                 }
                 Order::Stop { peer, task, run } => {
-                    self.cell.on_stopped(&peer.life, task, run, self.now);
-                    self.running.retain(|known| *known != (peer.life.to_string(), task, run));
+                    self.cell.on_stopped(&peer.incarnation, task, run, self.now);
+                    self.running
+                        .retain(|known| *known != (peer.incarnation.to_string(), task, run));
                 }
                 Order::Grant { .. } | Order::Pace { .. } | Order::Watch { .. } => {}
             }
@@ -170,7 +172,11 @@
     let other = bed.submit("b", step(8));
     let started = bed.place();
     assert_eq!((of(&started, first), of(&started, other)), (3, 8));
-    let held = held_by(&bed.cell, TaskName { job: first, time: 0, step: 0, index: 7 }, bed.now);
+    let held = count_unfit_workers(
+        &bed.cell,
+        TaskName { job: first, repetition: 0, step: 0, index: 7 },
+        bed.now,
+    );
     assert_eq!(held, [("its account is at its bound".to_owned(), 3)].into());
 }
 
@@ -179,8 +185,8 @@
     let mut bed = Bed::new(3);
     let maximum = json!({ "cpu": 5_000, "memMb": 250 });
     let text = published(1, &[], json!([{ "name": "a", "maximum": maximum }]));
-    bed.cell.set_bounds(&Arc::new(Config::decode(&text).unwrap()));
-    bed.submit("a", Step { long_running: true, fills: true, ..step(1) });
+    bed.cell.set_quotas(&Arc::new(Config::decode(&text).unwrap()));
+    bed.submit("a", Step { long_running: true, best_effort: true, ..step(1) });
     bed.submit("a", step(4));
     assert_eq!(bed.place().len(), 2);
 }
@@ -201,7 +207,7 @@
     bed.bound(&[("a", 4_000)]);
     assert_eq!(bed.place().len(), 2, "raised");
     // A version that comes late changes nothing.
-    bed.cell.set_bounds(&config(1, &[("a", 1_000)]));
+    bed.cell.set_quotas(&config(1, &[("a", 1_000)]));
     bed.look(0, 1);
     assert_eq!(bed.place().len(), 1);
 }
@@ -215,7 +221,11 @@
     let other = bed.submit("b", step(3));
     let started = bed.place();
     assert_eq!([wide, narrow, other].map(|job| of(&started, job)), [0, 2, 3]);
-    let held = held_by(&bed.cell, TaskName { job: wide, time: 0, step: 0, index: 0 }, bed.now);
+    let held = count_unfit_workers(
+        &bed.cell,
+        TaskName { job: wide, repetition: 0, step: 0, index: 0 },
+        bed.now,
+    );
     assert_eq!(held.into_keys().collect::<Vec<_>>(), ["its account is at its bound"]);
 }
 
@@ -227,9 +237,9 @@
     bed.place();
     let load = &loads(&bed.cell, bed.now)["work"];
     assert_eq!((load.used, load.waiting), (2_000, 0));
-    let before = load.rate;
+    let before = load.arrival_rate;
     bed.submit("a", step(100));
-    assert_eq!(loads(&bed.cell, bed.now)["work"].rate, before);
+    assert_eq!(loads(&bed.cell, bed.now)["work"].arrival_rate, before);
     bed.bound(&[("a", 5_000)]);
     assert_eq!(loads(&bed.cell, bed.now)["work"].waiting, 3_000, "as much as it may start");
 }
@@ -263,7 +273,7 @@
     (0..3).for_each(|number| bed.meet(number));
     // Jobs that come from now on are none that it can have started.
     bed.cell.predecessor_is_done = true;
-    bed.cell.unasked = bed.cell.workers.keys().cloned().collect();
+    bed.cell.unpolled = bed.cell.workers.keys().cloned().collect();
     bed.bound(&[("a", 4_000), ("b", 4_000)]);
     bed.jobs = 1;
     bed.cell.admit(1, accepted("a", step(6)), Some(&Progress::default()));
@@ -280,8 +290,8 @@
     let started = bed.place();
     assert_eq!((of(&started, late), of(&started, other)), (0, 1));
     // It runs three.
-    let runs =
-        (0..3).map(|index| ("w2".to_owned(), TaskName { job: 1, time: 0, step: 0, index }, 3));
+    let runs = (0..3)
+        .map(|index| ("w2".to_owned(), TaskName { job: 1, repetition: 0, step: 0, index }, 3));
     bed.running.extend(runs);
     bed.look(2, 0);
     assert_eq!(bed.place().len(), 1, "four may run");
@@ -293,14 +303,18 @@
 fn a_worker_that_had_fallen_silent_hides_no_more_than_the_store_names() {
     let mut bed = taken_over(&[0, 1, 2]);
     let tasks = vec![(1, (0, 0, 0))];
-    let known =
-        Known { addr: addr(), service: "work".to_owned(), machine: None, silent_with: Some(tasks) };
-    bed.cell.meet_known("gone".into(), known, bed.now);
-    bed.cell.unasked.insert("gone".into());
+    let known = StoredWorker {
+        addr: addr(),
+        service: "work".to_owned(),
+        machine: None,
+        unresponsive_with: Some(tasks),
+    };
+    bed.cell.restore_worker("gone".into(), known, bed.now);
+    bed.cell.unpolled.insert("gone".into());
     let started = bed.place();
     assert_eq!(started.len(), 3, "one of four may be on the silent worker");
     assert!(started.iter().all(|task| task.index != 0));
-    bed.cell.lapse(&"gone".into());
+    bed.cell.expire_runs(&"gone".into());
     assert_eq!(bed.place().len(), 1);
 }
 
@@ -362,18 +376,19 @@
         match what {
             Happening::Meet(number) => self.meet(number),
             Happening::Look(number, ended) => self.look(number, ended),
-            Happening::Miss(number) => self.cell.on_miss(&format!("w{number}").into()),
+            Happening::Miss(number) => self.cell.on_failed_poll(&format!("w{number}").into()),
             Happening::Bury(number) | Happening::Lapse(number) => {
                 let id = format!("w{number}");
                 self.forget_runs(&id);
                 match what {
-                    Happening::Bury(_) => self.cell.bury(&id.as_str().into(), "a test"),
-                    _ => self.cell.lapse(&id.as_str().into()),
+                    Happening::Bury(_) => self.cell.mark_ended(&id.as_str().into(), "a test"),
+                    _ => self.cell.expire_runs(&id.as_str().into()),
                 }
             }
             Happening::Overtake(is_done) => self.overtake(*bounds, is_done),
             Happening::Job { account, tasks, cpu, lasts, fills, gang } => {
-                let step = Step { cpu, long_running: lasts, fills, gang, ..step(tasks) };
+                let step =
+                    Step { cpu, long_running: lasts, best_effort: fills, gang, ..step(tasks) };
                 self.submit(ACCOUNTS[account], step);
             }
             Happening::Cancel(job) => drop(self.cell.cancel(job)),
@@ -395,11 +410,11 @@
             cell.admit(*id, entry.accepted.clone(), Some(&entry.progress()));
         }
         for worker in self.cell.workers.values() {
-            cell.meet(worker.peer.clone(), worker.entry.clone(), self.now);
+            cell.discover(worker.peer.clone(), worker.entry.clone(), self.now);
         }
-        cell.unasked = cell.workers.keys().cloned().collect();
+        cell.unpolled = cell.workers.keys().cloned().collect();
         let (version, last) = (self.version.max(1), bounds);
-        cell.set_bounds(&config(version, &[("a", last[0]), ("b", last[1])]));
+        cell.set_quotas(&config(version, &[("a", last[0]), ("b", last[1])]));
         self.cell = cell;
     }
 }
@@ -425,7 +440,7 @@
                 prop_assert!(!is_above || !has_risen, "{account} runs {runs} after {told}");
             }
         }
-        if bed.cell.workers.values().all(|worker| worker.slots.is_empty()) {
+        if bed.cell.workers.values().all(|worker| worker.allocations.is_empty()) {
             prop_assert_eq!(bed.cell.workers.totals(), &Totals::default());
         }
     }
--- a/lib/tests/test_box_list.rs
+++ b/lib/tests/test_box_list.rs
@@ -15,9 +15,9 @@
 use spokelift_platform::job::TaskName;
 use spokelift_platform::machine::Machine;
 use spokelift_platform::machine::Status;
-use spokelift_platform::worker::Life;
+use spokelift_platform::worker::Incarnation;
 use spokelift_platform::worker::Peer;
-use spokelift_platform::worker::Seen;
+use spokelift_platform::worker::PollResponse;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::accepted;
 use spokelift_testutils::batch::addr;
@@ -44,8 +44,8 @@
     fn new(workers: usize) -> Bed {
         let mut bed = Bed { cell: Cell::new(TOKEN), now: clock::now(), clock: 1_000 };
         for number in 0..workers {
-            let peer = Peer { life: format!("w{number}").into(), addr: addr() };
-            bed.cell.meet(peer, batch::entry(&format!("m{number}"), 4_000), bed.now);
+            let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
+            bed.cell.discover(peer, batch::entry(&format!("m{number}"), 4_000), bed.now);
         }
         bed
     }
@@ -58,24 +58,25 @@
     fn look(&mut self, number: usize) {
         let sent = self.now;
         self.pass(MILLI);
-        let seen = Seen { clock: self.clock, running: vec![], ended: vec![], born: None };
-        self.cell.on_look(&format!("w{number}").into(), sent, self.now, seen);
+        let seen =
+            PollResponse { clock: self.clock, running: vec![], ended: vec![], birth_ms: None };
+        self.cell.on_poll(&format!("w{number}").into(), sent, self.now, seen);
         self.pass(MILLI);
     }
 
     fn miss(&mut self, number: usize) {
-        self.cell.on_miss(&format!("w{number}").into());
+        self.cell.on_failed_poll(&format!("w{number}").into());
     }
 
     /// Starts what can be started, and the workers take it: on which worker, and what.
     fn start(&mut self) -> Vec<(String, TaskName)> {
-        self.cell.place(self.now, Duration::from_secs(1));
+        self.cell.place_ready(self.now, Duration::from_secs(1));
         let orders = std::mem::take(&mut self.cell.outbox);
         let mut started = Vec::new();
         for order in orders {
             let Order::Start { peer, task, run, .. } = order else { continue };
-            self.cell.on_started(&peer.life, task, run, self.now);
-            started.push((peer.life.to_string(), task));
+            self.cell.on_started(&peer.incarnation, task, run, self.now);
+            started.push((peer.incarnation.to_string(), task));
         }
         self.pass(MILLI);
         started
@@ -92,7 +93,7 @@
             list.retain(|machine| machine.id != other.id);
             list.push(other);
         }
-        self.cell.end_lives_by_list(&list, asked_at);
+        self.cell.end_incarnations_by_box_list(&list, asked_at);
     }
 
     /// The list that is asked for now lacks a box.
@@ -102,18 +103,18 @@
         let others = (0..3).filter(|other| *other != number);
         let list: Vec<Machine> =
             others.map(|other| machine(other, Status::Up, Some(&format!("w{other}")))).collect();
-        self.cell.end_lives_by_list(&list, asked_at);
+        self.cell.end_incarnations_by_box_list(&list, asked_at);
     }
 
     fn knows(&self, number: usize) -> bool {
-        self.cell.workers.contains_key(&Life::from(format!("w{number}").as_str()))
+        self.cell.workers.contains_key(&Incarnation::from(format!("w{number}").as_str()))
     }
 }
 
 /// A scheduler that has taken over, with a job of before; worker `w0` has not answered it, `w1` and `w2` have.
 fn taken_over() -> Bed {
     let mut bed = Bed::new(3);
-    bed.cell.unasked = bed.cell.workers.keys().cloned().collect();
+    bed.cell.unpolled = bed.cell.workers.keys().cloned().collect();
     bed.cell.admit(1, accepted(vec![step(1)]), Some(&Progress::default()));
     bed.pass(MILLI);
     bed.look(1);
@@ -122,7 +123,7 @@
 }
 
 fn task(job: JobId) -> TaskName {
-    TaskName { job, time: 0, step: 0, index: 0 }
+    TaskName { job, repetition: 0, step: 0, index: 0 }
 }
 
 /// Callers waited up to 5.8 s for a service of which one worker had left between two schedulers, for good where
@@ -131,16 +132,16 @@
 fn a_worker_that_left_between_two_schedulers_holds_up_nothing() {
     let mut bed = taken_over();
     assert_eq!(bed.start(), []);
-    assert!(bed.cell.awaits_silent());
+    assert!(bed.cell.is_blocked_by_unresponsive());
     bed.list_without(0);
     bed.list_without(0);
     assert_eq!(bed.start().len(), 1);
-    assert!(!bed.cell.awaits_silent());
+    assert!(!bed.cell.is_blocked_by_unresponsive());
 }
 
 #[test]
 fn a_worker_that_crashed_between_two_schedulers_holds_up_nothing() {
-    for status in [Status::Down, Status::Moving, Status::Upkeep] {
+    for status in [Status::Down, Status::Moving, Status::Maintenance] {
         let mut bed = taken_over();
         bed.list(vec![machine(0, status, None)]);
         assert_eq!(bed.start().len(), 1, "{status:?}");
@@ -187,11 +188,11 @@
     bed.pass(MILLI);
     let asked_at = bed.now;
     bed.pass(MILLI);
-    let peer = Peer { life: "w1".into(), addr: addr() };
-    bed.cell.meet(peer, batch::entry("m1", 4_000), bed.now);
+    let peer = Peer { incarnation: "w1".into(), addr: addr() };
+    bed.cell.discover(peer, batch::entry("m1", 4_000), bed.now);
     bed.look(0);
     let list = [machine(0, Status::Down, None), machine(1, Status::Down, None)];
-    bed.cell.end_lives_by_list(&list, asked_at);
+    bed.cell.end_incarnations_by_box_list(&list, asked_at);
     assert!(bed.knows(0) && bed.knows(1));
 }
 
@@ -206,15 +207,15 @@
     bed.list(vec![machine(0, Status::Down, None)]);
     assert_eq!(bed.start(), [("w1".to_owned(), task(1))]);
     // The store lists it for some seconds more.
-    let peer = Peer { life: "w0".into(), addr: addr() };
-    bed.cell.meet(peer, batch::entry("m0", 4_000), bed.now);
+    let peer = Peer { incarnation: "w0".into(), addr: addr() };
+    bed.cell.discover(peer, batch::entry("m0", 4_000), bed.now);
     assert!(!bed.knows(0));
 }
 
 #[test]
 fn nothing_is_blamed_for_the_end_of_a_worker_whose_box_was_ordered() {
     let away = [
-        machine(0, Status::Upkeep, None),
+        machine(0, Status::Maintenance, None),
         machine(0, Status::Moving, None),
         Machine { pool: "spare".to_owned(), ..machine(0, Status::Down, None) },
     ];
@@ -225,7 +226,7 @@
         bed.start();
         bed.list(vec![away]);
         assert!(!bed.knows(0));
-        assert_eq!(bed.cell.tally.workers, 0);
+        assert_eq!(bed.cell.stats.crashed_workers, 0);
     }
 }
 
@@ -238,9 +239,9 @@
     bed.cell.admit(1, accepted(vec![lasting]), None);
     assert_eq!(bed.start().len(), 3);
     bed.list((0..3).map(|number| machine(number, Status::Down, None)).collect());
-    assert_eq!(bed.cell.tally.workers, 3);
+    assert_eq!(bed.cell.stats.crashed_workers, 3);
     let entry = &bed.cell.jobs[&1];
-    let crashes = entry.crashed().flat_map(|(_, task)| &task.crashes);
+    let crashes = entry.crashed_tasks().flat_map(|(_, task)| &task.crashes);
     let told: Vec<String> = crashes.map(|crash| crash.evidence.to_string()).collect();
     assert_eq!(told, ["others crashed in the same moment"; 3]);
 }
--- a/lib/tests/test_commit.rs
+++ b/lib/tests/test_commit.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use spokelift_lib::batch::commit::Pace;
+use spokelift_lib::batch::commit::StoreHealth;
 use spokelift_lib::transport::clock;
 
 const SECOND: Duration = Duration::from_secs(1);
 
 /// The pace after appends that took a second each, or failed after one.
-fn after(start: Instant, appends: &[bool]) -> Pace {
-    let mut pace = Pace::default();
+fn after(start: Instant, appends: &[bool]) -> StoreHealth {
+    let mut pace = StoreHealth::default();
     for (number, is_done) in appends.iter().enumerate() {
-        pace.begin(start + SECOND * number as u32);
-        pace.end(start + SECOND * (number as u32 + 1), *is_done);
+        pace.start_append(start + SECOND * number as u32);
+        pace.finish_append(start + SECOND * (number as u32 + 1), *is_done);
     }
     pace
 }
@@ -22,33 +22,33 @@
 fn a_job_waits_for_the_append_under_way_and_its_own() {
     let start = clock::now();
     let mut pace = after(start, &[true]);
-    assert_eq!(pace.wait(start + SECOND), SECOND);
-    pace.begin(start + SECOND);
-    assert_eq!(pace.wait(start + SECOND), SECOND * 2);
-    assert_eq!(pace.wait(start + SECOND.mul_f64(1.5)), SECOND.mul_f64(1.5));
+    assert_eq!(pace.expected_wait(start + SECOND), SECOND);
+    pace.start_append(start + SECOND);
+    assert_eq!(pace.expected_wait(start + SECOND), SECOND * 2);
+    assert_eq!(pace.expected_wait(start + SECOND.mul_f64(1.5)), SECOND.mul_f64(1.5));
 }
 
 #[test]
 fn a_pace_that_is_old_or_failed_refuses_nobody() {
     let start = clock::now();
-    assert_eq!(after(start, &[true]).wait(start + SECOND * 3), Duration::ZERO);
-    assert_eq!(after(start, &[true, false]).wait(start + SECOND * 2), Duration::ZERO);
+    assert_eq!(after(start, &[true]).expected_wait(start + SECOND * 3), Duration::ZERO);
+    assert_eq!(after(start, &[true, false]).expected_wait(start + SECOND * 2), Duration::ZERO);
 }
 
 #[test]
 fn an_outage_lasts_from_its_first_failure_to_the_next_append_that_is_done() {
     let start = clock::now();
-    assert_eq!(after(start, &[true]).away(start + SECOND), None);
+    assert_eq!(after(start, &[true]).outage_duration(start + SECOND), None);
     let pace = after(start, &[true, false, false]);
-    assert_eq!(pace.away(start + SECOND * 3), Some(SECOND));
-    assert_eq!(after(start, &[false, true]).away(start + SECOND * 2), None);
+    assert_eq!(pace.outage_duration(start + SECOND * 3), Some(SECOND));
+    assert_eq!(after(start, &[false, true]).outage_duration(start + SECOND * 2), None);
 }
 
 #[test]
 fn clients_come_back_after_about_as_long_as_the_store_has_been_away() {
     let start = clock::now();
     let pace = after(start, &[false]);
-    let come_back = |seconds: f64| pace.come_back(start + SECOND + SECOND.mul_f64(seconds));
+    let come_back = |seconds: f64| pace.retry_after(start + SECOND + SECOND.mul_f64(seconds));
     assert_eq!(come_back(0.1), Duration::from_millis(800));
     assert_eq!(come_back(2.0), SECOND * 2);
     assert_eq!(come_back(60.0), Duration::from_millis(2_500));
--- a/lib/tests/test_crash.rs
+++ b/lib/tests/test_crash.rs
@@ -20,9 +20,9 @@
 use spokelift_platform::job::TaskName;
 use spokelift_platform::worker::Entry;
 use spokelift_platform::worker::Peer;
+use spokelift_platform::worker::PollResponse;
 use spokelift_platform::worker::Run;
 use spokelift_platform::worker::Running;
-use spokelift_platform::worker::Seen;
 use spokelift_testutils::batch::accepted;
 use spokelift_testutils::batch::addr;
 use spokelift_testutils::batch::entry;
@@ -36,7 +36,7 @@
 }
 
 fn task(job: JobId, step: u16, index: u32) -> TaskName {
-    TaskName { job, time: 0, step, index }
+    TaskName { job, repetition: 0, step, index }
 }
 
 /// A scheduler's state, and what its workers run.
@@ -84,8 +84,8 @@
         self.count += 1;
         let id = format!("w{}", self.count);
         self.lives.insert(machine.to_owned(), id.clone());
-        self.cell.meet(
-            Peer { life: id.clone().into(), addr: addr() },
+        self.cell.discover(
+            Peer { incarnation: id.clone().into(), addr: addr() },
             entry(machine, 8_000),
             self.now,
         );
@@ -103,9 +103,13 @@
             percent: 100,
             figure: 0,
         });
-        let seen =
-            Seen { clock: self.clock, running: running.collect(), ended: Vec::new(), born: None };
-        self.cell.on_look(&id.into(), sent, self.now, seen);
+        let seen = PollResponse {
+            clock: self.clock,
+            running: running.collect(),
+            ended: Vec::new(),
+            birth_ms: None,
+        };
+        self.cell.on_poll(&id.into(), sent, self.now, seen);
     }
 
     fn look_at_all(&mut self) {
@@ -124,14 +128,14 @@
 
     /// Starts what can be started; every start is answered.
     fn start(&mut self) -> Vec<(String, TaskName)> {
-        self.cell.place(self.now, Duration::from_secs(1));
+        self.cell.place_ready(self.now, Duration::from_secs(1));
         let mut started = Vec::new();
         for order in std::mem::take(&mut self.cell.outbox) {
             if let Order::Start { peer, task, run, .. } = order {
-                self.cell.on_started(&peer.life, task, run, self.now);
-                self.running.push((peer.life.to_string(), task, run));
+                self.cell.on_started(&peer.incarnation, task, run, self.now);
+                self.running.push((peer.incarnation.to_string(), task, run));
                 *self.starts.entry(task).or_default() += 1;
-                started.push((peer.life.to_string(), task));
+                started.push((peer.incarnation.to_string(), task));
             }
         }
         started
@@ -146,7 +150,7 @@
     fn crash(&mut self, id: &str) {
         let machine = self.box_of(id);
         self.running.retain(|(worker, ..)| worker != id);
-        self.cell.on_miss(&id.into());
+        self.cell.on_failed_poll(&id.into());
         self.pass(Duration::from_millis(2_000));
         let next = self.live(&machine);
         self.look(&next);
@@ -174,7 +178,7 @@
 
     /// Evidence of each crash under a task.
     fn evidence(&mut self, name: TaskName) -> Vec<Evidence> {
-        let task = self.cell.jobs.get_mut(&name.job).unwrap().task(name).unwrap();
+        let task = self.cell.jobs.get_mut(&name.job).unwrap().task_mut(name).unwrap();
         task.crashes.iter().map(|crash| crash.evidence).collect()
     }
 
@@ -220,7 +224,7 @@
         bed.flush();
         let started = bed.start();
         for (worker, _) in &started {
-            bed.cell.on_miss(&worker.as_str().into());
+            bed.cell.on_failed_poll(&worker.as_str().into());
         }
         for (worker, _) in started {
             bed.crash(&worker);
@@ -230,7 +234,7 @@
     }
     for name in guilty {
         assert_eq!(bed.state(name.job), Some(JobState::Failed));
-        assert_eq!(bed.evidence(name)[0], Evidence::Shared);
+        assert_eq!(bed.evidence(name)[0], Evidence::Correlated);
         assert_eq!(bed.starts[&name], 3);
     }
 }
@@ -334,8 +338,8 @@
     let mut bed = Bed::new(2);
     bed.cell.admit(1, accepted(vec![step(1)]), None);
     let (worker, _) = bed.start().remove(0);
-    bed.cell.on_miss(&worker.as_str().into());
-    bed.cell.lapse(&worker.as_str().into());
+    bed.cell.on_failed_poll(&worker.as_str().into());
+    bed.cell.expire_runs(&worker.as_str().into());
     assert_eq!(bed.evidence(task(1, 0, 0)), []);
     // The same life answers again.
     bed.running.clear();
@@ -350,18 +354,18 @@
     let mut bed = Bed::new(2);
     bed.cell.admit(1, accepted(vec![step(1)]), None);
     let (worker, _) = bed.start().remove(0);
-    bed.cell.on_miss(&worker.as_str().into());
-    bed.cell.lapse(&worker.as_str().into());
+    bed.cell.on_failed_poll(&worker.as_str().into());
+    bed.cell.expire_runs(&worker.as_str().into());
     bed.crash(&worker);
-    assert_eq!(bed.evidence(task(1, 0, 0)), [Evidence::Alone]);
+    assert_eq!(bed.evidence(task(1, 0, 0)), [Evidence::OnlyRecent]);
 
     // The same where the store has let go of its entry by then.
     bed.pass(Duration::from_millis(1_100));
     let (worker, _) = bed.start().remove(0);
     let machine = bed.box_of(&worker);
-    bed.cell.on_miss(&worker.as_str().into());
-    bed.cell.unlist(&worker, None);
-    bed.cell.remove_silent(&worker.as_str().into());
+    bed.cell.on_failed_poll(&worker.as_str().into());
+    bed.cell.mark_unlisted(&worker, None);
+    bed.cell.remove_unresponsive(&worker.as_str().into());
     bed.running.clear();
     bed.pass(Duration::from_millis(3_000));
     let next = bed.live(&machine);
@@ -377,7 +381,7 @@
         let (worker, _) = bed.start().remove(0);
         let machine = bed.box_of(&worker);
         match why {
-            "moved" => bed.cell.end_lives_elsewhere(&machine, "other"),
+            "moved" => bed.cell.end_incarnations_elsewhere(&machine, "other"),
             "cordoned" => {
                 bed.cell.workers.get_mut(&worker.as_str().into()).unwrap().cordoned = true;
                 bed.crash(&worker);
@@ -385,8 +389,8 @@
             _ => {
                 let entry = bed.cell.workers[worker.as_str()].entry.clone();
                 let entry = Entry { draining: true, ..entry };
-                let peer = Peer { life: worker.clone().into(), addr: addr() };
-                bed.cell.meet(peer, entry, bed.now);
+                let peer = Peer { incarnation: worker.clone().into(), addr: addr() };
+                bed.cell.discover(peer, entry, bed.now);
                 bed.crash(&worker);
             }
         }
@@ -400,12 +404,12 @@
     bed.cell.admit(1, accepted(vec![step(1)]), None);
     for number in 1..=3 {
         bed.flush();
-        bed.cell.place(bed.now, Duration::from_secs(1));
+        bed.cell.place_ready(bed.now, Duration::from_secs(1));
         bed.cell.outbox.clear();
         let worker = bed.lives["m0"].clone();
         bed.crash(&worker);
         bed.pass(Duration::from_millis(1_100));
-        assert_eq!(bed.evidence(task(1, 0, 0)), vec![Evidence::Unsure; number]);
+        assert_eq!(bed.evidence(task(1, 0, 0)), vec![Evidence::Uncertain; number]);
         assert_eq!(bed.state(1), None, "it may never have been there");
     }
 }
@@ -470,7 +474,7 @@
     let mut first = Bed::new(2);
     first.cell.admit(1, accepted(vec![step(1)]), None);
     let (silent, _) = first.start().remove(0);
-    first.cell.on_miss(&silent.as_str().into());
+    first.cell.on_failed_poll(&silent.as_str().into());
     let flush = first.cell.take_flush();
     let records = flush.records.iter().map(|record| ProgressRecord::decode(record).unwrap());
     let mut known = records.filter_map(|record| match record {
@@ -481,25 +485,29 @@
 
     let mut second = Bed::of(10, 1);
     second.cell.admit(1, accepted(vec![step(1)]), Some(&Progress::default()));
-    second.cell.meet_known(silent.as_str().into(), known.clone(), second.now);
+    second.cell.restore_worker(silent.as_str().into(), known.clone(), second.now);
     let entry = second.cell.workers["w11"].entry.clone();
     let entry = Entry { machine: known.machine.clone(), ..entry };
-    second.cell.meet(Peer { life: silent.clone().into(), addr: addr() }, entry, second.now);
+    second.cell.discover(
+        Peer { incarnation: silent.clone().into(), addr: addr() },
+        entry,
+        second.now,
+    );
     second.pass(Duration::from_millis(2_000));
     let next = second.live(&known.machine.unwrap());
     second.look(&next);
-    assert_eq!(second.evidence(task(1, 0, 0)), [Evidence::Unsure]);
+    assert_eq!(second.evidence(task(1, 0, 0)), [Evidence::Uncertain]);
 }
 
 #[test]
 fn the_record_of_crashes_is_let_go_of_with_its_job() {
     let mut bed = Bed::new(2);
     bed.cell.admit(1, accepted(vec![step(1)]), None);
-    bed.cell.note_kept(JobKey { id: 1, account: None }, 0);
+    bed.cell.record_kept(JobKey { id: 1, account: None }, 0);
     let (worker, _) = bed.start().remove(0);
     bed.crash(&worker);
     assert!(!bed.crashes_in_store().is_empty());
-    bed.cell.let_go(1);
+    bed.cell.forget_job(1);
     let flush = bed.cell.take_flush();
     let gone = record::forget_crashes(1);
     assert!(flush.records.contains(&gone));
@@ -507,7 +515,7 @@
 
 #[test]
 fn a_record_of_progress_of_before_crashes_were_counted_is_still_read() {
-    let progress = Progress { begun: true, ..Progress::default() };
+    let progress = Progress { started: true, ..Progress::default() };
     let record = record::progress(7, &progress);
     // End, begun, done and failed, a byte each.
     assert_eq!(record.value.as_deref(), Some([0, 1, 0, 0].as_slice()));
--- a/lib/tests/test_demand.rs
+++ b/lib/tests/test_demand.rs
@@ -40,7 +40,7 @@
     let gap = Duration::from_secs(1) / per_s;
     let count = (time.as_secs_f64() * f64::from(per_s)) as u32;
     for number in 0..count {
-        demand.arrived(&entry(), from + gap * number);
+        demand.record_arrival(&entry(), from + gap * number);
     }
     from + time
 }
--- a/lib/tests/test_encoding.rs
+++ b/lib/tests/test_encoding.rs
@@ -12,28 +12,28 @@
 use serde::Serialize;
 use serde_json::json;
 use spokelift_lib::batch::caller::Caller;
-use spokelift_lib::batch::carry::message::Command;
-use spokelift_lib::batch::carry::message::Event;
-use spokelift_lib::batch::carry::message::Start;
-use spokelift_lib::batch::carry::remote::Errand;
-use spokelift_lib::batch::carry::remote::Report;
-use spokelift_lib::batch::carry::remote::Session;
 use spokelift_lib::batch::config::Config;
 use spokelift_lib::batch::crash::Crash;
 use spokelift_lib::batch::crash::Evidence;
-use spokelift_lib::batch::lead::Lead;
+use spokelift_lib::batch::dispatch::message::Command;
+use spokelift_lib::batch::dispatch::message::Event;
+use spokelift_lib::batch::dispatch::message::Start;
+use spokelift_lib::batch::dispatch::remote::Commands;
+use spokelift_lib::batch::dispatch::remote::Report;
+use spokelift_lib::batch::dispatch::remote::Session;
+use spokelift_lib::batch::leader::LeaderLease;
+use spokelift_lib::batch::order_window::HeldBoxes;
 use spokelift_lib::batch::peer::Reply;
 use spokelift_lib::batch::peer::Request;
 use spokelift_lib::batch::record;
 use spokelift_lib::batch::record::Accepted;
 use spokelift_lib::batch::record::JobKey;
-use spokelift_lib::batch::record::Known;
 use spokelift_lib::batch::record::Progress;
+use spokelift_lib::batch::record::StoredWorker;
 use spokelift_lib::batch::relay;
-use spokelift_lib::batch::turn::Resting;
 use spokelift_lib::batch::view;
-use spokelift_lib::batch::worker::Closed;
-use spokelift_lib::batch::worker::Lack;
+use spokelift_lib::batch::worker::Shortage;
+use spokelift_lib::batch::worker::Unschedulable;
 use spokelift_lib::protocol::catch_up;
 use spokelift_lib::protocol::wire;
 use spokelift_lib::state::fleet;
@@ -54,12 +54,12 @@
 use spokelift_platform::store::Producer;
 use spokelift_platform::store::Record;
 use spokelift_platform::worker::End;
-use spokelift_platform::worker::Life;
+use spokelift_platform::worker::Incarnation;
 use spokelift_platform::worker::Outcome;
 use spokelift_platform::worker::Peer;
+use spokelift_platform::worker::PollResponse;
 use spokelift_platform::worker::Refusal;
 use spokelift_platform::worker::Running;
-use spokelift_platform::worker::Seen;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::published;
 
@@ -92,11 +92,11 @@
 }
 
 fn task() -> TaskName {
-    TaskName { job: 0x5c0e, time: 1, step: 2, index: 3 }
+    TaskName { job: 0x5c0e, repetition: 1, step: 2, index: 3 }
 }
 
-fn life() -> Life {
-    Life::new("i-1", Some(77))
+fn life() -> Incarnation {
+    Incarnation::new("i-1", Some(77))
 }
 
 fn step() -> Step {
@@ -117,8 +117,8 @@
         long_running: true,
         image: Some("img".to_owned()),
         tail_limit_ms: 40,
-        fills: true,
-        may_miss: Some(1),
+        best_effort: true,
+        max_unavailable: Some(1),
     }
 }
 
@@ -126,14 +126,14 @@
     Accepted { account: Some("clinics".into()), ..batch::accepted(vec![step()]) }
 }
 
-fn seen() -> Seen {
+fn seen() -> PollResponse {
     let running =
         Running { task: task(), run: 9, checkpoint: "c".to_owned(), percent: 40, figure: 12 };
     let outcomes = [
         Outcome::Done,
         Outcome::Failed,
         Outcome::Stopped,
-        Outcome::Lapsed,
+        Outcome::Expired,
         Outcome::Broken,
         Outcome::Alone,
     ];
@@ -144,7 +144,12 @@
         outcome,
         checkpoint: String::new(),
     });
-    Seen { clock: 1_000, running: vec![running], ended: ended.collect(), born: Some(77) }
+    PollResponse {
+        clock: 1_000,
+        running: vec![running],
+        ended: ended.collect(),
+        birth_ms: Some(77),
+    }
 }
 
 fn stored(lines: &mut Lines) {
@@ -152,7 +157,7 @@
     let anyone = Caller::Anyone { queue: "q".to_owned() };
     lines.record("accepted", &record::accepted(key.id, &accepted()));
     lines.record("cancel", &record::cancel(key.id, &Caller::Account("clinics".into())));
-    lines.record("cancel-site", &record::cancel(key.id, &Caller::Site));
+    lines.record("cancel-site", &record::cancel(key.id, &Caller::Operator));
     lines.record("cancel-anyone", &record::cancel(key.id, &anyone));
     lines.record("forget-job", &record::forget_job(&key));
     for dropped in record::forget_cancel(&key) {
@@ -162,44 +167,49 @@
     for end in [None, Some(JobState::Succeeded)] {
         let progress = Progress {
             end,
-            begun: true,
+            started: true,
             done: vec![(1, 2, vec![5, 1])],
             failed: vec![(place, vec![7, 8])],
         };
         lines.record("progress", &record::progress(key.id, &progress));
     }
     lines.record("forget-progress", &record::forget_progress(key.id));
-    let evidence =
-        [Evidence::Alone, Evidence::Among, Evidence::Unsure, Evidence::Earlier, Evidence::Shared];
+    let evidence = [
+        Evidence::OnlyRecent,
+        Evidence::AmongRecent,
+        Evidence::Uncertain,
+        Evidence::NotRecent,
+        Evidence::Correlated,
+    ];
     let crashes = evidence.map(|evidence| Crash { worker: life(), evidence }).to_vec();
     lines.record("crashes", &record::crashes(key.id, &vec![(place, crashes)]));
     lines.record("forget-crashes", &record::forget_crashes(key.id));
-    let known = Known {
+    let known = StoredWorker {
         addr: addr(),
         service: "work".to_owned(),
         machine: Some("m-1".to_owned()),
-        silent_with: Some(vec![(key.id, place)]),
+        unresponsive_with: Some(vec![(key.id, place)]),
     };
     lines.record("worker", &record::worker(&life(), &known));
-    lines.record("worker-without-birth", &record::worker(&Life::from("i-2"), &known));
+    lines.record("worker-without-birth", &record::worker(&Incarnation::from("i-2"), &known));
     lines.record("forget-worker", &record::forget_worker(&life()));
-    lines.record("unheard", &record::unheard(&life(), Duration::from_millis(1_500)));
-    lines.record("forget-unheard", &record::forget_unheard(&life()));
-    lines.record("gone", &record::gone(&life()));
-    lines.record("forget-gone", &record::forget_gone(&life()));
+    lines.record("unheard", &record::unreachable(&life(), Duration::from_millis(1_500)));
+    lines.record("forget-unheard", &record::forget_unreachable(&life()));
+    lines.record("gone", &record::ended(&life()));
+    lines.record("forget-gone", &record::forget_ended(&life()));
     lines.record("wave", &record::wave(3, &["m-1".to_owned(), "m-2".to_owned()]));
     lines.record("forget-wave", &record::forget_wave(3));
     lines.record("wave-seen", &record::wave_seen(3, Duration::new(5, 7)));
     lines.record("forget-wave-seen", &record::forget_wave_seen(3));
     lines.record("ordered", &record::ordered(&HashSet::from(["m-1".to_owned()])));
-    for resting in [Resting::Every, Resting::These(HashSet::from(["m-1".to_owned()]))] {
-        let lead = Lead {
+    for resting in [HeldBoxes::All, HeldBoxes::Only(HashSet::from(["m-1".to_owned()]))] {
+        let lead = LeaderLease {
             node: "n-1".to_owned(),
-            life: 5,
+            incarnation: 5,
             addr: addr(),
             released: true,
             renewals: 2,
-            resting,
+            held_boxes: resting,
         };
         lines.postcard("lead", &lead);
     }
@@ -214,15 +224,15 @@
         ticket: "t".to_owned(),
     };
     vec![
-        Command::Take {
+        Command::AddWorker {
             number: 4,
-            peer: Peer { life: life(), addr: addr() },
+            peer: Peer { incarnation: life(), addr: addr() },
             durable: 6,
             token: 1 << 20,
             grants: true,
         },
-        Command::Leave { number: 4 },
-        Command::Durable { number: 4, end: 6 },
+        Command::RemoveWorker { number: 4 },
+        Command::AcknowledgeEnds { number: 4, end: 6 },
         Command::Grant { number: 4 },
         Command::Watch { number: 4, closely: true },
         Command::Start { spec: "x".to_owned(), starts: vec![start] },
@@ -234,15 +244,15 @@
 
 fn events() -> Vec<Event> {
     let mut events = vec![
-        Event::Seen { number: 4, sent: 10, at: 20, lease_until: 5_500, seen: seen() },
-        Event::Missed { number: 4, lease_until: 5_500 },
+        Event::Polled { number: 4, sent: 10, at: 20, lease_until: 5_500, seen: seen() },
+        Event::PollFailed { number: 4, lease_until: 5_500 },
         Event::Fenced { number: 4, token: 1 << 20 },
         Event::OtherId { number: 4 },
-        Event::OtherLife { number: 4, born: 77 },
-        Event::OffClock { number: 4 },
+        Event::OtherIncarnation { number: 4, born: 77 },
+        Event::ClockMismatch { number: 4 },
         Event::Started { number: 4, task: task(), run: 9, at: 30 },
         Event::NotStarted { number: 4, task: task(), run: 9, why: None },
-        Event::Unanswered { number: 4, task: task(), run: 9 },
+        Event::StartUnanswered { number: 4, task: task(), run: 9 },
         Event::Stopped { number: 4, task: task(), run: 9, at: 30 },
     ];
     let refusals = [
@@ -270,17 +280,17 @@
 }
 
 fn between_nodes(lines: &mut Lines) {
-    let session = Session { token: 1 << 20, share: 2 };
+    let session = Session { token: 1 << 20, shard: 2 };
     let partition = Partition { topic: "keyed.jobs".to_owned(), number: 3 };
     let kept = vec![Record::set("k", *b"v"), Record::drop_key("d")];
     let producer = Producer { name: "n-1".to_owned(), epoch: 2, sequence: 3 };
     let append =
         |guard| relay::Call::Append { partition: partition.clone(), records: kept.clone(), guard };
-    let errand = Errand { scheduler: addr(), session, sequence: 1, commands: commands() };
+    let errand = Commands { scheduler: addr(), session, sequence: 1, commands: commands() };
     let report = Report { session, sequence: 1, made_at: 40, late_ms: 2, events: events() };
     let requests = [
         Request::Submitted(0x5c0e, Box::new(accepted())),
-        Request::State(0x5c0e, Caller::Site),
+        Request::State(0x5c0e, Caller::Operator),
         Request::Cancel(0x5c0e, Caller::Account("clinics".into())),
         Request::Pending("q".to_owned(), Caller::Anyone { queue: "q".to_owned() }),
         Request::Relay(append(Guard::None)),
@@ -292,7 +302,7 @@
             long_poll: Duration::from_millis(300),
         }),
         Request::Relay(relay::Call::Newest { partition }),
-        Request::Carry(Box::new(errand)),
+        Request::Dispatch(Box::new(errand)),
         Request::Report(Box::new(report)),
         Request::Newer { version: 3, from: addr() },
         Request::Config(3),
@@ -318,12 +328,12 @@
         Reply::Relayed(relay::Answer::Page(Page { end: 10, first: 2, records: kept.clone() })),
         Reply::Relayed(relay::Answer::Newest(Newest { records: kept, end: 10 })),
         Reply::Relayed(refused),
-        Reply::Relayed(relay::Answer::Away),
+        Reply::Relayed(relay::Answer::Unavailable),
         Reply::Relayed(relay::Answer::Unknown),
         Reply::Config(None),
         Reply::Config(Some(Box::new(config()))),
         Reply::View(Some("{}".to_owned())),
-        Reply::Occupied,
+        Reply::IdInUse,
         Reply::NotReady,
     ];
     replies.extend(states.map(|state| Reply::State(Some(state))));
@@ -511,7 +521,7 @@
             service: "work".to_owned(),
             runs: 2,
             free: 0.5,
-            closed: Some(Closed::Cordoned.to_string()),
+            closed: Some(Unschedulable::Cordoned.to_string()),
         },
     );
     let crash = |evidence| Crash { worker: life(), evidence };
@@ -533,14 +543,14 @@
             }],
             crashed: vec![view::Crashed {
                 place: (1, 2, 3),
-                crashes: vec![crash(Evidence::Alone), crash(Evidence::Shared)],
+                crashes: vec![crash(Evidence::OnlyRecent), crash(Evidence::Correlated)],
                 given_up: true,
             }],
         },
     );
     let wave = view::Wave { number: 3, machines: 9, begun: 4, max_down: 2, over: false };
     lines.json("wave", &wave);
-    lines.json("share", &view::Share { number: 1, carrier: Some(addr()), workers: 5 });
+    lines.json("share", &view::Shard { number: 1, dispatcher: Some(addr()), workers: 5 });
     lines.json("submitted", &view::Submitted { id: "5c0e".to_owned() });
     lines.json("cancelled", &view::Cancelled { state: Some(JobState::Canceled) });
     let account = view::account::Account {
@@ -557,19 +567,19 @@
     let accounts = view::account::Accounts { version: 3, accounts: vec![account] };
     lines.json("accounts", &accounts);
     let closed = [
-        Closed::NotAsked,
-        Closed::NotListed,
-        Closed::HandedOver,
-        Closed::Unusable,
-        Closed::Draining,
-        Closed::Unfenced,
-        Closed::Cordoned,
-        Closed::Silent,
-        Closed::Resting,
-        Closed::Quarantined,
+        Unschedulable::Unpolled,
+        Unschedulable::NotListed,
+        Unschedulable::HandedOver,
+        Unschedulable::InvalidEntry,
+        Unschedulable::Draining,
+        Unschedulable::FencingUncertain,
+        Unschedulable::Cordoned,
+        Unschedulable::Unresponsive,
+        Unschedulable::BackingOff,
+        Unschedulable::Quarantined,
     ];
     lines.json("closed", &closed.map(|closed| closed.to_string()));
-    let lack = [Lack::Unknown, Lack::Processor, Lack::Memory, Lack::Accelerator];
+    let lack = [Shortage::Unknown, Shortage::Processor, Shortage::Memory, Shortage::Accelerator];
     lines.json("lack", &lack.map(|lack| lack.to_string()));
 }
 
