--- a/lib/tests/test_lives.rs
+++ b/lib/tests/test_lives.rs
@@ -12,24 +12,24 @@
 use spokelift_lib::batch::cell::Order;
 use spokelift_lib::batch::record::Progress;
 use spokelift_lib::batch::record::ProgressRecord;
-use spokelift_lib::batch::worker::LEASE;
-use spokelift_lib::batch::worker::is_off_clock;
-use spokelift_lib::batch::worker::token;
+use spokelift_lib::batch::worker::WORKER_LEASE;
+use spokelift_lib::batch::worker::compose_token;
+use spokelift_lib::batch::worker::is_clock_discontinuous;
 use spokelift_lib::transport::clock;
 use spokelift_platform::job::JobId;
 use spokelift_platform::job::Step;
 use spokelift_platform::job::TaskName;
 use spokelift_platform::machine::Machine;
 use spokelift_platform::machine::Status;
-use spokelift_platform::worker::Born;
+use spokelift_platform::worker::BirthMs;
 use spokelift_platform::worker::End;
 use spokelift_platform::worker::Entry;
-use spokelift_platform::worker::Life;
+use spokelift_platform::worker::Incarnation;
 use spokelift_platform::worker::Outcome;
 use spokelift_platform::worker::Peer;
+use spokelift_platform::worker::PollResponse;
 use spokelift_platform::worker::Run;
 use spokelift_platform::worker::Running;
-use spokelift_platform::worker::Seen;
 use spokelift_platform::worker::Token;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::accepted;
@@ -46,31 +46,31 @@
     Step { count, cpu: 1_000, memory_mb: 100, estimate_ms: 500, ..Step::default() }
 }
 
-fn peer(id: &str, born: Born) -> Peer {
-    Peer { life: Life::new(id, Some(born)), addr: addr() }
+fn peer(id: &str, born: BirthMs) -> Peer {
+    Peer { incarnation: Incarnation::new(id, Some(born)), addr: addr() }
 }
 
-fn entry(machine: &str, born: Born) -> Entry {
-    Entry { born: Some(born), ..batch::entry(machine, 4_000) }
+fn entry(machine: &str, born: BirthMs) -> Entry {
+    Entry { birth_ms: Some(born), ..batch::entry(machine, 4_000) }
 }
 
 /// What a worker that runs nothing says.
-fn idle(clock: u64, born: Born) -> Seen {
-    Seen { clock, running: Vec::new(), ended: Vec::new(), born: Some(born) }
+fn idle(clock: u64, born: BirthMs) -> PollResponse {
+    PollResponse { clock, running: Vec::new(), ended: Vec::new(), birth_ms: Some(born) }
 }
 
 /// A scheduler that knows one worker by two lives, the second of which has not answered; its first task runs on the first.
 fn with_two_lives() -> (Cell, Instant, TaskName) {
     let now = clock::now();
     let mut cell = Cell::new(TOKEN);
-    cell.meet(peer("w", 5), entry("m", 5), now);
-    cell.on_look(&Life::new("w", Some(5)), now, now, idle(9_000, 5));
+    cell.discover(peer("w", 5), entry("m", 5), now);
+    cell.on_poll(&Incarnation::new("w", Some(5)), now, now, idle(9_000, 5));
     cell.admit(1, accepted(vec![step(1)]), None);
-    cell.place(now, Duration::from_secs(1));
+    cell.place_ready(now, Duration::from_secs(1));
     let Some(Order::Start { task, run, .. }) = cell.outbox.pop() else { panic!("no start") };
-    cell.on_started(&Life::new("w", Some(5)), task, run, now);
+    cell.on_started(&Incarnation::new("w", Some(5)), task, run, now);
     let later = now + Duration::from_millis(10);
-    cell.meet(peer("w", 3), entry("m", 3), later);
+    cell.discover(peer("w", 3), entry("m", 3), later);
     (cell, later, task)
 }
 
@@ -78,35 +78,35 @@
 fn a_life_that_is_new_by_its_entry_takes_nothing_before_it_answers() {
     let (cell, _, task) = with_two_lives();
     let lives: Vec<String> =
-        cell.workers.lives("w").map(|life| life.peer.life.to_string()).collect();
+        cell.workers.incarnations("w").map(|life| life.peer.incarnation.to_string()).collect();
     assert_eq!(lives, ["w@5", "w@3"]);
-    assert!(cell.workers[&Life::new("w", Some(5))].slots.contains_key(&task));
+    assert!(cell.workers[&Incarnation::new("w", Some(5))].allocations.contains_key(&task));
 }
 
 #[test]
 fn the_life_that_answers_ends_the_one_before_whatever_its_birth() {
     let (mut cell, now, task) = with_two_lives();
-    let (first, second) = (Life::new("w", Some(5)), Life::new("w", Some(3)));
-    cell.on_look(&second, now, now, idle(10, 3));
+    let (first, second) = (Incarnation::new("w", Some(5)), Incarnation::new("w", Some(3)));
+    cell.on_poll(&second, now, now, idle(10, 3));
     assert!(!cell.workers.contains_key(&first));
     // An old entry that is read late brings nothing back.
-    assert!(!cell.meet(peer("w", 5), entry("m", 5), now));
-    cell.place(now, Duration::from_secs(1));
+    assert!(!cell.discover(peer("w", 5), entry("m", 5), now));
+    cell.place_ready(now, Duration::from_secs(1));
     let Some(Order::Start { peer, task: again, run, .. }) = cell.outbox.pop() else {
         panic!("no start")
     };
-    assert_eq!((peer.life, again), (second.clone(), task));
+    assert_eq!((peer.incarnation, again), (second.clone(), task));
     // The numbers of its ends and its clock count from its own beginning.
     let end = End { number: 1, task, run, outcome: Outcome::Done, checkpoint: String::new() };
-    cell.on_look(&second, now, now, Seen { ended: vec![end], ..idle(20, 3) });
+    cell.on_poll(&second, now, now, PollResponse { ended: vec![end], ..idle(20, 3) });
     assert!(cell.jobs[&1].end.is_some());
 }
 
 #[test]
 fn an_answer_to_a_look_sent_before_the_other_life_was_met_ends_nothing() {
     let (mut cell, now, _) = with_two_lives();
-    let (first, second) = (Life::new("w", Some(5)), Life::new("w", Some(3)));
-    cell.on_look(&first, now - Duration::from_millis(5), now, idle(9_500, 5));
+    let (first, second) = (Incarnation::new("w", Some(5)), Incarnation::new("w", Some(3)));
+    cell.on_poll(&first, now - Duration::from_millis(5), now, idle(9_500, 5));
     assert!(cell.workers.contains_key(&second));
 }
 
@@ -114,68 +114,71 @@
 fn a_life_that_answers_before_its_entry_has_come_takes_no_work() {
     let now = clock::now();
     let mut cell = Cell::new(TOKEN);
-    let (first, second) = (Life::new("w", Some(5)), Life::new("w", Some(6)));
-    cell.meet(peer("w", 5), entry("m", 5), now);
-    cell.on_look(&first, now, now, idle(9_000, 5));
-    cell.on_other_life(&first, 6, now);
+    let (first, second) = (Incarnation::new("w", Some(5)), Incarnation::new("w", Some(6)));
+    cell.discover(peer("w", 5), entry("m", 5), now);
+    cell.on_poll(&first, now, now, idle(9_000, 5));
+    cell.on_other_incarnation(&first, 6, now);
     let known = &cell.workers[&second];
-    assert!(!known.takes_work(now));
-    assert_eq!(cell.retaken, [known.number]);
+    assert!(!known.is_schedulable(now));
+    assert_eq!(cell.reassigned, [known.number]);
     let later = now + Duration::from_millis(10);
-    cell.on_look(&second, later, later, idle(1, 6));
+    cell.on_poll(&second, later, later, idle(1, 6));
     assert!(!cell.workers.contains_key(&first));
-    cell.meet(peer("w", 6), entry("m", 6), later);
-    assert!(cell.workers[&second].takes_work(later));
+    cell.discover(peer("w", 6), entry("m", 6), later);
+    assert!(cell.workers[&second].is_schedulable(later));
 }
 
 /// Until its first look had come, orders meant for the life before may have been carried out.
 #[test]
 fn a_later_life_that_falls_silent_may_hold_the_longest_lease() {
     let (mut cell, now, _) = with_two_lives();
-    let second = Life::new("w", Some(3));
-    cell.on_look(&second, now, now, idle(10, 3));
-    cell.on_miss(&second);
-    assert_eq!(cell.lapsed(now + Duration::from_millis(LONGEST_LEASE)), []);
-    assert_eq!(cell.lapsed(now + Duration::from_millis(LONGEST_LEASE + 400)), [(second, true)]);
+    let second = Incarnation::new("w", Some(3));
+    cell.on_poll(&second, now, now, idle(10, 3));
+    cell.on_failed_poll(&second);
+    assert_eq!(cell.expired_workers(now + Duration::from_millis(LONGEST_LEASE)), []);
+    assert_eq!(
+        cell.expired_workers(now + Duration::from_millis(LONGEST_LEASE + 400)),
+        [(second, true)]
+    );
 }
 
 #[test]
 fn a_token_of_its_own_does_not_end_a_scheduler() {
     let (mut cell, _, _) = with_two_lives();
-    let first = Life::new("w", Some(5));
+    let first = Incarnation::new("w", Some(5));
     let fence = cell.workers[&first].fence;
     // The later life has seen the token that this scheduler keeps for it.
-    cell.on_fenced(&first, token(TOKEN, fence));
-    assert!(!cell.fenced);
-    assert!(cell.workers[&first].fence > cell.workers[&Life::new("w", Some(3))].fence);
+    cell.on_fenced(&first, compose_token(TOKEN, fence));
+    assert!(!cell.is_fenced);
+    assert!(cell.workers[&first].fence > cell.workers[&Incarnation::new("w", Some(3))].fence);
     // A refusal of what was sent before says nothing any more; one of the highest token does.
-    cell.on_fenced(&first, token(TOKEN, fence));
-    assert!(!cell.fenced);
+    cell.on_fenced(&first, compose_token(TOKEN, fence));
+    assert!(!cell.is_fenced);
     let fence = cell.workers[&first].fence;
-    cell.on_fenced(&first, token(TOKEN, fence));
-    assert!(cell.fenced);
+    cell.on_fenced(&first, compose_token(TOKEN, fence));
+    assert!(cell.is_fenced);
 }
 
 #[test]
 fn an_entry_that_tells_no_birth_is_of_the_life_that_is_known() {
     let (mut cell, now, _) = with_two_lives();
-    let entry = Entry { born: None, draining: true, ..entry("m", 0) };
-    assert!(!cell.meet(Peer { life: "w".into(), addr: addr() }, entry, now));
-    assert!(cell.workers[&Life::new("w", Some(3))].entry.draining);
+    let entry = Entry { birth_ms: None, draining: true, ..entry("m", 0) };
+    assert!(!cell.discover(Peer { incarnation: "w".into(), addr: addr() }, entry, now));
+    assert!(cell.workers[&Incarnation::new("w", Some(3))].entry.draining);
 }
 
 #[test]
 fn a_record_of_before_lives_were_told_apart_is_read() {
-    let known = with_two_lives().0.workers["w"].known();
+    let known = with_two_lives().0.workers["w"].to_stored();
     let record = spokelift_lib::batch::record::worker(&"w".into(), &known);
     assert_eq!(record.key, "worker/w");
     let read = ProgressRecord::decode(&record).unwrap();
-    assert_eq!(read, ProgressRecord::Worker(Life::new("w", None), known));
+    assert_eq!(read, ProgressRecord::Worker(Incarnation::new("w", None), known));
 }
 
 /// A worker's process.
 struct Process {
-    born: Born,
+    born: BirthMs,
     /// What its clock stood at when it began, and when that was.
     clock: u64,
     began: Instant,
@@ -188,7 +191,7 @@
 }
 
 impl Process {
-    fn new(born: Born, clock: u64, began: Instant) -> Process {
+    fn new(born: BirthMs, clock: u64, began: Instant) -> Process {
         let (runs, barred, ended) = (BTreeMap::new(), HashMap::new(), Vec::new());
         Process { born, clock, began, fence: 0, lease: 0, runs, barred, ended, last_end: 0 }
     }
@@ -300,13 +303,13 @@
     /// Lists of boxes that were asked for, when, and have not arrived.
     lists: VecDeque<(Instant, Vec<Machine>)>,
     /// The birth of the life before on each worker.
-    before: Vec<Option<Born>>,
+    before: Vec<Option<BirthMs>>,
     late: Vec<Late>,
     jobs: JobId,
     sizes: HashMap<JobId, u32>,
     births: u64,
     /// Which life each life's connection leads to. One that breaks tells that there may be another.
-    connected: HashMap<Life, Born>,
+    connected: HashMap<Incarnation, BirthMs>,
     /// Ends that are done and acknowledged, and those that are done and were followed by another start.
     acked: HashMap<TaskName, u64>,
     faults: Vec<String>,
@@ -345,7 +348,7 @@
         let born = if is_old { self.before[worker] } else { Some(self.processes[worker].born) };
         let Some(born) = born else { return };
         let machine = format!("m{worker}");
-        self.cell.meet(peer(&name(worker), born), entry(&machine, born), self.now);
+        self.cell.discover(peer(&name(worker), born), entry(&machine, born), self.now);
     }
 
     fn start_again(&mut self, worker: usize, clock: u64, birth: u64) {
@@ -377,35 +380,40 @@
 
     fn take_list(&mut self) {
         if let Some((asked_at, list)) = self.lists.pop_front() {
-            self.cell.end_lives_by_list(&list, asked_at);
+            self.cell.end_incarnations_by_box_list(&list, asked_at);
         }
     }
 
     /// A look at a life reaches whoever lives under its id.
     fn look(&mut self, worker: usize, is_lost: bool) {
-        let lives: Vec<Life> =
-            self.cell.workers.lives(&name(worker)).map(|known| known.peer.life.clone()).collect();
+        let lives: Vec<Incarnation> = self
+            .cell
+            .workers
+            .incarnations(&name(worker))
+            .map(|known| known.peer.incarnation.clone())
+            .collect();
         for life in lives {
             self.now += Duration::from_millis(2);
             self.look_at(worker, &life, is_lost);
         }
     }
 
-    fn look_at(&mut self, worker: usize, life: &Life, is_lost: bool) {
+    fn look_at(&mut self, worker: usize, life: &Incarnation, is_lost: bool) {
         let Some(known) = self.cell.workers.get(life) else { return };
         if self.down[worker] {
-            return self.cell.on_miss(life);
+            return self.cell.on_failed_poll(life);
         }
         let born = self.processes[worker].born;
-        let is_same = self.connected.insert(life.clone(), born) == Some(born) && known.misses == 0;
-        let token = token(self.token, known.fence);
+        let is_same =
+            self.connected.insert(life.clone(), born) == Some(born) && known.failed_polls == 0;
+        let token = compose_token(self.token, known.fence);
         // Over a new connection, and after a look without an answer, nothing is acknowledged or granted.
-        let durable = if is_same { known.durable } else { 0 };
-        let lease = known.clock.filter(|_| is_same && known.granted);
+        let durable = if is_same { known.durable_end } else { 0 };
+        let lease = known.clock.filter(|_| is_same && known.renews_lease);
         let (now, sent) = (self.now, self.now - Duration::from_millis(1));
         let lease = lease.map(|(clock, told)| {
             let age = now.saturating_duration_since(told).as_millis() as u64;
-            clock + age + LEASE.as_millis() as u64
+            clock + age + WORKER_LEASE.as_millis() as u64
         });
         let process = &mut self.processes[worker];
         if !process.obeys(token) {
@@ -413,7 +421,7 @@
         }
         if let Some(lease) = lease {
             process.extend(lease, now);
-            self.cell.note_lease(life, lease);
+            self.cell.record_lease(life, lease);
         }
         for end in process.ended.extract_if(.., |end| end.number <= durable) {
             if end.outcome == Outcome::Done {
@@ -421,10 +429,10 @@
             }
         }
         if is_lost {
-            return self.cell.on_miss(life);
+            return self.cell.on_failed_poll(life);
         }
-        if !life.may_have_told(Some(process.born)) {
-            return self.cell.on_other_life(life, process.born, now);
+        if !life.may_have_reported(Some(process.born)) {
+            return self.cell.on_other_incarnation(life, process.born, now);
         }
         let running = process.runs.iter().map(|(task, run)| Running {
             task: *task,
@@ -434,8 +442,13 @@
             figure: 0,
         });
         let (clock, running) = (process.clock(now), running.collect());
-        let seen = Seen { clock, running, ended: process.ended.clone(), born: Some(process.born) };
-        self.cell.on_look(life, sent, now, seen);
+        let seen = PollResponse {
+            clock,
+            running,
+            ended: process.ended.clone(),
+            birth_ms: Some(process.born),
+        };
+        self.cell.on_poll(life, sent, now, seen);
     }
 
     fn work(&mut self, worker: usize) {
@@ -474,22 +487,22 @@
     fn place(&mut self, loses: Option<usize>) {
         // The store knows of a worker some milliseconds after it was met.
         self.flush();
-        self.cell.place(self.now, Duration::from_secs(1));
+        self.cell.place_ready(self.now, Duration::from_secs(1));
         self.carry_out(loses);
     }
 
     fn carry_out(&mut self, loses: Option<usize>) {
         while let Some(order) = self.cell.outbox.pop() {
-            let life = order.peer().life.clone();
+            let life = order.peer().incarnation.clone();
             let worker: usize = life.id[1..].parse().unwrap();
             let Some(known) = self.cell.workers.get(&life) else { continue };
-            let token = token(self.token, known.fence);
+            let token = compose_token(self.token, known.fence);
             match order {
                 Order::Start { task, run, .. } => {
                     let Some((clock, told)) = known.clock else { continue };
                     let age = self.now.saturating_duration_since(told).as_millis() as u64;
-                    let lease = clock + age + LEASE.as_millis() as u64;
-                    self.cell.note_lease(&life, lease);
+                    let lease = clock + age + WORKER_LEASE.as_millis() as u64;
+                    self.cell.record_lease(&life, lease);
                     let late = Late { worker, token, lease, task, run };
                     if self.down[worker] {
                         self.cell.on_unanswered(&life, task, run, self.now);
@@ -498,7 +511,7 @@
                         self.cell.on_unanswered(&life, task, run, self.now);
                     } else if self.start(&late) {
                         let shown = self.processes[worker].clock(self.now);
-                        if is_off_clock(clock, shown, self.now - told) {
+                        if is_clock_discontinuous(clock, shown, self.now - told) {
                             self.cell.on_off_clock(&life, self.now);
                         }
                         self.cell.on_started(&life, task, run, self.now);
@@ -535,8 +548,9 @@
             return;
         }
         let late = self.late.remove(0);
-        let life = Life::new(name(late.worker), Some(self.processes[late.worker].born));
-        if !self.down[late.worker] && self.cell.workers.get(&life).is_some_and(|known| known.fenced)
+        let life = Incarnation::new(name(late.worker), Some(self.processes[late.worker].born));
+        if !self.down[late.worker]
+            && self.cell.workers.get(&life).is_some_and(|known| known.has_token)
         {
             self.start(&late);
         }
@@ -553,14 +567,14 @@
             self.processes.iter_mut().filter(|process| process.lease < process.clock(now))
         {
             let tasks: Vec<TaskName> = process.runs.keys().copied().collect();
-            tasks.into_iter().for_each(|task| process.end(task, Outcome::Lapsed));
+            tasks.into_iter().for_each(|task| process.end(task, Outcome::Expired));
         }
         self.tick();
     }
 
     fn tick(&mut self) {
-        self.cell.let_lapse(self.now);
-        self.cell.stir();
+        self.cell.expire_due(self.now);
+        self.cell.request_placement();
     }
 
     /// Another node takes the lead, with what the store has.
@@ -571,21 +585,23 @@
         let mut unheard = Vec::new();
         for record in self.store.values() {
             match ProgressRecord::decode(record).unwrap() {
-                ProgressRecord::Worker(life, known) => self.cell.meet_known(life, known, self.now),
-                ProgressRecord::Gone(life) => self.cell.inherit_gone(life, self.now),
+                ProgressRecord::Worker(life, known) => {
+                    self.cell.restore_worker(life, known, self.now)
+                }
+                ProgressRecord::Ended(life) => self.cell.restore_ended(life, self.now),
                 ProgressRecord::Progress(job, told) => drop(progress.insert(job, told)),
-                ProgressRecord::Unheard(life, time) => unheard.push((life, time)),
+                ProgressRecord::Unreachable(life, time) => unheard.push((life, time)),
                 _ => {}
             }
         }
-        self.cell.restore_unheard(unheard);
+        self.cell.restore_unreachable(unheard);
         for (job, size) in self.sizes.clone() {
             let told = progress.remove(&job).unwrap_or_default();
             self.cell.admit(job, accepted(vec![step(size)]), Some(&told));
         }
         (0..WORKERS).for_each(|worker| self.entry(worker, false));
-        self.cell.unasked = self.cell.workers.keys().cloned().collect();
-        self.cell.known_from = Some(self.now);
+        self.cell.unpolled = self.cell.workers.keys().cloned().collect();
+        self.cell.known_everywhere_from = Some(self.now);
     }
 
     fn happen(&mut self, what: Happening) {
@@ -639,19 +655,22 @@
         let mut left: Vec<String> =
             waiting.map(|job| format!("job {} has not ended", job.id)).collect();
         for worker in self.cell.workers.values() {
-            let number: usize = worker.peer.life.id[1..].parse().unwrap();
-            if worker.peer.life.born != Some(self.processes[number].born) {
-                left.push(format!("{} is over and known", worker.peer.life));
+            let number: usize = worker.peer.incarnation.id[1..].parse().unwrap();
+            if worker.peer.incarnation.birth_ms != Some(self.processes[number].born) {
+                left.push(format!("{} is over and known", worker.peer.incarnation));
             }
-            if !worker.slots.is_empty() || worker.free != worker.entry.room {
-                left.push(format!("{} holds room for {:?}", worker.peer.life, worker.slots));
+            if !worker.allocations.is_empty() || worker.free != worker.entry.capacity {
+                left.push(format!(
+                    "{} holds room for {:?}",
+                    worker.peer.incarnation, worker.allocations
+                ));
             }
         }
-        if self.cell.workers.len() != WORKERS || self.cell.fenced {
+        if self.cell.workers.len() != WORKERS || self.cell.is_fenced {
             left.push(format!(
                 "{} workers known, fenced {}",
                 self.cell.workers.len(),
-                self.cell.fenced
+                self.cell.is_fenced
             ));
         }
         left
@@ -668,7 +687,7 @@
             let told = format!("{what:?}");
             play.happen(what);
             prop_assert_eq!(&play.faults, &Vec::<String>::new(), "after {}", told);
-            prop_assert!(!play.cell.fenced, "fenced after {}", told);
+            prop_assert!(!play.cell.is_fenced, "fenced after {}", told);
             prop_assert_eq!(play.cell.workers.faults(), Vec::<String>::new(), "after {}", told);
         }
         play.settle();
--- a/lib/tests/test_suspended.rs
+++ b/lib/tests/test_suspended.rs
@@ -5,14 +5,14 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
-use spokelift_lib::batch::carry::license::License;
 use spokelift_lib::batch::cell::Cell;
 use spokelift_lib::batch::cell::Order;
-use spokelift_lib::batch::turn::is_sole_holder;
+use spokelift_lib::batch::dispatch::lease::Lease;
+use spokelift_lib::batch::order_window::is_sole_leader;
 use spokelift_lib::transport::clock;
 use spokelift_platform::job::Step;
 use spokelift_platform::worker::Peer;
-use spokelift_platform::worker::Seen;
+use spokelift_platform::worker::PollResponse;
 use spokelift_testutils::batch::accepted;
 use spokelift_testutils::batch::addr;
 use spokelift_testutils::batch::entry;
@@ -47,18 +47,18 @@
 fn a_scheduler_that_wakes_is_not_sure_of_its_lead() {
     let _clock = lock();
     let renewed_at = clock::now();
-    assert!(is_sole_holder(Some(renewed_at), clock::now()));
+    assert!(is_sole_leader(Some(renewed_at), clock::now()));
     clock::pretend_suspended(AWAY);
-    assert!(!is_sole_holder(Some(renewed_at), clock::now()));
+    assert!(!is_sole_leader(Some(renewed_at), clock::now()));
 }
 
 #[test]
 fn a_carrier_that_wakes_has_no_license() {
     let _clock = lock();
-    let license = License::bounded();
+    let license = Lease::bounded();
     license.extend(clock::now());
     clock::pretend_suspended(AWAY);
-    assert!(!license.holds());
+    assert!(!license.is_valid());
 }
 
 /// A later scheduler has asked every worker that it read of, but not this one, which would take a start of the
@@ -69,17 +69,22 @@
     let mut cell = Cell::new(10);
     cell.renewed_at = Some(clock::now());
     clock::pretend_suspended(AWAY);
-    cell.meet(Peer { life: "w0".into(), addr: addr() }, entry("m0", 4_000), clock::now());
-    let seen = Seen { clock: 1_000, running: Vec::new(), ended: Vec::new(), born: None };
-    cell.on_look(&"w0".into(), clock::now(), clock::now(), seen);
+    cell.discover(
+        Peer { incarnation: "w0".into(), addr: addr() },
+        entry("m0", 4_000),
+        clock::now(),
+    );
+    let seen =
+        PollResponse { clock: 1_000, running: Vec::new(), ended: Vec::new(), birth_ms: None };
+    cell.on_poll(&"w0".into(), clock::now(), clock::now(), seen);
     let step = Step { count: 1, cpu: 1_000, ..Step::default() };
     cell.admit(1, accepted(vec![step]), None);
-    cell.place(clock::now(), Duration::from_secs(1));
+    cell.place_ready(clock::now(), Duration::from_secs(1));
     let started = cell.outbox.iter().filter(|order| matches!(order, Order::Start { .. })).count();
     assert_eq!(started, 0);
     // Once the lead is renewed it is certain that there is no later one.
     cell.renewed_at = Some(clock::now());
-    cell.place(clock::now(), Duration::from_secs(1));
+    cell.place_ready(clock::now(), Duration::from_secs(1));
     let started = cell.outbox.iter().filter(|order| matches!(order, Order::Start { .. })).count();
     assert_eq!(started, 1);
 }
--- a/lib/tests/test_table.rs
+++ b/lib/tests/test_table.rs
@@ -16,10 +16,10 @@
 use spokelift_platform::worker::Entry;
 use spokelift_platform::worker::Outcome;
 use spokelift_platform::worker::Peer;
-use spokelift_platform::worker::Room;
+use spokelift_platform::worker::PollResponse;
+use spokelift_platform::worker::Resources;
 use spokelift_platform::worker::Run;
 use spokelift_platform::worker::Running;
-use spokelift_platform::worker::Seen;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::addr;
 
@@ -36,11 +36,11 @@
         address: addr(),
         hall: "hall-1".to_owned(),
         draining,
-        room: Room { cpu: 8_000, memory_mb: 8_000, gpu: 0 },
+        capacity: Resources { cpu: 8_000, memory_mb: 8_000, gpu: 0 },
         labels: vec![format!("r1-{}", number % 4)],
         leaves_in_ms: None,
         machine: Some(format!("m{}", number / 2)),
-        born: None,
+        birth_ms: None,
     }
 }
 
@@ -111,8 +111,8 @@
     }
 
     fn meet(&mut self, number: usize, draining: bool) {
-        let peer = Peer { life: format!("w{number}").into(), addr: addr() };
-        self.cell.meet(peer, entry(number, draining), self.now);
+        let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
+        self.cell.discover(peer, entry(number, draining), self.now);
     }
 
     /// A worker answers a look; the oldest half of what it runs has ended.
@@ -121,7 +121,7 @@
         let sent = self.now;
         self.tick();
         let processed =
-            self.cell.workers.get(&id.as_str().into()).map_or(0, |worker| worker.processed);
+            self.cell.workers.get(&id.as_str().into()).map_or(0, |worker| worker.processed_end);
         let (mine, others): (Vec<_>, Vec<_>) =
             self.running.drain(..).partition(|(worker, ..)| *worker == id);
         self.running = others;
@@ -142,9 +142,10 @@
             percent: 100,
             figure: 0,
         });
-        let seen = Seen { clock: self.clock, running: running.collect(), ended, born: None };
+        let seen =
+            PollResponse { clock: self.clock, running: running.collect(), ended, birth_ms: None };
         self.running.extend_from_slice(on);
-        self.cell.on_look(&id.as_str().into(), sent, self.now, seen);
+        self.cell.on_poll(&id.as_str().into(), sent, self.now, seen);
     }
 
     fn tick(&mut self) {
@@ -155,28 +156,30 @@
     /// Places what waits; the workers take all orders, but for a start if `refuse`.
     fn place(&mut self, refuse: bool) {
         let before = self.runs();
-        self.cell.place(self.now, Duration::from_secs(1));
+        self.cell.place_ready(self.now, Duration::from_secs(1));
         for worker in self.cell.workers.values() {
-            let used: u32 = worker.slots.values().map(|slot| slot.room.cpu).sum();
-            let is_same = before.get(&worker.peer.life.to_string()) == Some(&worker.slots.len());
+            let used: u32 = worker.allocations.values().map(|slot| slot.resources.cpu).sum();
+            let is_same =
+                before.get(&worker.peer.incarnation.to_string()) == Some(&worker.allocations.len());
             assert!(
-                is_same || used <= worker.entry.room.cpu,
+                is_same || used <= worker.entry.capacity.cpu,
                 "{} is over its room",
-                worker.peer.life
+                worker.peer.incarnation
             );
         }
         for order in std::mem::take(&mut self.cell.outbox) {
             match order {
                 Order::Start { peer, task, run, .. } if refuse => {
-                    self.cell.on_refused(&peer.life, task, run, None, self.now);
+                    self.cell.on_refused(&peer.incarnation, task, run, None, self.now);
                 }
                 Order::Start { peer, task, run, .. } => {
-                    self.cell.on_started(&peer.life, task, run, self.now);
-                    self.running.push((peer.life.to_string(), task, run));
+                    self.cell.on_started(&peer.incarnation, task, run, self.now);
+                    self.running.push((peer.incarnation.to_string(), task, run));
                 }
                 Order::Stop { peer, task, run } => {
-                    self.cell.on_stopped(&peer.life, task, run, self.now);
-                    self.running.retain(|known| *known != (peer.life.to_string(), task, run));
+                    self.cell.on_stopped(&peer.incarnation, task, run, self.now);
+                    self.running
+                        .retain(|known| *known != (peer.incarnation.to_string(), task, run));
                 }
                 Order::Grant { .. } | Order::Pace { .. } | Order::Watch { .. } => {}
             }
@@ -186,7 +189,9 @@
     /// How many runs may be on each worker.
     fn runs(&self) -> HashMap<String, usize> {
         let workers = self.cell.workers.values();
-        workers.map(|worker| (worker.peer.life.to_string(), worker.slots.len())).collect()
+        workers
+            .map(|worker| (worker.peer.incarnation.to_string(), worker.allocations.len()))
+            .collect()
     }
 
     fn happen(&mut self, what: Happening) {
@@ -194,26 +199,30 @@
         match what {
             Happening::Meet(number) => self.meet(number, false),
             Happening::Drain(number) => self.meet(number, true),
-            Happening::Unlist(number) => self.cell.unlist(&format!("w{number}"), None),
+            Happening::Unlist(number) => self.cell.mark_unlisted(&format!("w{number}"), None),
             Happening::Resize(number, cpu) => {
-                let peer = Peer { life: format!("w{number}").into(), addr: addr() };
-                let room = Room { cpu, ..entry(number, false).room };
-                self.cell.meet(peer, Entry { room, ..entry(number, false) }, self.now);
+                let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
+                let room = Resources { cpu, ..entry(number, false).capacity };
+                self.cell.discover(
+                    peer,
+                    Entry { capacity: room, ..entry(number, false) },
+                    self.now,
+                );
             }
             Happening::Overwrite(number) => {
-                self.cell.note_unusable(&format!("w{number}"), "misshapen");
+                self.cell.record_unusable(&format!("w{number}"), "misshapen");
             }
             Happening::Look(number) => self.look(number),
-            Happening::Miss(number) => self.cell.on_miss(&format!("w{number}").into()),
+            Happening::Miss(number) => self.cell.on_failed_poll(&format!("w{number}").into()),
             Happening::Bury(number) => {
                 let id = format!("w{number}");
                 self.running.retain(|(worker, ..)| *worker != id);
-                self.cell.bury(&id.as_str().into(), "a test");
+                self.cell.mark_ended(&id.as_str().into(), "a test");
             }
             Happening::Lapse(number) => {
                 let id = format!("w{number}");
                 self.running.retain(|(worker, ..)| *worker != id);
-                self.cell.lapse(&id.as_str().into());
+                self.cell.expire_runs(&id.as_str().into());
             }
             Happening::Job { service, tasks, lasts, rack } => {
                 let data_rack = rack.map(|rack| format!("r1-{rack}"));
@@ -250,23 +259,22 @@
 /// waits for more than room; `suspects` says whether that counts.
 fn left_waiting(bed: &Bed, suspects: bool) -> Vec<String> {
     let mut left = Vec::new();
-    for rank in bed.cell.ready.iter().filter(|rank| suspects || !bed.cell.waits_as_suspect(rank)) {
+    for rank in bed.cell.ready.iter().filter(|rank| suspects || !bed.cell.has_waiting_suspect(rank))
+    {
         let entry = &bed.cell.jobs[&rank.job];
         let step = &entry.accepted.job.steps[usize::from(rank.step)];
         let service = &entry.accepted.service;
         let fits = |worker: &&spokelift_lib::batch::worker::Worker| {
             // The end of a quarantine is seen at the next tick.
             let over = worker.quarantine.is_none_or(|(_, until)| until + TICK <= bed.now);
-            worker.takes_work(bed.now)
+            worker.is_schedulable(bed.now)
                 && (over || suspects)
                 && worker.free.cpu >= step.cpu
                 && worker.free.memory_mb >= step.memory_mb
         };
-        left.extend(
-            bed.cell.workers.of_service(service).find(fits).map(|worker| {
-                format!("{rank:?} fits on {} with {:?}", worker.peer.life, worker.free)
-            }),
-        );
+        left.extend(bed.cell.workers.of_service(service).find(fits).map(|worker| {
+            format!("{rank:?} fits on {} with {:?}", worker.peer.incarnation, worker.free)
+        }));
     }
     left
 }
@@ -288,9 +296,9 @@
             }
             if bed.now >= ticked + TICK {
                 ticked = bed.now;
-                bed.cell.stir();
+                bed.cell.request_placement();
             }
-            if bed.cell.needs_placing() {
+            if bed.cell.needs_placement() {
                 bed.place(false);
             }
             prop_assert_eq!(left_waiting(&bed, false), Vec::<String>::new(), "after {}", told);
@@ -298,7 +306,7 @@
         // Suspects wait for the store, and for a place by themselves, but not without end.
         bed.happen(Happening::Flush);
         bed.now += SUSPECTS_WAIT;
-        bed.cell.stir();
+        bed.cell.request_placement();
         bed.place(false);
         prop_assert_eq!(left_waiting(&bed, true), Vec::<String>::new(), "in the end");
     }
@@ -311,10 +319,10 @@
     let mut bed = Bed::new();
     for number in 0..own + other {
         let service = if number < own { "one" } else { "two" };
-        let peer = Peer { life: format!("w{number}").into(), addr: addr() };
+        let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
         let machine = Some(format!("m{number}"));
         let entry = Entry { service: service.to_owned(), machine, ..entry(number, false) };
-        bed.cell.meet(peer, entry, bed.now);
+        bed.cell.discover(peer, entry, bed.now);
         bed.look(number);
     }
     for _ in 0..TASKS {
@@ -325,7 +333,7 @@
         bed.tick();
     }
     assert_eq!(bed.running.len(), TASKS as usize);
-    bed.cell.weighed as f64 / f64::from(TASKS)
+    bed.cell.examined_workers as f64 / f64::from(TASKS)
 }
 
 /// Before there were indexes, each task weighed every worker of the site: 1,100 here.
--- a/lib/tests/test_unheard.rs
+++ b/lib/tests/test_unheard.rs
@@ -7,12 +7,12 @@
 use spokelift_lib::batch::cell::Order;
 use spokelift_lib::batch::record::Progress;
 use spokelift_lib::batch::record::ProgressRecord;
-use spokelift_lib::batch::worker::LEASE;
+use spokelift_lib::batch::worker::WORKER_LEASE;
 use spokelift_lib::transport::clock;
 use spokelift_platform::job::Step;
-use spokelift_platform::worker::Life;
+use spokelift_platform::worker::Incarnation;
 use spokelift_platform::worker::Peer;
-use spokelift_platform::worker::Seen;
+use spokelift_platform::worker::PollResponse;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::accepted;
 use spokelift_testutils::batch::addr;
@@ -30,11 +30,11 @@
 }
 
 fn peer(id: &str) -> Peer {
-    Peer { life: id.into(), addr: addr() }
+    Peer { incarnation: id.into(), addr: addr() }
 }
 
-fn idle(clock: u64) -> Seen {
-    Seen { clock, running: Vec::new(), ended: Vec::new(), born: None }
+fn idle(clock: u64) -> PollResponse {
+    PollResponse { clock, running: Vec::new(), ended: Vec::new(), birth_ms: None }
 }
 
 impl Bed {
@@ -49,7 +49,7 @@
 
     fn meet_all(&mut self) {
         for id in ["silent", "other"] {
-            self.cell.meet(peer(id), batch::entry(&format!("m-{id}"), 4_000), self.now);
+            self.cell.discover(peer(id), batch::entry(&format!("m-{id}"), 4_000), self.now);
         }
     }
 
@@ -64,34 +64,36 @@
         let mut unheard = Vec::new();
         for record in self.store.values() {
             match ProgressRecord::decode(record).unwrap() {
-                ProgressRecord::Worker(life, known) => self.cell.meet_known(life, known, self.now),
-                ProgressRecord::Unheard(life, time) => unheard.push((life, time)),
+                ProgressRecord::Worker(life, known) => {
+                    self.cell.restore_worker(life, known, self.now)
+                }
+                ProgressRecord::Unreachable(life, time) => unheard.push((life, time)),
                 _ => {}
             }
         }
-        self.cell.restore_unheard(unheard);
+        self.cell.restore_unreachable(unheard);
         self.meet_all();
-        self.cell.unasked = self.cell.workers.keys().cloned().collect();
+        self.cell.unpolled = self.cell.workers.keys().cloned().collect();
         let step = Step { count: 1, cpu: 1_000, memory_mb: 100, ..Step::default() };
         self.cell.admit(1, accepted(vec![step]), Some(&Progress::default()));
-        self.cell.on_look(&"other".into(), self.now, self.now, idle(1));
+        self.cell.on_poll(&"other".into(), self.now, self.now, idle(1));
     }
 
     fn pass(&mut self) {
         self.now += TICK;
-        self.cell.on_miss(&"silent".into());
-        self.cell.let_lapse(self.now);
+        self.cell.on_failed_poll(&"silent".into());
+        self.cell.expire_due(self.now);
         self.flush();
     }
 
     fn starts(&mut self) -> usize {
-        self.cell.place(self.now, Duration::from_secs(1));
+        self.cell.place_ready(self.now, Duration::from_secs(1));
         let orders = std::mem::take(&mut self.cell.outbox);
         orders.iter().filter(|order| matches!(order, Order::Start { .. })).count()
     }
 
     fn is_granted(&self, id: &str) -> bool {
-        self.cell.workers[&Life::from(id)].granted
+        self.cell.workers[&Incarnation::from(id)].renews_lease
     }
 }
 
@@ -116,10 +118,13 @@
 fn takeovers_do_not_put_off_the_end_of_what_a_silent_worker_holds_up() {
     for millis in (800..8_000).step_by(100) {
         let waited = waits(Duration::from_millis(millis));
-        assert!(waited >= LEASE, "{millis} ms: started after {waited:?}, its leases may last");
+        assert!(
+            waited >= WORKER_LEASE,
+            "{millis} ms: started after {waited:?}, its leases may last"
+        );
         // What passed since the last record is waited for again at each takeover.
-        let takeovers = LEASE.as_millis() as u64 / millis + 1;
-        let most = LEASE + SLACK + Duration::from_millis(500 * takeovers);
+        let takeovers = WORKER_LEASE.as_millis() as u64 / millis + 1;
+        let most = WORKER_LEASE + SLACK + Duration::from_millis(500 * takeovers);
         assert!(waited <= most, "{millis} ms: waited {waited:?}");
     }
 }
@@ -132,9 +137,9 @@
     assert!(bed.is_granted("other"));
     (0..8).for_each(|_| bed.pass());
     assert!(bed.store.contains_key("unheard/silent"));
-    bed.cell.on_look(&"silent".into(), bed.now, bed.now, idle(1));
+    bed.cell.on_poll(&"silent".into(), bed.now, bed.now, idle(1));
     assert!(!bed.is_granted("silent"));
-    assert!(!bed.cell.workers[&Life::from("silent")].takes_work(bed.now));
+    assert!(!bed.cell.workers[&Incarnation::from("silent")].is_schedulable(bed.now));
     bed.flush();
     assert!(!bed.store.contains_key("unheard/silent"));
     assert!(bed.is_granted("silent"));
@@ -145,11 +150,11 @@
     let mut bed = Bed::new();
     bed.take_over();
     (0..8).for_each(|_| bed.pass());
-    bed.cell.bury(&"silent".into(), "a test");
+    bed.cell.mark_ended(&"silent".into(), "a test");
     bed.flush();
     assert!(!bed.store.contains_key("unheard/silent"));
     let lost = vec![("nobody".into(), Duration::from_secs(1))];
-    bed.cell.restore_unheard(lost);
+    bed.cell.restore_unreachable(lost);
     let flush = bed.cell.take_flush();
     let dropped = flush.records.iter().find(|record| record.key == "unheard/nobody");
     assert_eq!(dropped.map(|record| record.value.is_none()), Some(true));
--- a/lib/tests/test_upkeep.rs
+++ b/lib/tests/test_upkeep.rs
@@ -5,7 +5,7 @@
 
 use spokelift_lib::batch::cell::Cell;
 use spokelift_lib::batch::cell::Order;
-use spokelift_lib::batch::upkeep;
+use spokelift_lib::batch::maintenance;
 use spokelift_lib::transport::clock;
 use spokelift_platform::job::Step;
 use spokelift_platform::job::TaskName;
@@ -13,16 +13,16 @@
 use spokelift_platform::worker::Entry;
 use spokelift_platform::worker::Outcome;
 use spokelift_platform::worker::Peer;
+use spokelift_platform::worker::PollResponse;
 use spokelift_platform::worker::Run;
 use spokelift_platform::worker::Running;
-use spokelift_platform::worker::Seen;
 use spokelift_testutils::batch::accepted;
 use spokelift_testutils::batch::addr;
 use spokelift_testutils::batch::entry;
 
 fn meet(cell: &mut Cell, id: &str, now: Instant) {
     let machine = format!("m-{id}");
-    cell.meet(Peer { life: id.into(), addr: addr() }, entry(&machine, 8_000), now);
+    cell.discover(Peer { incarnation: id.into(), addr: addr() }, entry(&machine, 8_000), now);
 }
 
 /// A worker answers a look, `at` milliseconds on its clock, and runs these tasks.
@@ -34,12 +34,13 @@
         percent: 100,
         figure: 0,
     });
-    let seen = Seen { clock: at, running: running.collect(), ended: Vec::new(), born: None };
-    cell.on_look(&id.into(), now, now, seen);
+    let seen =
+        PollResponse { clock: at, running: running.collect(), ended: Vec::new(), birth_ms: None };
+    cell.on_poll(&id.into(), now, now, seen);
 }
 
 fn start(cell: &mut Cell, now: Instant) -> Vec<(TaskName, Run)> {
-    cell.place(now, Duration::from_secs(1));
+    cell.place_ready(now, Duration::from_secs(1));
     let starts = std::mem::take(&mut cell.outbox).into_iter().filter_map(|order| match order {
         Order::Start { task, run, .. } => Some((task, run)),
         _ => None,
@@ -58,7 +59,7 @@
         cpu: 1_000,
         memory_mb: 100,
         long_running: true,
-        may_miss: Some(1),
+        max_unavailable: Some(1),
         ..Step::default()
     }
 }
@@ -79,13 +80,13 @@
     look(&mut cell, "w0", 2, &runs, now);
     meet(&mut cell, "w1", now);
     look(&mut cell, "w1", 1, &[], now);
-    cell.unlist("w0", None);
-    cell.known_from = Some(now + Duration::from_secs(1));
-    upkeep::empty(&mut cell, &"w0".into(), false);
+    cell.mark_unlisted("w0", None);
+    cell.known_everywhere_from = Some(now + Duration::from_secs(1));
+    maintenance::evacuate(&mut cell, &"w0".into(), false);
     assert_eq!(stops(&mut cell), 0);
     // What was under way is over.
-    cell.known_from = Some(now - Duration::from_secs(5));
-    upkeep::empty(&mut cell, &"w0".into(), false);
+    cell.known_everywhere_from = Some(now - Duration::from_secs(5));
+    maintenance::evacuate(&mut cell, &"w0".into(), false);
     assert_eq!(stops(&mut cell), 1);
 }
 
@@ -98,7 +99,7 @@
 fn no_task_is_moved_off_beside_a_worker_that_has_not_been_heard_of() {
     let (mut cell, now) = (Cell::new(10), clock::now());
     let before = now - Duration::from_millis(1_530);
-    let name = |index| TaskName { job: 1, time: 0, step: 0, index };
+    let name = |index| TaskName { job: 1, repetition: 0, step: 0, index };
     for id in ["w0", "w1", "w2"] {
         meet(&mut cell, id, before);
     }
@@ -106,10 +107,10 @@
     look(&mut cell, "w1", 1, &[(name(1), 5)], before);
     look(&mut cell, "w0", 1, &[(name(0), 5)], now);
     look(&mut cell, "w2", 1, &[], now);
-    upkeep::empty(&mut cell, &"w0".into(), false);
+    maintenance::evacuate(&mut cell, &"w0".into(), false);
     assert_eq!(stops(&mut cell), 0, "nobody knows whether the other is at work");
     look(&mut cell, "w1", 2, &[(name(1), 5)], clock::now());
-    upkeep::empty(&mut cell, &"w0".into(), false);
+    maintenance::evacuate(&mut cell, &"w0".into(), false);
     assert_eq!(stops(&mut cell), 1);
 }
 
@@ -122,9 +123,9 @@
     let (mut cell, now) = (Cell::new(10), clock::now());
     meet(&mut cell, "w0", now);
     cell.admit(1, accepted(vec![lasting(1)]), None);
-    let name = TaskName { job: 1, time: 0, step: 0, index: 0 };
+    let name = TaskName { job: 1, repetition: 0, step: 0, index: 0 };
     look(&mut cell, "w0", 1, &[(name, 5)], now);
-    let task = cell.jobs.get_mut(&1).and_then(|job| job.task(name)).unwrap();
+    let task = cell.jobs.get_mut(&1).and_then(|job| job.task_mut(name)).unwrap();
     assert_eq!(task.runs, 1);
     assert_eq!(task.waiting_since, None);
 }
@@ -138,7 +139,8 @@
         look(&mut cell, id, 1, &[], now);
     }
     let runs = start(&mut cell, now);
-    let on = |cell: &Cell, id: &str| cell.workers[id].slots.keys().copied().collect::<Vec<_>>();
+    let on =
+        |cell: &Cell, id: &str| cell.workers[id].allocations.keys().copied().collect::<Vec<_>>();
     for id in ["w0", "w1"] {
         let mine: Vec<(TaskName, Run)> =
             runs.iter().filter(|(task, _)| on(&cell, id).contains(task)).copied().collect();
@@ -152,7 +154,7 @@
 
 fn say_draining(cell: &mut Cell, id: &str, now: Instant) {
     let draining = Entry { draining: true, ..entry(&format!("m-{id}"), 8_000) };
-    cell.meet(Peer { life: id.into(), addr: addr() }, draining, now);
+    cell.discover(Peer { incarnation: id.into(), addr: addr() }, draining, now);
 }
 
 /// Both were stopped in the same moment, so one more was away than allowed.
@@ -160,10 +162,10 @@
 fn no_task_is_moved_off_beside_a_worker_that_has_said_that_it_leaves() {
     let (mut cell, now, _) = with_two_at_work();
     say_draining(&mut cell, "w1", now);
-    upkeep::empty(&mut cell, &"w0".into(), false);
+    maintenance::evacuate(&mut cell, &"w0".into(), false);
     assert_eq!(stops(&mut cell), 0);
     // What is on a worker that leaves goes whatever else is away.
-    upkeep::leave_draining(&mut cell, now);
+    maintenance::evacuate_draining(&mut cell, now);
     assert_eq!(stops(&mut cell), 1);
 }
 
@@ -171,17 +173,17 @@
 #[test]
 fn a_task_on_a_leaving_worker_waits_for_the_stop_of_another_of_its_step() {
     let (mut cell, now, runs) = with_two_at_work();
-    upkeep::empty(&mut cell, &"w0".into(), false);
+    maintenance::evacuate(&mut cell, &"w0".into(), false);
     assert_eq!(stops(&mut cell), 1);
     say_draining(&mut cell, "w1", now);
-    upkeep::leave_draining(&mut cell, now);
+    maintenance::evacuate_draining(&mut cell, now);
     assert_eq!(stops(&mut cell), 0);
     // It is over.
-    let (task, run) = runs[usize::from(!cell.workers["w0"].slots.contains_key(&runs[0].0))];
+    let (task, run) = runs[usize::from(!cell.workers["w0"].allocations.contains_key(&runs[0].0))];
     let end = End { number: 1, task, run, outcome: Outcome::Stopped, checkpoint: String::new() };
-    let seen = Seen { clock: 3, running: Vec::new(), ended: vec![end], born: None };
-    cell.on_look(&"w0".into(), now, now, seen);
-    upkeep::leave_draining(&mut cell, now);
+    let seen = PollResponse { clock: 3, running: Vec::new(), ended: vec![end], birth_ms: None };
+    cell.on_poll(&"w0".into(), now, now, seen);
+    maintenance::evacuate_draining(&mut cell, now);
     assert_eq!(stops(&mut cell), 1);
 }
 
@@ -189,10 +191,10 @@
 #[test]
 fn a_task_on_a_leaving_worker_waits_for_no_worker_that_is_silent() {
     let (mut cell, now, _) = with_two_at_work();
-    upkeep::empty(&mut cell, &"w0".into(), false);
+    maintenance::evacuate(&mut cell, &"w0".into(), false);
     assert_eq!(stops(&mut cell), 1);
-    cell.on_miss(&"w0".into());
+    cell.on_failed_poll(&"w0".into());
     say_draining(&mut cell, "w1", now);
-    upkeep::leave_draining(&mut cell, now);
+    maintenance::evacuate_draining(&mut cell, now);
     assert_eq!(stops(&mut cell), 1);
 }
--- a/lib/tests/test_wave_plan.rs
+++ b/lib/tests/test_wave_plan.rs
@@ -14,10 +14,10 @@
 use spokelift_lib::batch::cell::Cell;
 use spokelift_lib::batch::cell::Order;
 use spokelift_lib::batch::fleet::uncordon;
+use spokelift_lib::batch::maintenance::plan;
+use spokelift_lib::batch::maintenance::progress::MachinesById;
+use spokelift_lib::batch::maintenance::progress::WaveProgress;
 use spokelift_lib::batch::record::Progress;
-use spokelift_lib::batch::upkeep::course::Course;
-use spokelift_lib::batch::upkeep::course::Listed;
-use spokelift_lib::batch::upkeep::plan;
 use spokelift_lib::transport::clock;
 use spokelift_platform::job::JobId;
 use spokelift_platform::job::Step;
@@ -28,10 +28,10 @@
 use spokelift_platform::worker::End;
 use spokelift_platform::worker::Outcome;
 use spokelift_platform::worker::Peer;
-use spokelift_platform::worker::Room;
+use spokelift_platform::worker::PollResponse;
+use spokelift_platform::worker::Resources;
 use spokelift_platform::worker::Run;
 use spokelift_platform::worker::Running;
-use spokelift_platform::worker::Seen;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::accepted;
 use spokelift_testutils::batch::addr;
@@ -64,7 +64,7 @@
 
 struct Play {
     cell: Cell,
-    course: Course,
+    course: WaveProgress,
     now: Instant,
     clock: u64,
     token: u64,
@@ -79,7 +79,7 @@
 }
 
 fn name(job: JobId, index: u32) -> TaskName {
-    TaskName { job, time: 0, step: 0, index }
+    TaskName { job, repetition: 0, step: 0, index }
 }
 
 fn step_of(size: Size) -> Step {
@@ -88,7 +88,7 @@
         cpu: size.cpu,
         memory_mb: size.memory_mb,
         long_running: true,
-        may_miss: Some(size.may_miss),
+        max_unavailable: Some(size.may_miss),
         ..Step::default()
     }
 }
@@ -120,14 +120,14 @@
     fn live(&mut self, name: &str) {
         self.count += 1;
         let worker = format!("w{}", self.count);
-        let peer = Peer { life: worker.clone().into(), addr: addr() };
-        self.cell.meet(peer, entry(name, ROOM), self.now);
+        let peer = Peer { incarnation: worker.clone().into(), addr: addr() };
+        self.cell.discover(peer, entry(name, ROOM), self.now);
         let life = Life { worker, runs: BTreeMap::new(), stopping: Vec::new(), last_end: 0 };
         self.boxes.insert(name.to_owned(), Some(life));
     }
 
     fn admit(&mut self, inherited: bool) {
-        let progress = Progress { begun: true, ..Progress::default() };
+        let progress = Progress { started: true, ..Progress::default() };
         for (job, size) in (1..).zip(&self.sizes) {
             let accepted = accepted(vec![step_of(*size)]);
             self.cell.admit(job, accepted, inherited.then_some(&progress));
@@ -144,12 +144,12 @@
             .filter_map(|(name, life)| Some((name.clone(), life.as_ref()?.worker.clone())))
             .collect();
         for (name, worker) in &lives {
-            let peer = Peer { life: worker.clone().into(), addr: addr() };
-            self.cell.meet(peer, entry(name, ROOM), self.now);
+            let peer = Peer { incarnation: worker.clone().into(), addr: addr() };
+            self.cell.discover(peer, entry(name, ROOM), self.now);
         }
         self.admit(true);
-        self.cell.unasked = lives.into_iter().map(|(_, worker)| worker.into()).collect();
-        self.cell.known_from = Some(self.now + Duration::from_millis(1_000));
+        self.cell.unpolled = lives.into_iter().map(|(_, worker)| worker.into()).collect();
+        self.cell.known_everywhere_from = Some(self.now + Duration::from_millis(1_000));
         let names: Vec<String> = self.boxes.keys().cloned().collect();
         self.course = course(&names, self.max_down, self.begun.clone(), STEP, self.now);
     }
@@ -171,15 +171,20 @@
                 percent: 100,
                 figure: 0,
             });
-            let seen = Seen { clock: self.clock, running: running.collect(), ended, born: None };
-            self.cell.on_look(&life.worker.as_str().into(), self.now, self.now, seen);
+            let seen = PollResponse {
+                clock: self.clock,
+                running: running.collect(),
+                ended,
+                birth_ms: None,
+            };
+            self.cell.on_poll(&life.worker.as_str().into(), self.now, self.now, seen);
         }
     }
 
     /// Orders of the cell are carried out; what is stopped has ended by the next look.
     fn carry_out(&mut self) -> Result<(), TestCaseError> {
         for order in std::mem::take(&mut self.cell.outbox) {
-            let id = order.peer().life.to_string();
+            let id = order.peer().incarnation.to_string();
             let lives = self.boxes.values_mut().flatten();
             let Some(life) = lives.into_iter().find(|life| life.worker == id) else { continue };
             match order {
@@ -216,11 +221,11 @@
     }
 
     fn list(&self) -> Vec<Machine> {
-        let room = Room { cpu: ROOM, memory_mb: ROOM, gpu: 0 };
+        let room = Resources { cpu: ROOM, memory_mb: ROOM, gpu: 0 };
         let rows = self.boxes.iter().map(|(name, life)| {
-            let status = if life.is_some() { Status::Up } else { Status::Upkeep };
+            let status = if life.is_some() { Status::Up } else { Status::Maintenance };
             let worker = life.as_ref().map(|life| life.worker.as_str());
-            Machine { room, ..batch::machine(name, status, worker) }
+            Machine { capacity: room, ..batch::machine(name, status, worker) }
         });
         rows.collect()
     }
@@ -229,9 +234,9 @@
         for name in boxes {
             let Some(life) = self.boxes.insert(name.clone(), None).flatten() else { continue };
             prop_assert!(life.runs.is_empty(), "{name} is ordered with {:?} on it", life.runs);
-            self.course.begins(&name, Some(life.worker.as_str().into()), self.now);
-            self.cell.upkeep_begun(7, &name);
-            self.cell.bury(&life.worker.as_str().into(), "its box is down");
+            self.course.mark_started(&name, Some(life.worker.as_str().into()), self.now);
+            self.cell.record_maintenance_started(7, &name);
+            self.cell.mark_ended(&life.worker.as_str().into(), "its box is down");
             self.begun.insert(name.clone());
             self.down_until.insert(name, self.now + UPKEEP);
         }
@@ -247,17 +252,18 @@
             until.extract_if(|_, until| *until <= now).map(|(name, _)| name).collect();
         back.iter().for_each(|name| self.live(name));
         self.look_at_all();
-        self.cell.stir();
-        self.cell.place(now, Duration::from_secs(1));
+        self.cell.request_placement();
+        self.cell.place_ready(now, Duration::from_secs(1));
         self.carry_out()?;
         let list = self.list();
-        let listed: Listed<'_> = list.iter().map(|row| (row.id.as_str(), row)).collect();
-        self.course.settle_down(UPKEEP, None, &listed, |_| None, now);
-        let next = plan::next(&mut self.cell, &mut self.course, &listed, &HashSet::new(), 10, now);
+        let listed: MachinesById<'_> = list.iter().map(|row| (row.id.as_str(), row)).collect();
+        self.course.update_down(UPKEEP, None, &listed, |_| None, now);
+        let next =
+            plan::plan_round(&mut self.cell, &mut self.course, &listed, &HashSet::new(), 10, now);
         self.carry_out()?;
         self.order(next)?;
         let names: Vec<String> = self.boxes.keys().cloned().collect();
-        let held = names.into_iter().filter(|name| self.course.holds(name)).collect();
+        let held = names.into_iter().filter(|name| self.course.is_under_way(name)).collect();
         let list = self.list();
         uncordon(&mut self.cell, &held, &list);
         self.check()
@@ -266,7 +272,7 @@
     fn check(&mut self) -> Result<(), TestCaseError> {
         for worker in self.cell.workers.values().filter(|worker| worker.cordoned) {
             let name = worker.entry.machine.as_deref().unwrap_or_default();
-            prop_assert!(self.course.holds(name), "{name} is closed and nobody empties it");
+            prop_assert!(self.course.is_under_way(name), "{name} is closed and nobody empties it");
         }
         for (job, size) in (1..).zip(self.sizes.clone()) {
             for index in 0..size.count {
@@ -277,7 +283,7 @@
     }
 
     fn check_away(&mut self, task: TaskName, size: Size) -> Result<(), TestCaseError> {
-        let need = Room { cpu: size.cpu, memory_mb: size.memory_mb, gpu: 0 };
+        let need = Resources { cpu: size.cpu, memory_mb: size.memory_mb, gpu: 0 };
         let would_fit = self.cell.workers.values().any(|worker| worker.fits(need));
         if self.is_at_work(task) || !would_fit {
             self.away_since.remove(&task);
@@ -290,7 +296,7 @@
     }
 
     fn is_done(&self) -> bool {
-        self.course.left().is_empty()
+        self.course.remaining().is_empty()
     }
 }
 
@@ -300,10 +306,10 @@
     begun: HashSet<String>,
     age: Duration,
     now: Instant,
-) -> Course {
+) -> WaveProgress {
     let duration = Duration::from_secs(20);
     let wave = Wave { number: 7, machines: names.to_vec(), duration, max_down };
-    Course::new(wave, begun, age, now)
+    WaveProgress::new(wave, begun, age, now)
 }
 
 fn size() -> impl Strategy<Value = Size> {
--- a/testutils/src/batch.rs
+++ b/testutils/src/batch.rs
@@ -21,7 +21,7 @@
 use spokelift_platform::settings::Settings;
 use spokelift_platform::store::Record;
 use spokelift_platform::worker::Entry;
-use spokelift_platform::worker::Room;
+use spokelift_platform::worker::Resources;
 use tokio::net::TcpListener;
 
 /// An address at which nothing is called.
@@ -59,11 +59,11 @@
         address: addr(),
         hall: "hall-1".to_owned(),
         draining: false,
-        room: Room { cpu, memory_mb: cpu, gpu: 0 },
+        capacity: Resources { cpu, memory_mb: cpu, gpu: 0 },
         labels: vec!["r1-1".to_owned()],
         leaves_in_ms: None,
         machine: Some(machine.to_owned()),
-        born: None,
+        birth_ms: None,
     }
 }
 
@@ -74,7 +74,7 @@
         pool: "work".to_owned(),
         status,
         labels: Vec::new(),
-        room: Room::default(),
+        capacity: Resources::default(),
         worker: worker.map(str::to_owned),
     }
 }
--- a/testutils/src/batch/play.rs
+++ b/testutils/src/batch/play.rs
@@ -26,10 +26,10 @@
 use spokelift_platform::worker::Entry;
 use spokelift_platform::worker::Outcome;
 use spokelift_platform::worker::Peer;
-use spokelift_platform::worker::Room;
+use spokelift_platform::worker::PollResponse;
+use spokelift_platform::worker::Resources;
 use spokelift_platform::worker::Run;
 use spokelift_platform::worker::Running;
-use spokelift_platform::worker::Seen;
 
 use crate::batch::accepted;
 use crate::batch::addr;
@@ -156,13 +156,17 @@
             address: addr(),
             hall: "hall-1".to_owned(),
             draining: false,
-            room: Room { cpu: 32_000, memory_mb: 64_000, gpu: 0 },
+            capacity: Resources { cpu: 32_000, memory_mb: 64_000, gpu: 0 },
             labels: Vec::new(),
             leaves_in_ms: None,
             machine: Some(format!("m{machine}")),
-            born: None,
+            birth_ms: None,
         };
-        self.cell.meet(Peer { life: id.clone().into(), addr: addr() }, entry, self.now());
+        self.cell.discover(
+            Peer { incarnation: id.clone().into(), addr: addr() },
+            entry,
+            self.now(),
+        );
         let life = Life { machine, looked_ms: self.ms, last_end: 0, runs: BTreeMap::new() };
         self.lives.insert(id.clone(), life);
         self.look(&id);
@@ -193,17 +197,18 @@
             percent: 50,
             figure: 0,
         });
-        let seen = Seen { clock: 1_000 + ms, running: running.collect(), ended, born: None };
-        self.cell.on_look(&id.into(), now - Duration::from_millis(2), now, seen);
+        let seen =
+            PollResponse { clock: 1_000 + ms, running: running.collect(), ended, birth_ms: None };
+        self.cell.on_poll(&id.into(), now - Duration::from_millis(2), now, seen);
     }
 
     fn crash(&mut self, id: &str) {
         let Some(life) = self.lives.remove(id) else { return };
-        self.cell.on_miss(&id.into());
+        self.cell.on_failed_poll(&id.into());
         let now = self.now();
         // A look is under way at every worker, so the connection breaks as it crashes.
         if let Some(mut worker) = self.cell.workers.get_mut(&id.into()) {
-            worker.missed_at = Some(now);
+            worker.first_failed_at = Some(now);
         }
         self.back.push((self.ms + BACK_MS, life.machine));
     }
@@ -238,17 +243,17 @@
 
     /// Orders go out; returns the workers that poison tasks were started on.
     fn order(&mut self) -> Vec<String> {
-        self.cell.place(self.now(), Duration::from_millis(self.ms));
+        self.cell.place_ready(self.now(), Duration::from_millis(self.ms));
         let mut doomed = Vec::new();
         for order in std::mem::take(&mut self.cell.outbox) {
             match order {
                 Order::Start { peer, task, run, .. } => {
-                    let Some(life) = self.lives.get_mut(&peer.life.id) else { continue };
+                    let Some(life) = self.lives.get_mut(&peer.incarnation.id) else { continue };
                     let lasts = self.lasting.contains(&task.job);
                     let until = if lasts { u64::MAX } else { self.ms + RUN_MS };
                     life.runs.insert(task, (run, until));
                     self.cell.on_started(
-                        &peer.life,
+                        &peer.incarnation,
                         task,
                         run,
                         self.begun + Duration::from_millis(self.ms),
@@ -257,14 +262,14 @@
                         && *poison == task
                     {
                         *starts += 1;
-                        doomed.push(peer.life.to_string());
+                        doomed.push(peer.incarnation.to_string());
                     }
                 }
                 Order::Stop { peer, task, run } => {
-                    if let Some(life) = self.lives.get_mut(&peer.life.id) {
+                    if let Some(life) = self.lives.get_mut(&peer.incarnation.id) {
                         life.runs.remove(&task);
                     }
-                    self.cell.on_stopped(&peer.life, task, run, self.now());
+                    self.cell.on_stopped(&peer.incarnation, task, run, self.now());
                 }
                 Order::Grant { .. } | Order::Pace { .. } | Order::Watch { .. } => {}
             }
@@ -384,7 +389,7 @@
     let accounts: Vec<Value> = accounts.collect();
     let config =
         Config::decode(&published(1, &[], accounts.into())).expect("the configuration is sound");
-    play.cell.set_bounds(&Arc::new(config));
+    play.cell.set_quotas(&Arc::new(config));
     let seeds = (0..jobs_per_s.len() as u64).map(|account| seed * 1_000 + account);
     let mut rngs: Vec<StdRng> = seeds.map(StdRng::seed_from_u64).collect();
     let (mut owners, mut job) = (BTreeMap::new(), 0);
@@ -416,7 +421,7 @@
         if arrives {
             job += 1;
             let step = rng.random_range(0..2);
-            let poison = TaskName { job, time: 0, step, index: 0 };
+            let poison = TaskName { job, repetition: 0, step, index: 0 };
             play.hand_in(job, (rng.random::<f64>() < load.poison).then_some(poison));
         }
         if play.ms < 21_000 && play.ms % 3_000 == 2_000 {
--- a/testutils/src/platform/site.rs
+++ b/testutils/src/platform/site.rs
@@ -303,7 +303,7 @@
     /// The node that schedules, by the store's record.
     pub fn leader(&self) -> Option<usize> {
         let record = self.store.get("keyed.lead", "lead")?;
-        let lead: spokelift_lib::batch::lead::Lead = postcard::from_bytes(&record).ok()?;
+        let lead: spokelift_lib::batch::leader::LeaderLease = postcard::from_bytes(&record).ok()?;
         lead.node.strip_prefix("node-")?.parse().ok()
     }
 
--- a/testutils/tests/test_mutated.rs
+++ b/testutils/tests/test_mutated.rs
@@ -16,9 +16,9 @@
 use spokelift_lib::batch::record;
 use spokelift_lib::batch::record::Accepted;
 use spokelift_lib::batch::record::JobRecord;
-use spokelift_lib::batch::record::Known;
 use spokelift_lib::batch::record::Progress;
 use spokelift_lib::batch::record::ProgressRecord;
+use spokelift_lib::batch::record::StoredWorker;
 use spokelift_lib::protocol::boxes;
 use spokelift_lib::protocol::catch_up;
 use spokelift_lib::protocol::log;
@@ -195,17 +195,17 @@
     };
     let progress = Progress {
         end: Some(JobState::Failed),
-        begun: true,
+        started: true,
         done: vec![(0, 0, vec![5])],
         failed: vec![((1, 0, 2), vec![3, 4])],
     };
-    let known = Known {
+    let known = StoredWorker {
         addr: addr(),
         service: "work".to_owned(),
         machine: Some("m-1".to_owned()),
-        silent_with: Some(vec![(7, (0, 0, 1))]),
+        unresponsive_with: Some(vec![(7, (0, 0, 1))]),
     };
-    let crash = Crash { worker: "w1".into(), evidence: Evidence::Among };
+    let crash = Crash { worker: "w1".into(), evidence: Evidence::AmongRecent };
     vec![
         record::accepted(7, &accepted(small)),
         record::progress(7, &progress),
@@ -232,11 +232,11 @@
         Ok(ProgressRecord::Crashes(_, crashes)) => {
             cell.restore_crashes(&HashMap::from([(7, crashes)]));
         }
-        Ok(ProgressRecord::Worker(id, known)) => cell.meet_known(id, known, clock::now()),
+        Ok(ProgressRecord::Worker(id, known)) => cell.restore_worker(id, known, clock::now()),
         _ => {}
     }
-    cell.open_due(Duration::from_secs(1));
-    cell.place(clock::now(), Duration::from_secs(1));
+    cell.open_due_repetitions(Duration::from_secs(1));
+    cell.place_ready(clock::now(), Duration::from_secs(1));
     cell.take_flush();
 }
 
@@ -248,7 +248,7 @@
         let bytes = mutated(&entry(), &mutations);
         if let Ok(entry) = Entry::decode(&bytes) {
             let mut cell = Cell::new(10);
-            cell.meet(Peer { life: "w0".into(), addr: entry.address }, entry, clock::now());
+            cell.discover(Peer { incarnation: "w0".into(), addr: entry.address }, entry, clock::now());
             prop_assert_eq!(cell.workers.faults(), Vec::<String>::new());
         }
     }
--- a/testutils/tests/test_relay.rs
+++ b/testutils/tests/test_relay.rs
@@ -37,7 +37,7 @@
         let listener = || TcpListener::bind(("127.0.0.1", 0));
         let node = batch::node(listener().await.unwrap(), door.addr);
         let peer = batch::node(listener().await.unwrap(), other.addr);
-        node.directory.learn([(peer.settings.peer_addr(), 250)]);
+        node.directory.set_nodes([(peer.settings.peer_addr(), 250)]);
         Bed { node, door, store, _peer: peer }
     }
 
@@ -45,7 +45,7 @@
     async fn fall_silent(&self) {
         self.door.set(Fault::Silent);
         self.node.read_topic(TOPIC, 0, Duration::ZERO, SOON).await.unwrap();
-        assert!(self.node.way.is_shut());
+        assert!(self.node.store_route.is_unavailable());
     }
 
     async fn append(&self, key: &str) {
@@ -98,7 +98,7 @@
     bed.door.set(Fault::None);
     // A peer may be faster now and then.
     let open = async {
-        while bed.node.way.is_shut() {
+        while bed.node.store_route.is_unavailable() {
             bed.node.read_newest(TOPIC, WAIT).await.unwrap();
         }
     };
--- a/testutils/tests/test_silent.rs
+++ b/testutils/tests/test_silent.rs
@@ -252,7 +252,7 @@
         let (line, _) = peer_line().await;
         let peers = Peers::default();
         for opened in 1..=3 {
-            let answer = peers.ask(line.addr, peer::Request::State(1, Caller::Site)).await;
+            let answer = peers.ask(line.addr, peer::Request::State(1, Caller::Operator)).await;
             assert_eq!(answer.unwrap(), Reply::Done, "{way:?}");
             assert_eq!(line.opened(), opened);
             line.silence_open(way);
@@ -283,12 +283,12 @@
         let (peers, addr) = (peers.clone(), line.addr);
         tokio::spawn(async move { peers.ask_once(addr, request).await })
     };
-    assert_eq!(ask(peer::Request::State(1, Caller::Site)).await.unwrap().unwrap(), Reply::Done);
+    assert_eq!(ask(peer::Request::State(1, Caller::Operator)).await.unwrap().unwrap(), Reply::Done);
     line.silence_open(Silence::Both);
-    let first = ask(peer::Request::State(1, Caller::Site));
+    let first = ask(peer::Request::State(1, Caller::Operator));
     sleep(WORK).await;
     // Sent to the silent connection as well.
-    let second = ask(peer::Request::State(1, Caller::Site));
+    let second = ask(peer::Request::State(1, Caller::Operator));
     assert!(first.await.unwrap().is_err());
     let third = ask(peer::Request::View("held".to_owned()));
     let second = second.await.unwrap();
--- a/testutils/tests/test_spread.rs
+++ b/testutils/tests/test_spread.rs
@@ -54,7 +54,7 @@
     let begin = |(listener, addr): (TcpListener, SocketAddr)| {
         let node = batch::node(listener, batch::addr());
         node.directory
-            .learn(addrs.iter().filter(|other| **other != addr).map(|other| (*other, 250)));
+            .set_nodes(addrs.iter().filter(|other| **other != addr).map(|other| (*other, 250)));
         node
     };
     listeners.into_iter().zip(addrs.clone()).map(begin).collect()
@@ -119,12 +119,12 @@
 #[tokio::test]
 async fn a_call_that_would_be_refused_asks_for_a_newer_version_once() {
     let nodes = nodes(2).await;
-    assert_eq!(nodes[0].newer_config().await, None, "nobody has one");
+    assert_eq!(nodes[0].fetch_newer_config().await, None, "nobody has one");
     let asked = |node: &Node| node.counters.totals().get("batch.config.asked").copied();
     assert_eq!(asked(&nodes[0]), Some(1));
     let began = Instant::now();
     for _ in 0..1_000 {
-        assert_eq!(nodes[0].newer_config().await, None);
+        assert_eq!(nodes[0].fetch_newer_config().await, None);
     }
     let most = 2 + began.elapsed().as_millis() as u64 / ASK_AGAIN_MS;
     assert!(asked(&nodes[0]) <= Some(most), "asked {:?} times", asked(&nodes[0]));
