--- a/lib/src/batch/cell.rs
+++ b/lib/src/batch/cell.rs
@@ -2,11 +2,12 @@
 //!
 //! Invariants:
 //! - A task is started only while no run of it may exist on any worker ([`Task::runs`] is 0), and
-//!   each start has a higher run number than all before it.
-//! - A run stays in its worker's slots until it is known to be gone: its end was listed, the
-//!   worker refused it, the worker's life is over, its lease has run out, or a look that was sent
-//!   after the worker had answered the start or the stop does not show it.
-//! - An end is acknowledged to the worker only after the store knows of its effect.
+//!   each start has a higher run number than all earlier ones.
+//! - A run keeps its allocation on the worker until it is known to be over there: its end was
+//!   reported, the worker refused the start, the worker's incarnation has ended, its lease has
+//!   expired, or a poll that was sent after the worker had answered the start or the stop does not
+//!   list the run.
+//! - An end is acknowledged to the worker only after its effect is in the store.
 
 mod answers;
 mod boxes;
@@ -52,44 +53,45 @@
 use crate::batch::worker::table::Table;
 use crate::batch::worker::table::WorkerNumber;
 
-/// The longest lease where nothing else is said.
+/// The longest lease a worker grants, unless the settings say otherwise.
 const DEFAULT_LONGEST_LEASE: Duration = Duration::from_millis(10_000);
 
-/// Order of steps that wait for room.
+/// Priority order of the steps with waiting tasks; the lowest rank is placed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Tasks that last come first: each second they are away is lost, and nothing catches it up.
+    /// False for steps of jobs with long-running tasks, which come first: their downtime cannot be
+    /// made up later.
     pub is_finite: bool,
-    /// Rank of the queue.
+    /// Priority of the queue; lower is first.
     pub priority: u32,
-    /// Its account had sent more jobs than its weight a second.
+    /// Its account had submitted jobs at a higher rate than its weight allows.
     pub is_over_rate: bool,
-    /// When it should be done, in milliseconds since 1970.
+    /// When it should be done, in milliseconds since the Unix epoch.
     pub objective_at: u64,
     /// The job.
     pub job: JobId,
-    /// The repetition.
+    /// The repetition of the job.
     pub repetition: u32,
-    /// The step.
+    /// The step's number within the job.
     pub step: u16,
 }
 
 impl Rank {
-    /// The rank of a step of a job, in one repetition. It stays the same as long as the job is known.
-    pub fn of(entry: &Entry, time: u32, step: u16) -> Rank {
+    /// The rank of a step in one repetition of a job. It does not change while the job is known.
+    pub fn of(entry: &Entry, repetition: u32, step: u16) -> Rank {
         Rank {
             is_finite: !entry.is_long_running(),
             priority: entry.accepted.priority,
             is_over_rate: entry.is_over_rate,
-            objective_at: entry.objective_at(time),
+            objective_at: entry.objective_at(repetition),
             job: entry.id,
-            repetition: time,
+            repetition,
             step,
         }
     }
 }
 
-/// What is to be sent to a worker.
+/// A message to be sent to a worker.
 #[derive(Debug)]
 pub enum Order {
     /// Start a task.
@@ -98,11 +100,11 @@
         peer: Peer,
         /// The task.
         task: TaskName,
-        /// Number of the start.
+        /// The run number of this start.
         run: Run,
-        /// Where to go on from.
+        /// The checkpoint to resume from; empty if there is none.
         checkpoint: String,
-        /// Permission, where the queue needs one.
+        /// The advice service's ticket for this placement; empty if the queue needs none.
         ticket: String,
     },
     /// Stop a run.
@@ -114,7 +116,7 @@
         /// The run.
         run: Run,
     },
-    /// Let a task work at a share of its speed.
+    /// Limits a task to a fraction of its speed.
     Pace {
         /// The worker.
         peer: Peer,
@@ -122,25 +124,25 @@
         task: TaskName,
         /// The run.
         run: Run,
-        /// The share, in hundredths.
+        /// The fraction, in percent.
         percent: u32,
     },
-    /// Extend the leases of a worker from now on.
+    /// Allows the worker's dispatcher to renew its leases from now on.
     Grant {
         /// The worker.
         peer: Peer,
     },
-    /// Look more often, or no longer.
+    /// Sets how often the worker is polled.
     Watch {
         /// The worker.
         peer: Peer,
-        /// More often.
+        /// Poll at the higher rate; otherwise at the normal one.
         closely: bool,
     },
 }
 
 impl Order {
-    /// The worker it goes to.
+    /// The worker the order is sent to.
     pub fn peer(&self) -> &Peer {
         match self {
             Order::Start { peer, .. }
@@ -152,149 +154,153 @@
     }
 }
 
-/// Changes that the store is to know of.
+/// Changes to be written to the store.
 #[derive(Debug, Default)]
 pub struct Flush {
     /// Records of the progress topic.
     pub records: Vec<Record>,
-    /// Jobs whose end is among them.
+    /// Jobs whose end is among the records.
     pub ended_jobs: Vec<JobId>,
-    /// Workers of which it tells that they are heard of again.
+    /// Workers recorded here as answering again.
     pub recovered: Vec<Incarnation>,
-    /// Announcements of orders to boxes up to this one are among them.
+    /// The highest announcement of box orders among the records: see [`Cell::announce_box_orders`].
     pub announcement: u64,
-    /// Tasks of which it tells how many workers crashed under them.
+    /// Tasks and the number of worker crashes recorded for each.
     pub crashes: Vec<(TaskName, usize)>,
-    /// Ends of each worker that are taken into account by then.
+    /// For each worker, the number of the last end whose effect the records include.
     pub processed: Vec<(Incarnation, u64)>,
 }
 
-/// A finished job that is to be let go of.
+/// A job that has ended and may be removed from the store.
 #[derive(Debug, PartialEq, Eq)]
 pub struct FinishedJob {
-    /// Its id and its account.
+    /// Its id and account.
     pub key: JobKey,
-    /// The store may keep the wish to cancel it.
+    /// It was cancelled, so the store may hold a cancellation request.
     pub cancelled: bool,
-    /// Partitions that keep it.
+    /// Partitions of the store that hold it.
     pub kept_in: BTreeSet<u16>,
 }
 
-/// What an earlier scheduler may have started and this one cannot know of.
+/// What an earlier scheduler may have started on workers that this one has not polled yet.
 #[derive(Debug, Default)]
 pub struct PossibleRuns {
-    /// Any task of these services.
+    /// Services of which any task may be running.
     pub services: HashSet<String>,
-    /// These tasks.
+    /// Single tasks that may be running.
     pub tasks: HashSet<TaskName>,
 }
 
-/// The end of a run whose job has not been heard of.
+/// The end of a run whose job is not known yet.
 struct EarlyEnd {
     worker: Incarnation,
     end: End,
     reported_at: Instant,
 }
 
-/// The scheduler's state.
+/// The scheduler's state: everything it knows of the jobs and workers of one cluster.
 pub struct Cell {
-    /// Number of this scheduler; workers refuse lower ones.
+    /// Fencing token of this scheduler; workers refuse orders with a lower one.
     pub token: Token,
-    /// The jobs.
+    /// All known jobs.
     pub jobs: HashMap<JobId, Entry>,
-    /// The workers.
+    /// All known workers.
     pub workers: Table,
-    /// Steps with tasks that wait for room.
+    /// Steps with tasks waiting to be placed.
     pub ready: BTreeSet<Rank>,
-    /// What accounts may have running.
+    /// Quotas of the accounts.
     quotas: Quotas,
-    /// What accounts may still send within their weights.
+    /// The job rate that each account has left within its weight.
     pub(super) allowances: Allowances,
-    /// Something may be placed that could not be before, beside what has become free on workers.
+    /// Something may have become placeable for a reason other than resources freed on a worker.
     pub(super) placement_pending: bool,
-    /// Workers may be marked as unfenced.
+    /// Some worker may have an uncertain fencing state (`Worker::fencing_uncertain`).
     pub(super) has_unfenced: bool,
-    /// Jobs may be marked as inherited.
+    /// Some job may be marked as inherited from an earlier scheduler.
     has_inherited: bool,
-    /// Jobs with tasks that last, as long as they have not ended.
+    /// Jobs with long-running tasks that have not ended.
     pub long_running_jobs: HashSet<JobId>,
-    /// Jobs of runs that were found on workers before the jobs were heard of.
+    /// Jobs that are not known yet and of which runs were found on workers.
     unknown_jobs: HashSet<JobId>,
-    /// The earlier scheduler had ended before it gave up the lead, so it can have started nothing of
-    /// jobs that were not in the store when this one read it.
+    /// The previous scheduler had stopped before it released the leader lease, so it cannot have
+    /// started tasks of jobs that were not in the store when this scheduler read it.
     pub predecessor_is_done: bool,
-    /// From when on every node that reaches the store knows of this scheduler, and tells it, and no earlier
-    /// one, of the jobs that it takes.
+    /// The time from which every node that can reach the store reports the jobs it accepts to this
+    /// scheduler and no longer to an earlier one; `None` if there is no such time.
     pub known_everywhere_from: Option<Instant>,
-    /// Workers that may run something of an earlier scheduler and have not been asked.
+    /// Workers that this scheduler has had no answer from yet and that may run tasks of an earlier
+    /// one.
     pub unpolled: HashSet<Incarnation>,
-    /// Entries in the store that name no worker to use, and why.
+    /// Invalid worker entries in the store, by worker id, with the reason.
     pub unusable: BTreeMap<WorkerId, &'static str>,
-    /// Lives that are known to be over, and since when. The store may list them for a while.
+    /// Incarnations known to have ended, and when that became known. The store may list them for a
+    /// while.
     ended_incarnations: HashMap<Incarnation, Instant>,
-    /// Tasks that may be on workers which had fallen silent under an earlier scheduler.
+    /// Tasks that may be on workers which were already unresponsive under an earlier scheduler.
     tasks_on_unresponsive: HashMap<Incarnation, HashSet<TaskName>>,
-    /// Silent workers whose boxes the last list of boxes did not name.
+    /// Unresponsive workers whose boxes were missing from the last list of boxes.
     missing_from_box_list: HashSet<Incarnation>,
-    /// What lasts and needs room that is not there, by service, in thousandths of a core: it waits, or is on boxes
-    /// that should be emptied.
+    /// CPU of long-running tasks without a place, by service, in millicores: they wait, or run on
+    /// boxes that should be emptied.
     pub unplaced_cpu: BTreeMap<String, u64>,
-    /// Machines of waves whose upkeep has begun.
+    /// Machines whose maintenance has started, by wave.
     pub maintenance_started: HashMap<u64, HashSet<MachineId>>,
-    /// When a scheduler first saw each wave, since 1970.
+    /// When a scheduler first saw each wave, as time since the Unix epoch.
     pub waves_first_seen: HashMap<u64, Duration>,
-    /// Waves that are over.
+    /// Waves that have ended.
     pub ended_waves: HashSet<u64>,
-    /// Repetitions that are not due yet: when, since 1970.
+    /// Repetitions that are not due yet, by due time since the Unix epoch.
     scheduled: BTreeSet<(Duration, JobId, u32)>,
     dirty_jobs: HashSet<JobId>,
-    /// Records of jobs under ids that are another account's, by partition.
+    /// Stored jobs whose id belongs to another account's job, with the partition that holds them.
     id_conflicts: BTreeSet<(JobKey, u16)>,
-    /// Jobs with tasks under which workers crashed, of which the store is to know.
+    /// Jobs whose crash records have to be written to the store.
     dirty_crashes: HashSet<JobId>,
-    /// Tasks of some job may be suspects.
+    /// Some job may have suspect tasks.
     pub(super) has_suspects: bool,
-    /// How often crashes come under the same tasks again.
+    /// How often workers crash repeatedly under the same tasks.
     pub(super) repeated_crashes: RepeatRate,
-    /// Silent workers whose leases have run out, and that may have crashed.
+    /// Unresponsive workers whose leases have expired and that may have crashed.
     crash_candidates: HashMap<Incarnation, CrashCandidate>,
-    /// When workers that are not known any more fell silent.
+    /// When removed workers became unresponsive.
     outages: Outages,
-    /// Crashes that were counted, and what came of them.
+    /// Counters of worker crashes and their effects.
     pub stats: WorkerStats,
-    /// Workers that the store is to know of, or to forget.
+    /// Records to be written with the next flush.
     pending_records: Vec<Record>,
-    /// Number of the last announcement of orders to boxes.
+    /// Number of the last announcement of box orders.
     last_announcement: u64,
-    /// The last one that the store knows.
+    /// Number of the last announcement that the store has.
     stored_announcement: u64,
-    /// Orders to be sent.
+    /// Orders to be sent to workers.
     pub outbox: Vec<Order>,
-    /// Workers that are not known any more, by number.
+    /// Workers that were removed, by number.
     pub removed: Vec<WorkerNumber>,
-    /// Workers that a carrier is to take: they were met by an answer, or are called otherwise from now on.
+    /// Workers to be assigned to a dispatcher again: they were discovered through an answer, or
+    /// their address or token has changed.
     pub reassigned: Vec<WorkerNumber>,
-    /// The longest lease that a worker grants, whatever it is asked for.
+    /// The longest lease a worker grants, regardless of the time requested.
     pub longest_lease: Duration,
-    /// Workers that were weighed for a task, over all.
+    /// Total number of workers examined for placements.
     pub examined_workers: u64,
-    /// How long the tasks waited that were ordered to start.
+    /// Waiting times of the tasks that were ordered to start.
     pub wait_times: Vec<Duration>,
-    /// A newer scheduler was heard of.
+    /// A newer scheduler is known to exist.
     pub is_fenced: bool,
-    /// When the call was sent that last renewed the lead; none where the lead plays no part.
+    /// When the call that last renewed the leader lease was sent; `None` where no leader lease is
+    /// used.
     pub renewed_at: Option<Instant>,
-    /// Ends of runs whose job has not been heard of. They are not acknowledged before the job has
-    /// come or its time is over.
+    /// Ends of runs whose jobs are not known yet. They are acknowledged once the job arrives or the
+    /// wait for it times out.
     early_ends: Vec<EarlyEnd>,
-    /// What is learned of the load.
+    /// Observed load.
     pub demand: Demand,
-    /// What the advice service has said.
+    /// Answers of the advice service.
     pub advices: AdviceCache,
 }
 
 impl Cell {
-    /// An empty state.
+    /// A state without jobs and workers.
     pub fn new(token: Token) -> Cell {
         Cell {
             token,
@@ -346,8 +352,9 @@
     }
 }
 
-/// The next run number of a task: above all used before, and above all that an earlier scheduler
-/// used, since tokens rise with each scheduler faster than runs within one.
+/// The next run number of a task. It is higher than all earlier ones, including those of earlier
+/// schedulers: the token grows faster from one scheduler to the next than run numbers do within one
+/// scheduler.
 pub fn next_run(task: &Task, token: Token) -> Run {
     (task.last_run + 1).max(token)
 }
--- a/lib/src/batch/cell/answers.rs
+++ b/lib/src/batch/cell/answers.rs
@@ -1,4 +1,4 @@
-//! What workers answer to orders, and what follows from silence.
+//! Handles the answers of workers to orders, and missing answers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,24 +11,32 @@
 use crate::batch::cell::Cell;
 use crate::batch::worker::Phase;
 
-/// How long a worker rests after it failed to answer an order.
+/// Backoff of a worker that did not answer an order.
 const BACKOFF_UNANSWERED: Duration = Duration::from_millis(1_000);
-/// How long a worker rests after it refused an order as unhealthy.
+/// Backoff of a worker that refused an order as unhealthy.
 const BACKOFF_UNHEALTHY: Duration = Duration::from_millis(2_000);
-/// How long a worker rests after it said that it has no room although it should have.
+/// Backoff of a worker that reported too few resources although it should have enough.
 const BACKOFF_FULL: Duration = Duration::from_millis(150);
 
 impl Cell {
-    /// A start was taken.
-    pub fn on_started(&mut self, life: &Incarnation, task: TaskName, run: Run, now: Instant) {
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
+    /// Records that a worker accepted a start.
+    pub fn on_started(
+        &mut self,
+        incarnation: &Incarnation,
+        task: TaskName,
+        run: Run,
+        now: Instant,
+    ) {
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
         worker.last_answer_at = worker.last_answer_at.max(now);
-        let Some(slot) = worker.allocations.get_mut(&task).filter(|slot| slot.run == run) else {
+        let Some(allocation) =
+            worker.allocations.get_mut(&task).filter(|allocation| allocation.run == run)
+        else {
             return;
         };
-        slot.confirmed = true;
-        if slot.phase == Phase::Starting {
-            slot.phase = Phase::Live(now);
+        allocation.confirmed = true;
+        if allocation.phase == Phase::Starting {
+            allocation.phase = Phase::Live(now);
         }
         if let Some(entry) = self.jobs.get_mut(&task.job)
             && !entry.started
@@ -38,68 +46,86 @@
         }
     }
 
-    /// A start was answered by a clock that this life cannot have, so a later one may have taken it. The lease that it
-    /// asked for is as long as a worker grants, by that clock.
-    pub fn on_off_clock(&mut self, life: &Incarnation, now: Instant) {
-        let longest = self.longest_lease;
-        if let Some(mut worker) = self.workers.get_mut(life) {
-            worker.record_possible_renewal(now, longest);
+    /// Handles an answer to a start whose clock value this incarnation cannot have: a later
+    /// incarnation may have accepted the start. The lease requested with it then lasts as long as a
+    /// worker grants, by the later incarnation's clock.
+    pub fn on_off_clock(&mut self, incarnation: &Incarnation, now: Instant) {
+        let longest_lease = self.longest_lease;
+        if let Some(mut worker) = self.workers.get_mut(incarnation) {
+            worker.record_possible_renewal(now, longest_lease);
         }
     }
 
-    /// A start was not taken; it is certain that it never will be. What a higher token says is told apart: see
-    /// [`Cell::on_fenced`].
+    /// Handles a refused start: it is certain that it will never run. [`Cell::on_fenced`] decides
+    /// what a refusal because of a higher token means.
     pub fn on_refused(
         &mut self,
-        life: &Incarnation,
+        incarnation: &Incarnation,
         task: TaskName,
         run: Run,
-        why: Option<Refusal>,
+        refusal: Option<Refusal>,
         now: Instant,
     ) {
-        if why == Some(Refusal::Fenced) && self.is_fenced {
-            // A later scheduler has this task now.
+        if refusal == Some(Refusal::Fenced) && self.is_fenced {
+            // A later scheduler is responsible for this task now.
             return;
         }
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
-        let rest = match why {
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
+        let backoff = match refusal {
             Some(Refusal::NoRoom) => BACKOFF_FULL,
             Some(Refusal::Unhealthy) => BACKOFF_UNHEALTHY,
             Some(Refusal::OtherLife) | None => BACKOFF_UNANSWERED,
             _ => Duration::ZERO,
         };
-        worker.backoff_until = worker.backoff_until.max(now + rest);
-        let is_there = worker.allocations.get(&task).is_some_and(|slot| slot.run == run);
-        let slot = if is_there { worker.remove(&task) } else { None };
+        worker.backoff_until = worker.backoff_until.max(now + backoff);
+        let is_allocated =
+            worker.allocations.get(&task).is_some_and(|allocation| allocation.run == run);
+        let allocation = if is_allocated { worker.remove(&task) } else { None };
         drop(worker);
-        if let Some(slot) = slot {
-            self.release_run(task, slot);
+        if let Some(allocation) = allocation {
+            self.release_run(task, allocation);
         }
-        if why == Some(Refusal::Ticket) {
-            self.advices.invalidate_ticket((task.job, task.repetition, task.step), life);
+        if refusal == Some(Refusal::Ticket) {
+            self.advices.invalidate_ticket((task.job, task.repetition, task.step), incarnation);
         }
-        if why == Some(Refusal::OtherLife) {
-            self.mark_ended(life, "another life answers at its address");
+        if refusal == Some(Refusal::OtherLife) {
+            self.mark_ended(incarnation, "another incarnation answers at its address");
         }
     }
 
-    /// A start had no answer: it may have been taken, or may be taken later. The run is stopped,
-    /// so that the worker refuses it from then on, before the task is started elsewhere.
-    pub fn on_unanswered(&mut self, life: &Incarnation, task: TaskName, run: Run, now: Instant) {
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
+    /// Handles a start without an answer: the worker may have accepted it, or may do so later. The
+    /// run is stopped, so that the worker refuses the start from then on, before the task is
+    /// started elsewhere.
+    pub fn on_unanswered(
+        &mut self,
+        incarnation: &Incarnation,
+        task: TaskName,
+        run: Run,
+        now: Instant,
+    ) {
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
         worker.backoff_until = worker.backoff_until.max(now + BACKOFF_UNANSWERED);
-        let is_there = worker.allocations.get(&task).is_some_and(|slot| slot.run == run);
+        let is_allocated =
+            worker.allocations.get(&task).is_some_and(|allocation| allocation.run == run);
         drop(worker);
-        if is_there {
-            self.stop_run(life, task);
+        if is_allocated {
+            self.stop_run(incarnation, task);
         }
     }
 
-    /// A worker has taken a stop.
-    pub fn on_stopped(&mut self, life: &Incarnation, task: TaskName, run: Run, now: Instant) {
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
-        if let Some(slot) = worker.allocations.get_mut(&task).filter(|slot| slot.run == run) {
-            slot.phase = Phase::Stopping(Some(now));
+    /// Records that a worker accepted a stop.
+    pub fn on_stopped(
+        &mut self,
+        incarnation: &Incarnation,
+        task: TaskName,
+        run: Run,
+        now: Instant,
+    ) {
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
+        if let Some(allocation) =
+            worker.allocations.get_mut(&task).filter(|allocation| allocation.run == run)
+        {
+            allocation.phase = Phase::Stopping(Some(now));
         }
     }
 }
--- a/lib/src/batch/cell/boxes.rs
+++ b/lib/src/batch/cell/boxes.rs
@@ -1,9 +1,10 @@
-//! What the platform's list of boxes says of the lives of workers.
+//! Detects ended workers by the platform's list of boxes.
 //!
-//! A worker that does not answer may be cut off and run on, so what it runs counts as running until its leases are over.
-//! The list tells the two apart: the box of one that is cut off is up with that worker on it. A worker that was met
-//! before the list was asked for was born before it, so if its box is then down, under way, up with another worker, or
-//! not there, that life is over and runs nothing.
+//! A worker that does not answer may only be cut off from the network and still run its tasks, so
+//! these count as running until its leases expire. The list tells the two cases apart: the box of a
+//! worker that is cut off is up with that worker on it. A worker that was discovered before the
+//! list was requested had started before it. If its box is then down, moving, in maintenance, up
+//! with another worker, or not listed, the worker's incarnation has ended and runs nothing.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -17,14 +18,14 @@
 use crate::batch::worker::Worker;
 use crate::transport::clock;
 
-/// Why a worker's life is over, by the list.
+/// Why a worker's incarnation has ended, according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EndReason {
     /// Its box is down.
     Down,
-    /// Its box was ordered to another pool, or down for its upkeep.
+    /// Its box was ordered to another pool or to maintenance.
     Ordered,
-    /// Another worker lives on its box.
+    /// Another worker runs on its box.
     Replaced,
     /// Its box is not listed any more.
     Removed,
@@ -34,7 +35,7 @@
     fn as_str(self) -> &'static str {
         match self {
             EndReason::Down => "its box is down",
-            EndReason::Ordered => "its box was ordered",
+            EndReason::Ordered => "its box was ordered to move or to maintenance",
             EndReason::Replaced => "the list names another worker on its box",
             EndReason::Removed => "its box is not listed any more",
         }
@@ -42,54 +43,59 @@
 }
 
 impl Cell {
-    /// Whether a silent worker keeps tasks waiting that the list of boxes may set free.
+    /// Whether tasks may be waiting for an unresponsive worker that the list of boxes may show to
+    /// have ended.
     pub fn is_blocked_by_unresponsive(&self) -> bool {
-        let keeps_waiting = |worker: &Worker| {
-            let holds =
+        let may_block_tasks = |worker: &Worker| {
+            let has_runs =
                 !worker.allocations.is_empty() || self.unpolled.contains(&worker.peer.incarnation);
-            holds && worker.is_unresponsive() && worker.entry.machine.is_some()
+            has_runs && worker.is_unresponsive() && worker.entry.machine.is_some()
         };
-        self.workers.values().any(keeps_waiting)
+        self.workers.values().any(may_block_tasks)
     }
 
-    /// Ends the lives of which the list of all boxes, asked for at `asked_at`, shows that they are over.
-    pub fn end_incarnations_by_box_list(&mut self, list: &[Machine], asked_at: Instant) {
+    /// Marks incarnations as ended that the list of all boxes, requested at `requested_at`, shows
+    /// to have ended.
+    pub fn end_incarnations_by_box_list(&mut self, list: &[Machine], requested_at: Instant) {
         let boxes: HashMap<&str, &Machine> =
             list.iter().map(|machine| (machine.id.as_str(), machine)).collect();
         let is_older = |worker: &&Worker| {
-            worker.discovered_at <= asked_at
-                && worker.last_poll_answer_at().is_none_or(|at| at <= asked_at)
+            worker.discovered_at <= requested_at
+                && worker.last_poll_answer_at().is_none_or(|at| at <= requested_at)
         };
-        let over = self.workers.values().filter(is_older).filter_map(|worker| {
+        let ended = self.workers.values().filter(is_older).filter_map(|worker| {
             let machine = worker.entry.machine.as_ref()?;
             Some((
                 worker.peer.incarnation.clone(),
                 end_reason(worker, boxes.get(machine.as_str()))?,
             ))
         });
-        let (removed, over): (Vec<_>, Vec<_>) =
-            over.partition(|(_, why)| *why == EndReason::Removed);
-        // The pages of a list are not read in one moment, so a box may be missing in one of them.
-        let removed: HashSet<Incarnation> = removed.into_iter().map(|(life, _)| life).collect();
-        let twice = removed
+        let (removed, ended): (Vec<_>, Vec<_>) =
+            ended.partition(|(_, reason)| *reason == EndReason::Removed);
+        // The pages of a list are read one after another, so a box that changes meanwhile may be
+        // missing from all of them. Only two lists in a row without the box count.
+        let removed: HashSet<Incarnation> =
+            removed.into_iter().map(|(incarnation, _)| incarnation).collect();
+        let missing_twice = removed
             .intersection(&self.missing_from_box_list)
-            .map(|life| (life.clone(), EndReason::Removed));
-        let over: Vec<(Incarnation, EndReason)> = over.into_iter().chain(twice).collect();
+            .map(|incarnation| (incarnation.clone(), EndReason::Removed));
+        let ended: Vec<(Incarnation, EndReason)> = ended.into_iter().chain(missing_twice).collect();
         self.missing_from_box_list = removed;
-        // All are silent before the first crash is weighed: each speaks for what ran on the others.
-        for (life, why) in &over {
-            self.record_end_reason(life, *why);
+        // All of them are marked unresponsive before the first crash is evaluated: each crash
+        // weakens the evidence against the tasks on the others.
+        for (incarnation, reason) in &ended {
+            self.record_end_reason(incarnation, *reason);
         }
-        self.stats.ended_by_box_list += over.len() as u64;
-        for (life, why) in over {
-            self.mark_ended(&life, why.as_str());
+        self.stats.ended_by_box_list += ended.len() as u64;
+        for (incarnation, reason) in ended {
+            self.mark_ended(&incarnation, reason.as_str());
         }
     }
 
-    fn record_end_reason(&mut self, life: &Incarnation, why: EndReason) {
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
-        if why == EndReason::Ordered {
-            // Nothing that it ran is to blame.
+    fn record_end_reason(&mut self, incarnation: &Incarnation, reason: EndReason) {
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
+        if reason == EndReason::Ordered {
+            // The box was taken down on purpose, so none of its tasks is to blame.
             worker.cordoned = true;
         }
         worker.failed_polls = worker.failed_polls.max(1);
@@ -97,7 +103,8 @@
     }
 }
 
-/// Whether a worker's life is over by what the list says of its box.
+/// Why a worker's incarnation has ended by the list's entry of its box; `None` if the list does not
+/// show that it has.
 fn end_reason(worker: &Worker, listed: Option<&&Machine>) -> Option<EndReason> {
     let Some(machine) = listed else {
         return worker.is_unresponsive().then_some(EndReason::Removed);
@@ -107,8 +114,9 @@
         Status::Down if machine.pool != worker.entry.service => Some(EndReason::Ordered),
         Status::Down => Some(EndReason::Down),
         Status::Up => {
-            let other = machine.worker.as_ref().is_some_and(|id| *id != worker.peer.incarnation.id);
-            other.then_some(EndReason::Replaced)
+            let is_replaced =
+                machine.worker.as_ref().is_some_and(|id| *id != worker.peer.incarnation.id);
+            is_replaced.then_some(EndReason::Replaced)
         }
     }
 }
--- a/lib/src/batch/cell/caller_jobs.rs
+++ b/lib/src/batch/cell/caller_jobs.rs
@@ -1,4 +1,4 @@
-//! What callers see of their jobs, and what is kept of those that have ended.
+//! Jobs as seen by their callers, and the removal of jobs that have ended.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,33 +16,34 @@
 use crate::state::id::AccountId;
 
 impl Cell {
-    /// The state that a job is shown in to a caller; `None` if there is none of theirs.
+    /// The state of a job as shown to a caller; `None` if no such job belongs to them.
     pub fn job_state_for(&self, id: JobId, caller: &Caller) -> Option<JobState> {
         let entry = self.jobs.get(&id).filter(|entry| caller.may_use(&entry.accepted));
         entry.map(Entry::visible_state)
     }
 
-    /// Cancels a job for a caller; `None` if there is none of theirs.
+    /// Cancels a job for a caller and returns its state; `None` if no such job belongs to them.
     pub fn cancel_for(&mut self, id: JobId, caller: &Caller) -> Option<JobState> {
         self.job_state_for(id, caller)?;
         self.cancel(id)
     }
 
-    /// Whether a job is known and belongs to an account, or to none.
+    /// Whether a job is known and belongs to `account`; `None` stands for jobs without an account.
     pub fn is_job_of(&self, id: JobId, account: Option<&AccountId>) -> bool {
         self.jobs.get(&id).is_some_and(|entry| entry.accepted.account.as_ref() == account)
     }
 
-    /// Jobs of a queue that a caller may count, none of whose tasks has begun.
+    /// The number of active jobs in a queue that the caller may see and of which no task has
+    /// started.
     pub fn count_pending(&self, queue: &str, caller: &Caller) -> u32 {
-        let waits =
+        let is_waiting =
             |entry: &&Entry| entry.accepted.queue == queue && entry.is_active() && !entry.started;
-        let waiting = self.jobs.values().filter(waits);
+        let waiting = self.jobs.values().filter(is_waiting);
         waiting.filter(|entry| caller.may_use(&entry.accepted)).count() as u32
     }
 
-    /// A partition keeps a job. Until that is known the job is not let go of: what is left behind
-    /// there would be taken for a new job by the next scheduler.
+    /// Records that a partition of the store holds a job. The job is not removed before at least
+    /// one partition is known: a record left behind would be a new job to the next scheduler.
     pub fn record_kept(&mut self, key: JobKey, partition: u16) {
         match self.jobs.get_mut(&key.id) {
             Some(entry) if entry.accepted.account == key.account => {
@@ -53,19 +54,20 @@
         }
     }
 
-    /// A partition keeps a job under an id that is another account's; it is to be let go of.
+    /// Records that a partition holds a job under an id of another account's job; that record is to
+    /// be removed.
     pub fn record_id_conflict(&mut self, key: JobKey, partition: u16) {
         if self.id_conflicts.insert((key, partition)) {
-            log::info!("a job under the id of another account's is not taken");
+            log::info!("job rejected: its id belongs to a job of another account");
         }
     }
 
-    /// Takes the records of such jobs.
+    /// Takes the records found by [`Self::record_id_conflict`] since the last call.
     pub fn take_id_conflicts(&mut self) -> BTreeSet<(JobKey, u16)> {
         std::mem::take(&mut self.id_conflicts)
     }
 
-    /// Jobs that ended longer than `keep` ago and may be let go of in the store.
+    /// Jobs that ended more than `keep` ago and may be removed from the store.
     pub fn finished_jobs(&self, keep: Duration, now: Instant) -> Vec<FinishedJob> {
         let is_old = |entry: &&Entry| {
             let ended = entry.ended_at.is_some_and(|at| now.saturating_duration_since(at) > keep);
@@ -80,8 +82,8 @@
         finished.collect()
     }
 
-    /// Lets go of a finished job, which no partition keeps any more. That comes first: a job whose
-    /// end the store has forgotten would be run again by the next scheduler.
+    /// Forgets a job that has ended. The caller has removed it from all partitions before: if the
+    /// store forgot its end first, the next scheduler would run the job again.
     pub fn forget_job(&mut self, id: JobId) {
         if let Some(entry) = self.jobs.remove(&id) {
             self.advices.forget_job(id);
--- a/lib/src/batch/cell/flush.rs
+++ b/lib/src/batch/cell/flush.rs
@@ -1,4 +1,4 @@
-//! What the store is to know.
+//! Collects the changes to be written to the store.
 
 use std::collections::HashSet;
 
@@ -11,28 +11,29 @@
 use crate::batch::record::Crashes;
 
 impl Cell {
-    /// The store is to know that these boxes are about to be ordered; the announcement's number.
+    /// Queues a record that these boxes are about to be ordered; returns the announcement's number.
+    /// The order may be sent once [`Self::stored_announcement`] has reached it.
     pub fn announce_box_orders(&mut self, boxes: &HashSet<MachineId>) -> u64 {
         self.pending_records.push(record::ordered(boxes));
         self.last_announcement += 1;
         self.last_announcement
     }
 
-    /// Number of the last announcement that the store knows of.
+    /// Number of the last announcement that is in the store.
     pub fn stored_announcement(&self) -> u64 {
         self.stored_announcement
     }
 
-    /// Whether [`Cell::take_flush`] would return anything.
+    /// Whether [`Cell::take_flush`] would return any change.
     pub fn needs_flush(&self) -> bool {
-        let has_unsaid = self.workers.with_pending_ends().next().is_some();
+        let has_pending_ends = self.workers.with_pending_ends().next().is_some();
         !self.dirty_jobs.is_empty()
             || !self.dirty_crashes.is_empty()
             || !self.pending_records.is_empty()
-            || has_unsaid
+            || has_pending_ends
     }
 
-    /// Takes the changes since the last time.
+    /// Takes the changes since the last call.
     pub fn take_flush(&mut self) -> Flush {
         let records = std::mem::take(&mut self.pending_records);
         let mut flush = Flush { records, announcement: self.last_announcement, ..Flush::default() };
@@ -47,14 +48,15 @@
             let Some(entry) = self.jobs.get(&id) else { continue };
             let crashed = entry.crashed_tasks();
             let crashes: Crashes =
-                crashed.map(|(place, task)| (place, task.crashes.clone())).collect();
+                crashed.map(|(position, task)| (position, task.crashes.clone())).collect();
             let record = match crashes.is_empty() {
                 true => record::forget_crashes(id),
                 false => record::crashes(id, &crashes),
             };
             flush.records.push(record);
-            let counted = crashes.iter().map(|((time, step, index), crashes)| {
-                let name = TaskName { job: id, repetition: *time, step: *step, index: *index };
+            let counted = crashes.iter().map(|((repetition, step, index), crashes)| {
+                let name =
+                    TaskName { job: id, repetition: *repetition, step: *step, index: *index };
                 (name, crashes.len())
             });
             flush.crashes.extend(counted);
@@ -63,17 +65,19 @@
             flush.recovered.push(worker.peer.incarnation.clone());
         }
         for worker in self.workers.with_pending_ends() {
-            let life = worker.peer.incarnation.clone();
-            let early = self.early_ends.iter().filter(|early| early.worker == life);
-            let held = early.map(|early| early.end.number - 1).min();
-            flush
-                .processed
-                .push((life, held.unwrap_or(worker.processed_end).min(worker.processed_end)));
+            let incarnation = worker.peer.incarnation.clone();
+            let early_ends =
+                self.early_ends.iter().filter(|early_end| early_end.worker == incarnation);
+            let last_before_early = early_ends.map(|early_end| early_end.end.number - 1).min();
+            flush.processed.push((
+                incarnation,
+                last_before_early.unwrap_or(worker.processed_end).min(worker.processed_end),
+            ));
         }
         flush
     }
 
-    /// The store knows of these changes.
+    /// Handles that these changes are in the store.
     pub fn on_flushed(&mut self, flush: &Flush) {
         self.stored_announcement = self.stored_announcement.max(flush.announcement);
         for id in &flush.ended_jobs {
@@ -88,14 +92,14 @@
                 self.placement_pending = true;
             }
         }
-        for life in &flush.recovered {
-            if let Some(mut worker) = self.workers.get_mut(life) {
+        for incarnation in &flush.recovered {
+            if let Some(mut worker) = self.workers.get_mut(incarnation) {
                 worker.recovering = false;
             }
-            self.grant_leases(life);
+            self.grant_leases(incarnation);
         }
-        for (life, processed) in &flush.processed {
-            if let Some(mut worker) = self.workers.get_mut(life) {
+        for (incarnation, processed) in &flush.processed {
+            if let Some(mut worker) = self.workers.get_mut(incarnation) {
                 worker.durable_end = worker.durable_end.max(*processed);
             }
         }
--- a/lib/src/batch/cell/incarnations.rs
+++ b/lib/src/batch/cell/incarnations.rs
@@ -1,4 +1,5 @@
-//! Lives of workers: which are known of an id, which of them lives, and what orders to each are told by.
+//! Incarnations of workers: which ones are known under an id, which one is running, and at what
+//! address and with what token each is called.
 
 use std::time::Instant;
 
@@ -20,10 +21,12 @@
 use crate::batch::worker::compose_token as worker_token;
 
 impl Cell {
-    /// Takes in a worker's entry; returns whether its life is new. An entry of a life that is over says nothing.
+    /// Applies a worker's entry in the store; returns whether its incarnation is new. An entry of
+    /// an ended incarnation is ignored.
     ///
-    /// A life that is new by its entry takes nothing from the one that is known under its id: the entry may be the older
-    /// one, read late. Which of them lives is told by answers: see [`Cell::end_other_lives`].
+    /// A new incarnation does not replace one that is known under the same id: its entry may be the
+    /// older one, read late. Only answers show which of them is running: see
+    /// [`Cell::end_other_incarnations`].
     pub fn discover(&mut self, peer: Peer, entry: worker::Entry, now: Instant) -> bool {
         let peer = Peer { incarnation: self.resolve_incarnation(peer.incarnation), ..peer };
         self.unusable.remove(&peer.incarnation.id);
@@ -38,13 +41,14 @@
         true
     }
 
-    /// What an entry that tells no birth is of: the life that is known under its id.
-    fn resolve_incarnation(&self, life: Incarnation) -> Incarnation {
-        let current = self.workers.current(&life.id).filter(|_| life.birth_ms.is_none());
-        current.map(|worker| worker.peer.incarnation.clone()).unwrap_or(life)
+    /// An entry without a birth time belongs to the incarnation that is known under its id.
+    fn resolve_incarnation(&self, incarnation: Incarnation) -> Incarnation {
+        let current =
+            self.workers.current(&incarnation.id).filter(|_| incarnation.birth_ms.is_none());
+        current.map(|worker| worker.peer.incarnation.clone()).unwrap_or(incarnation)
     }
 
-    /// A known worker is called here from now on.
+    /// Updates the address of a known worker.
     fn update_address(&mut self, peer: &Peer) {
         let Some(mut worker) = self.workers.get_mut(&peer.incarnation) else { return };
         if worker.peer.addr == peer.addr {
@@ -55,142 +59,162 @@
         self.reassign(&peer.incarnation);
     }
 
-    /// A worker is known from now on, also to the store.
+    /// Adds a worker, also to the store.
     fn add_worker(&mut self, worker: Worker) {
         self.pending_records.push(record::worker(&worker.peer.incarnation, &worker.to_stored()));
         self.insert_worker(worker);
     }
 
-    /// A worker is known from now on. Where its id has had another life, which of them is the later one is not known yet,
-    /// and orders meant for the earlier one may be carried out by it: see [`Worker::is_later_life`].
+    /// Adds a worker. If its id has had another incarnation, it is not known yet which of them is
+    /// the later one, and the later one may execute orders meant for the earlier: see
+    /// [`Worker::is_later_incarnation`].
     pub(super) fn insert_worker(&mut self, worker: Worker) {
         let id = worker.peer.incarnation.id.clone();
         let has_others = self.workers.current(&id).is_some()
-            || self.ended_incarnations.keys().any(|gone| gone.id == id);
+            || self.ended_incarnations.keys().any(|ended| ended.id == id);
         self.workers.insert(worker);
         if has_others {
-            let longest = self.longest_lease;
+            let longest_lease = self.longest_lease;
             self.update_incarnations(&id, |worker| {
                 worker.is_later_incarnation = true;
-                worker.record_possible_renewal(worker.discovered_at, longest);
+                worker.record_possible_renewal(worker.discovered_at, longest_lease);
             });
         }
     }
 
-    /// A worker's carrier is to take it anew, with a higher token, as it is called now. Stops that it was told to send are
-    /// told again.
-    fn reassign(&mut self, life: &Incarnation) {
-        self.workers.raise_fence(life);
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
+    /// Assigns a worker to its dispatcher again, with a higher token and its present address. Stops
+    /// that were not answered are sent again.
+    fn reassign(&mut self, incarnation: &Incarnation) {
+        self.workers.raise_fence(incarnation);
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
         worker.fast_polling = false;
         self.reassigned.push(worker.number);
         let peer = worker.peer.clone();
-        let open =
-            worker.allocations.iter().filter(|(_, slot)| slot.phase == Phase::Stopping(None));
-        let open: Vec<(TaskName, Run)> = open.map(|(task, slot)| (*task, slot.run)).collect();
+        let unanswered = worker
+            .allocations
+            .iter()
+            .filter(|(_, allocation)| allocation.phase == Phase::Stopping(None));
+        let unanswered: Vec<(TaskName, Run)> =
+            unanswered.map(|(task, allocation)| (*task, allocation.run)).collect();
         drop(worker);
-        for (task, run) in open {
+        for (task, run) in unanswered {
             self.outbox.push(Order::Stop { peer: peer.clone(), task, run });
         }
     }
 
-    /// Another life answers where this one is called and had answered before. What it ran is settled once the later one
-    /// has answered to a token of its own: until then an order meant for this life may be carried out there.
-    pub fn on_other_incarnation(&mut self, life: &Incarnation, born: BirthMs, now: Instant) {
-        let later = Incarnation::new(life.id.clone(), Some(born));
-        let longest = self.longest_lease;
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
-        worker.record_possible_renewal(now, longest);
+    /// Handles an answer of another incarnation at the address where `incarnation` had answered
+    /// before. The runs of `incarnation` are released once the later one has answered to a token of
+    /// its own: until then it may execute orders meant for `incarnation`.
+    pub fn on_other_incarnation(
+        &mut self,
+        incarnation: &Incarnation,
+        birth_ms: BirthMs,
+        now: Instant,
+    ) {
+        let later = Incarnation::new(incarnation.id.clone(), Some(birth_ms));
+        let longest_lease = self.longest_lease;
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
+        worker.record_possible_renewal(now, longest_lease);
         let (fence, peer) =
             (worker.fence, Peer { incarnation: later.clone(), ..worker.peer.clone() });
-        let known = worker.to_stored();
+        let stored = worker.to_stored();
         drop(worker);
-        self.on_failed_poll(life);
+        self.on_failed_poll(incarnation);
         if let Some(other) = self.workers.get(&later) {
-            // It was met first, so its token is too low by now.
+            // It was discovered first, so its token is now too low.
             if other.fence < fence {
                 self.reassign(&later);
             }
         } else if self.ended_incarnations.contains_key(&later) {
-            self.mark_ended(life, "an answer of a life that is over has come late");
+            self.mark_ended(incarnation, "late answer of an ended incarnation");
         } else {
-            log::info!(worker:% = later, before:% = life; "another life answers, its entry has not come");
-            self.add_worker(unlisted_worker(peer, known, now));
+            log::info!(
+                worker:% = later,
+                before:% = incarnation;
+                "another incarnation answers before its entry is listed"
+            );
+            self.add_worker(unlisted_worker(peer, stored, now));
             self.reassigned.extend(self.workers.get(&later).map(|worker| worker.number));
         }
     }
 
-    /// A worker has refused an order since it has seen a higher token than this: that of a later scheduler, or one that
-    /// this scheduler has given to another life with its id.
-    pub fn on_fenced(&mut self, life: &Incarnation, token: Token) {
-        let Some(worker) = self.workers.get(life) else { return };
+    /// Handles a worker's refusal because it has seen a token higher than `token`: that of a later
+    /// scheduler, or one that this scheduler has given to another incarnation with the same id.
+    pub fn on_fenced(&mut self, incarnation: &Incarnation, token: Token) {
+        let Some(worker) = self.workers.get(incarnation) else { return };
         if token < worker_token(self.token, worker.fence) {
             return;
         }
-        if self.workers.fence_of(&life.id) > worker.fence {
-            self.reassign(life);
+        if self.workers.fence_of(&incarnation.id) > worker.fence {
+            self.reassign(incarnation);
         } else {
             self.is_fenced = true;
         }
     }
 
-    /// Changes each life that is known of an id.
+    /// Applies `change` to each incarnation known under an id.
     pub(super) fn update_incarnations(&mut self, id: &str, change: impl Fn(&mut Worker)) {
-        let lives: Vec<Incarnation> =
+        let incarnations: Vec<Incarnation> =
             self.workers.incarnations(id).map(|other| other.peer.incarnation.clone()).collect();
-        for life in lives {
-            if let Some(mut worker) = self.workers.get_mut(&life) {
+        for incarnation in incarnations {
+            if let Some(mut worker) = self.workers.get_mut(&incarnation) {
                 change(&mut worker);
             }
         }
     }
 
-    /// Removes lives of which this one, that has answered a look sent at `sent`, shows that they are over: those on its
-    /// machine before it, and those with its id. Which of two lives is the later one is told by answers only, since reads
-    /// of the store and of the list of machines may be seconds old, and a life's own account of its birth goes by a time
-    /// of day that may jump.
-    pub(super) fn end_other_incarnations(&mut self, life: &Incarnation, sent: Instant) {
-        let Some(worker) = self.workers.get(life) else { return };
-        let (number, met_at) = (worker.number, worker.discovered_at);
-        let same_id = self.workers.incarnations(&life.id).filter(|other| {
-            // What was met or heard after the look was sent may be later still.
-            let is_before = other.discovered_at <= sent
-                && other.last_poll_answer_at().is_none_or(|at| at <= sent);
+    /// Removes incarnations that have ended according to the answer of this one to a poll sent at
+    /// `sent_at`: those with its id, and those of other ids on its machine.
+    ///
+    /// Only answers decide which of two incarnations is the later one: the store and the list of
+    /// machines may be seconds old when read, and a birth time comes from a wall clock that may
+    /// jump.
+    pub(super) fn end_other_incarnations(&mut self, incarnation: &Incarnation, sent_at: Instant) {
+        let Some(worker) = self.workers.get(incarnation) else { return };
+        let (number, discovered_at) = (worker.number, worker.discovered_at);
+        let same_id = self.workers.incarnations(&incarnation.id).filter(|other| {
+            // One that was discovered or answered after the poll was sent may be later still.
+            let is_before = other.discovered_at <= sent_at
+                && other.last_poll_answer_at().is_none_or(|at| at <= sent_at);
             other.number != number && is_before
         });
         let same_id: Vec<Incarnation> =
             same_id.map(|other| other.peer.incarnation.clone()).collect();
         let on_box = worker.entry.machine.as_ref().map(|machine| self.workers.on_box(machine));
-        let on_box =
-            on_box.into_iter().flatten().filter(|other| other.peer.incarnation.id != life.id);
+        let on_box = on_box
+            .into_iter()
+            .flatten()
+            .filter(|other| other.peer.incarnation.id != incarnation.id);
         let on_box: Vec<(Incarnation, bool)> = on_box
-            .map(|other| (other.peer.incarnation.clone(), other.discovered_at < met_at))
+            .map(|other| (other.peer.incarnation.clone(), other.discovered_at < discovered_at))
             .collect();
         for other in same_id {
-            self.mark_ended(&other, "a later life has its id");
+            self.mark_ended(&other, "a later incarnation has its id");
         }
-        for (other, was_met_first) in on_box {
-            let why = "another worker lives on its machine";
-            // One that was met later may be the later life, if this answer was long on its way.
-            match was_met_first {
-                true => self.mark_ended(&other, why),
-                false => self.remove_worker(&other, why),
+        for (other, was_discovered_first) in on_box {
+            let reason = "another worker runs on its machine";
+            // One that was discovered later may be the later one if this answer was delayed, so it
+            // is not marked as ended.
+            match was_discovered_first {
+                true => self.mark_ended(&other, reason),
+                false => self.remove_worker(&other, reason),
             }
         }
     }
 }
 
-/// A worker that the store does not list, as far as it is known: it takes no work before its entry has come.
-pub(super) fn unlisted_worker(peer: Peer, known: StoredWorker, now: Instant) -> Worker {
+/// A worker that the store does not list, with what the store keeps of it. It gets no tasks before its
+/// entry arrives.
+pub(super) fn unlisted_worker(peer: Peer, stored: StoredWorker, now: Instant) -> Worker {
     let entry = worker::Entry {
-        service: known.service,
-        address: known.addr,
+        service: stored.service,
+        address: stored.addr,
         hall: String::new(),
         draining: true,
         capacity: Resources::default(),
         labels: Vec::new(),
         leaves_in_ms: None,
-        machine: known.machine,
+        machine: stored.machine,
         birth_ms: peer.incarnation.birth_ms,
     };
     Worker { listed: false, ..Worker::new(peer, entry, now) }
--- a/lib/src/batch/cell/jobs.rs
+++ b/lib/src/batch/cell/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: taken in, opened step by step, ended and let go of.
+//! The life cycle of jobs: admission, opening of steps, placement queue and end.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -22,18 +22,20 @@
 use crate::batch::worker::Phase;
 use crate::transport::clock;
 
-/// How long a run whose job is not known goes on: the record of the job may still be on its way
-/// from the store.
+/// How long a run may go on whose job is not known: the job's record may still be on its way from
+/// the store.
 const UNKNOWN_JOB_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 impl Cell {
-    /// Takes in a job of which the node that took it tells; one that is known already stays as it is.
+    /// Admits a job reported by the node that accepted it; returns false if it is known already.
     pub fn admit_announced(&mut self, id: JobId, accepted: Accepted) -> bool {
-        let is_known = self.known_everywhere_from.is_some_and(|from| clock::now() >= from);
-        self.admit_job(id, accepted, None, !is_known)
+        let is_known_everywhere =
+            self.known_everywhere_from.is_some_and(|from| clock::now() >= from);
+        self.admit_job(id, accepted, None, !is_known_everywhere)
     }
 
-    /// Takes in a job that was read in the store; one that is known already stays as it is.
+    /// Admits a job read from the store, with its progress under an earlier scheduler if there is
+    /// any; returns false if it is known already.
     pub fn admit(&mut self, id: JobId, accepted: Accepted, inherited: Option<&Progress>) -> bool {
         self.admit_job(id, accepted, inherited, true)
     }
@@ -49,8 +51,8 @@
             return false;
         }
         let mut entry = Entry::new(id, accepted);
-        // Until every worker has heard of this scheduler, an earlier one that fell silent may go on
-        // starting tasks, also of jobs that only arrive now, if it hears of them.
+        // Until every worker has answered this scheduler, an unresponsive earlier one may go on
+        // starting tasks, including those of jobs that arrive only now, if it learns of them.
         let may_be_started =
             others_may_know && !self.predecessor_is_done && !self.unpolled.is_empty();
         entry.inherited = inherited.is_some() || may_be_started;
@@ -60,16 +62,16 @@
         }
         entry.is_over_rate = self.exceeds_rate(entry.accepted.account.as_ref(), entry.accepted.at);
         self.claim_found_runs(&mut entry);
-        let times = entry.accepted.job.repetition_count();
-        for time in 0..times {
-            match entry.accepted.job.due_at(time) {
+        let repetitions = entry.accepted.job.repetition_count();
+        for repetition in 0..repetitions {
+            match entry.accepted.job.due_at(repetition) {
                 Some(due) if entry.is_active() => {
-                    self.scheduled.insert((due, id, time));
+                    self.scheduled.insert((due, id, repetition));
                 }
-                _ => entry.repetitions[time as usize].due = true,
+                _ => entry.repetitions[repetition as usize].due = true,
             }
         }
-        // Boxes that were fetched for work which its account may not run would stand idle.
+        // Work that the account's quota holds back must not request boxes: they would be idle.
         let may_run = |step| !self.is_at_quota(&entry, step);
         if inherited.is_none() && entry.accepted.job.steps.iter().all(may_run) {
             self.demand.record_arrival(&entry, clock::now());
@@ -79,14 +81,14 @@
         }
         self.jobs.insert(id, entry);
         self.quotas.admitted_jobs += 1;
-        for time in 0..times {
-            self.open_steps(id, time);
+        for repetition in 0..repetitions {
+            self.open_steps(id, repetition);
         }
         self.apply_early_ends(id, clock::now());
         true
     }
 
-    /// Runs that were found on workers before the job was heard of count for its tasks.
+    /// Assigns runs that were found on workers before their job was known to the job's tasks.
     fn claim_found_runs(&mut self, entry: &mut Entry) {
         let id = entry.id;
         if !self.unknown_jobs.remove(&id) {
@@ -94,11 +96,12 @@
         }
         self.workers.for_each_mut(|worker| {
             let found = worker.allocations.iter().filter(|(name, _)| name.job == id);
-            let found: Vec<(TaskName, Run)> = found.map(|(name, slot)| (*name, slot.run)).collect();
+            let found: Vec<(TaskName, Run)> =
+                found.map(|(name, allocation)| (*name, allocation.run)).collect();
             for (name, run) in found {
                 let Some(step) = entry.step(name.step) else { continue };
-                let (room, kind) = (Entry::resources_of(step), Entry::class_of(step));
-                worker.identify(&name, room, kind, entry.claim(name.step));
+                let (resources, class) = (Entry::resources_of(step), Entry::class_of(step));
+                worker.identify(&name, resources, class, entry.claim(name.step));
                 entry.create_tasks(name.repetition);
                 entry.started = true;
                 if let Some(task) = entry.task_mut(name) {
@@ -109,65 +112,67 @@
         });
     }
 
-    /// Stops runs that were found on workers and whose job has still not been heard of.
+    /// Stops runs on workers whose jobs are still unknown after [`UNKNOWN_JOB_TIMEOUT`], and drops
+    /// ends of such jobs after the same time.
     pub fn stop_unknown_jobs(&mut self, now: Instant) {
         if !self.unknown_jobs.is_empty() {
             self.stop_runs_of_unknown_jobs(now);
         }
-        let waits = |early: &EarlyEnd| {
-            now.saturating_duration_since(early.reported_at) <= UNKNOWN_JOB_TIMEOUT
+        let is_waiting = |early_end: &EarlyEnd| {
+            now.saturating_duration_since(early_end.reported_at) <= UNKNOWN_JOB_TIMEOUT
         };
-        self.early_ends.retain(waits);
+        self.early_ends.retain(is_waiting);
     }
 
     fn stop_runs_of_unknown_jobs(&mut self, now: Instant) {
-        let mut left = HashSet::new();
-        let mut unknown = Vec::new();
+        let mut still_unknown = HashSet::new();
+        let mut timed_out = Vec::new();
         for worker in self.workers.values() {
             let found =
                 worker.allocations.iter().filter(|(name, _)| self.unknown_jobs.contains(&name.job));
-            for (name, slot) in found {
-                left.insert(name.job);
-                if now.saturating_duration_since(slot.ordered_at) > UNKNOWN_JOB_TIMEOUT {
-                    unknown.push((worker.peer.incarnation.clone(), *name));
+            for (name, allocation) in found {
+                still_unknown.insert(name.job);
+                if now.saturating_duration_since(allocation.ordered_at) > UNKNOWN_JOB_TIMEOUT {
+                    timed_out.push((worker.peer.incarnation.clone(), *name));
                 }
             }
         }
-        self.unknown_jobs = left;
-        for (worker, task) in unknown {
+        self.unknown_jobs = still_unknown;
+        for (worker, task) in timed_out {
             self.stop_run(&worker, task);
         }
     }
 
-    /// Opens the repetitions that are due at `wall`, the time since 1970.
+    /// Opens the repetitions that are due at `wall`, the time since the Unix epoch.
     pub fn open_due_repetitions(&mut self, wall: Duration) {
-        while let Some(&(due, id, time)) = self.scheduled.first() {
+        while let Some(&(due, id, repetition)) = self.scheduled.first() {
             if due > wall {
                 return;
             }
             self.scheduled.pop_first();
             let Some(entry) = self.jobs.get_mut(&id) else { continue };
-            entry.repetitions[time as usize].due = true;
-            self.open_steps(id, time);
+            entry.repetitions[repetition as usize].due = true;
+            self.open_steps(id, repetition);
         }
     }
 
-    /// Opens the steps of a repetition whose turn has come.
-    fn open_steps(&mut self, id: JobId, time: u32) {
+    /// Opens the steps of a due repetition whose preceding steps are done.
+    fn open_steps(&mut self, id: JobId, repetition: u32) {
         let Some(entry) = self.jobs.get_mut(&id) else { return };
-        if !entry.is_active() || !entry.repetitions[time as usize].due {
+        if !entry.is_active() || !entry.repetitions[repetition as usize].due {
             return;
         }
-        entry.create_tasks(time);
+        entry.create_tasks(repetition);
         let mut opened = Vec::new();
-        // A step without tasks is done as it is opened, and may open others.
+        // A step without tasks is done when it is opened, and may allow others to open.
         loop {
-            let steps = entry.steps_to_open(time);
+            let steps = entry.steps_to_open(repetition);
             if steps.is_empty() {
                 break;
             }
             for step in steps {
-                let run = entry.step_run_mut(time, step).expect("the repetition was opened above");
+                let run =
+                    entry.step_run_mut(repetition, step).expect("the repetition was opened above");
                 run.open = true;
                 opened.push(step);
             }
@@ -175,12 +180,12 @@
         for step in opened {
             let count = self.jobs[&id].accepted.job.steps[usize::from(step)].count;
             for index in 0..count {
-                self.requeue(TaskName { job: id, repetition: time, step, index });
+                self.requeue(TaskName { job: id, repetition, step, index });
             }
         }
     }
 
-    /// Lets a task wait for room if nothing of it may run any more.
+    /// Queues a task for placement if it is not done and no run of it may exist any more.
     pub fn requeue(&mut self, name: TaskName) {
         let Some(entry) = self.jobs.get_mut(&name.job) else { return };
         if !entry.is_active() {
@@ -201,7 +206,8 @@
         self.placement_pending = true;
     }
 
-    /// Cancels a job; `None` if it is not known.
+    /// Cancels a job and returns its state, which is another one if it had ended before; `None` if
+    /// it is not known.
     pub fn cancel(&mut self, id: JobId) -> Option<JobState> {
         let entry = self.jobs.get_mut(&id)?;
         if entry.end.is_none() {
@@ -211,15 +217,15 @@
         Some(self.jobs[&id].end.unwrap_or(JobState::Canceled))
     }
 
-    /// A job has ended: the store is to know, and all its runs are stopped.
+    /// Ends a job: its end is written with the next flush, and all its runs are stopped.
     pub(super) fn end_job(&mut self, id: JobId, state: JobState) {
         let Some(entry) = self.jobs.get_mut(&id) else { return };
         entry.end = Some(state);
         entry.ended_at = Some(clock::now());
         let runs = entry.run_count();
-        for (time, repetition) in (0..).zip(&entry.repetitions) {
+        for (number, repetition) in (0..).zip(&entry.repetitions) {
             for (step, _) in (0..).zip(&repetition.steps) {
-                self.ready.remove(&Rank::of(entry, time, step));
+                self.ready.remove(&Rank::of(entry, number, step));
             }
         }
         self.long_running_jobs.remove(&id);
@@ -229,33 +235,33 @@
             state = format!("{state:?}").as_str();
             "job ended"
         );
-        // Most jobs end with nothing left to stop, and there are thousands of runs to look through.
+        // Most jobs end with no run left, and the search covers all runs of all workers.
         if runs > 0 {
             self.stop_where(|task| task.job == id);
         }
     }
 
-    /// Stops all runs of tasks that fit.
+    /// Stops all runs of tasks that match `fits`.
     pub fn stop_where(&mut self, fits: impl Fn(&TaskName) -> bool) {
         let outbox = &mut self.outbox;
         self.workers.for_each_mut(|worker| {
-            for (task, slot) in &mut worker.allocations {
+            for (task, allocation) in &mut worker.allocations {
                 if fits(task) {
-                    order_stop(outbox, &worker.peer, *task, slot);
+                    order_stop(outbox, &worker.peer, *task, allocation);
                 }
             }
         });
     }
 
-    /// Stops one run so that it can go on elsewhere.
-    pub fn stop_run(&mut self, life: &Incarnation, task: TaskName) {
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
+    /// Stops one run, so that its task can be started elsewhere.
+    pub fn stop_run(&mut self, incarnation: &Incarnation, task: TaskName) {
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
         let worker = &mut *worker;
-        let Some(slot) = worker.allocations.get_mut(&task) else { return };
-        order_stop(&mut self.outbox, &worker.peer, task, slot);
+        let Some(allocation) = worker.allocations.get_mut(&task) else { return };
+        order_stop(&mut self.outbox, &worker.peer, task, allocation);
     }
 
-    /// A task, or the gang that it belongs to, is done.
+    /// Marks a task as done, or all tasks of its step if it is a gang.
     pub(super) fn on_done(&mut self, name: TaskName, gang: bool) {
         let Some(entry) = self.jobs.get_mut(&name.job) else { return };
         let Some(run) = entry.step_run_mut(name.repetition, name.step) else { return };
@@ -267,15 +273,15 @@
             task.done = true;
             run.waiting.remove(&index);
         }
-        let step_done = run.left == 0;
-        // Other copies of the task end as well; the members of a gang end by themselves.
+        let is_step_done = run.left == 0;
+        // Other runs of the same task are stopped; the members of a gang end by themselves.
         let has_copies = !gang && run.tasks[name.index as usize].runs > 0;
         let is_done = entry.is_done();
         self.dirty_jobs.insert(name.job);
         if has_copies {
             self.stop_where(|other| *other == name);
         }
-        if step_done {
+        if is_step_done {
             self.open_steps(name.job, name.repetition);
         }
         if is_done && self.jobs[&name.job].is_active() {
@@ -284,10 +290,10 @@
     }
 }
 
-/// Orders that a run be stopped, unless that was ordered already.
-fn order_stop(outbox: &mut Vec<Order>, peer: &Peer, task: TaskName, slot: &mut Allocation) {
-    if !matches!(slot.phase, Phase::Stopping(_)) {
-        slot.phase = Phase::Stopping(None);
-        outbox.push(Order::Stop { peer: peer.clone(), task, run: slot.run });
+/// Orders a run to be stopped, unless that was ordered already.
+fn order_stop(outbox: &mut Vec<Order>, peer: &Peer, task: TaskName, allocation: &mut Allocation) {
+    if !matches!(allocation.phase, Phase::Stopping(_)) {
+        allocation.phase = Phase::Stopping(None);
+        outbox.push(Order::Stop { peer: peer.clone(), task, run: allocation.run });
     }
 }
--- a/lib/src/batch/cell/polls.rs
+++ b/lib/src/batch/cell/polls.rs
@@ -1,4 +1,4 @@
-//! What looks at workers show: ends, runs that go on, and runs that are gone.
+//! Evaluates the answers to polls: ends, runs that go on, and runs that are over.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -28,93 +28,108 @@
 use crate::batch::worker::Phase;
 use crate::transport::clock;
 
-/// Failures in a row, of different tasks, after which a worker is taken to fail everything.
+/// Consecutive failures after which a worker is assumed to fail every task.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// How long a run of a task that lasts must have been on a worker to show that it does it no harm.
+/// How long a run of a long-running task must have been on a worker to show that the task does not
+/// crash it.
 const HARMLESS_RUNTIME: Duration = Duration::from_millis(3_000);
-/// How long a worker that fails everything rests; one task then tries it again.
+/// Backoff of a worker that fails every task; one task then tries it again.
 const BACKOFF_FAILING: Duration = Duration::from_millis(6_000);
 
 impl Cell {
-    /// Takes in the answer to a look that was sent at `sent`.
+    /// Applies the answer to a poll that was sent at `sent_at`.
     ///
-    /// One that is no newer than the last, by the worker's clock, changes nothing: answers on
-    /// different connections overtake each other, and an older one would show runs that are over.
-    /// What it lists of ends is listed again.
-    pub fn on_poll(&mut self, life: &Incarnation, sent: Instant, now: Instant, seen: PollResponse) {
-        let longest = self.longest_lease;
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
+    /// An answer that is not newer than the last one, by the worker's clock, only shows that the
+    /// worker responds: answers on different connections may arrive out of order, and an older one
+    /// would list runs that are over. The ends it lists are listed again in later answers.
+    pub fn on_poll(
+        &mut self,
+        incarnation: &Incarnation,
+        sent_at: Instant,
+        now: Instant,
+        response: PollResponse,
+    ) {
+        let longest_lease = self.longest_lease;
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
         worker.failed_polls = 0;
         worker.first_failed_at = None;
         worker.handed_over = false;
-        if worker.clock.is_some_and(|(last, _)| seen.clock <= last) {
+        if worker.clock.is_some_and(|(last, _)| response.clock <= last) {
             return;
         }
-        worker.clock = Some((seen.clock, now));
+        worker.clock = Some((response.clock, now));
         worker.last_answer_at = worker.last_answer_at.max(now);
         if worker.recorded_unresponsive {
             worker.recorded_unresponsive = false;
             worker.recovering = true;
-            self.pending_records.push(record::worker(life, &worker.to_stored()));
+            self.pending_records.push(record::worker(incarnation, &worker.to_stored()));
         }
         if !worker.has_token {
             worker.has_token = true;
             worker.backoff_until = now;
             if worker.is_later_incarnation {
-                // An order meant for the life before may have been carried out here until this look had come.
-                worker.record_possible_renewal(now, longest);
+                // The worker may have executed an order meant for the earlier incarnation until it
+                // received this poll.
+                worker.record_possible_renewal(now, longest_lease);
             }
         }
         drop(worker);
-        self.clear_unreachable(life);
-        self.end_other_incarnations(life, sent);
-        self.resolve_crash_candidates(life);
-        self.unpolled.remove(life);
-        for end in &seen.ended {
-            self.on_end(life, end, now);
+        self.clear_unreachable(incarnation);
+        self.end_other_incarnations(incarnation, sent_at);
+        self.resolve_crash_candidates(incarnation);
+        self.unpolled.remove(incarnation);
+        for end in &response.ended {
+            self.on_end(incarnation, end, now);
         }
-        self.adopt_runs(life, &seen.running, now);
-        self.remove_missing_runs(life, sent, &seen.running);
+        self.adopt_runs(incarnation, &response.running, now);
+        self.remove_missing_runs(incarnation, sent_at, &response.running);
         if self.unpolled.is_empty() {
             self.clear_inherited();
         }
     }
 
-    /// A run has ended. Ends are listed until they are acknowledged, so one may be seen again.
-    fn on_end(&mut self, life: &Incarnation, end: &End, now: Instant) {
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
+    /// Handles the end of a run. Ends are listed until they are acknowledged, so the same one may
+    /// be reported again.
+    fn on_end(&mut self, incarnation: &Incarnation, end: &End, now: Instant) {
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
         if end.number <= worker.processed_end {
             return;
         }
         worker.processed_end = end.number;
-        let slot = match worker.allocations.get(&end.task) {
-            Some(slot) if slot.run == end.run => worker.remove(&end.task),
+        let allocation = match worker.allocations.get(&end.task) {
+            Some(allocation) if allocation.run == end.run => worker.remove(&end.task),
             _ => None,
         };
         drop(worker);
-        self.count_failure(life, end.outcome, now);
+        self.count_failure(incarnation, end.outcome, now);
         if self.jobs.contains_key(&end.task.job) {
-            self.apply_end(life, end, slot, now);
+            self.apply_end(incarnation, end, allocation, now);
         } else {
             self.early_ends.push(EarlyEnd {
-                worker: life.clone(),
+                worker: incarnation.clone(),
                 end: end.clone(),
                 reported_at: now,
             });
         }
     }
 
-    /// Takes in the ends of a job's runs that were told before the job had come.
+    /// Applies ends that were reported before their job was known.
     pub(super) fn apply_early_ends(&mut self, job: JobId, now: Instant) {
-        let of_job = |early: &mut EarlyEnd| early.end.task.job == job;
+        let of_job = |early_end: &mut EarlyEnd| early_end.end.task.job == job;
         let ends: Vec<EarlyEnd> = self.early_ends.extract_if(.., of_job).collect();
-        for early in ends {
-            self.apply_end(&early.worker, &early.end, None, now);
+        for early_end in ends {
+            self.apply_end(&early_end.worker, &early_end.end, None, now);
         }
     }
 
-    /// Takes in the end of a run of a known job.
-    fn apply_end(&mut self, life: &Incarnation, end: &End, slot: Option<Allocation>, now: Instant) {
+    /// Applies the end of a run of a known job.
+    fn apply_end(
+        &mut self,
+        incarnation: &Incarnation,
+        end: &End,
+        allocation: Option<Allocation>,
+        now: Instant,
+    ) {
         let Some(entry) = self.jobs.get_mut(&end.task.job) else { return };
         entry.create_tasks(end.task.repetition);
         if !entry.started {
@@ -127,45 +142,46 @@
         if step.checkpointing && !end.checkpoint.is_empty() {
             task.checkpoint.clone_from(&end.checkpoint);
         }
-        if let Some(slot) = slot {
+        if let Some(allocation) = allocation {
             task.runs = task.runs.saturating_sub(1);
-            self.learn_runtime(end, &step, &slot, now);
+            self.learn_runtime(end, &step, &allocation, now);
             if step.long_running
-                && now.saturating_duration_since(slot.ordered_at) > HARMLESS_RUNTIME
+                && now.saturating_duration_since(allocation.ordered_at) > HARMLESS_RUNTIME
             {
                 self.clear_crashes(end.task);
             }
         }
         match end.outcome {
             Outcome::Done if !step.long_running => self.on_done(end.task, step.gang),
-            Outcome::Failed => self.on_failed(life, end, step.long_running),
+            Outcome::Failed => self.on_failed(incarnation, end, step.long_running),
             _ => {}
         }
         self.requeue(end.task);
     }
 
-    /// Learns how far off the client's guess was. Runs with a checkpoint are left out: they need
-    /// not have begun at the start of the work.
-    fn learn_runtime(&mut self, end: &End, step: &Step, slot: &Allocation, now: Instant) {
-        let whole = end.outcome == Outcome::Done && !step.long_running;
-        if !whole || !slot.checkpoint.is_empty() {
+    /// Compares the run time with the client's estimate. Runs resumed from a checkpoint are left
+    /// out, as they may have done only a part of the work.
+    fn learn_runtime(&mut self, end: &End, step: &Step, allocation: &Allocation, now: Instant) {
+        let is_whole_run = end.outcome == Outcome::Done && !step.long_running;
+        if !is_whole_run || !allocation.checkpoint.is_empty() {
             return;
         }
         let Some(entry) = self.jobs.get(&end.task.job) else { return };
-        let guess = Duration::from_millis(step.estimate_ms);
-        let took = now.saturating_duration_since(slot.ordered_at);
-        self.demand.record_run(&entry.accepted.queue, guess, took);
+        let estimate = Duration::from_millis(step.estimate_ms);
+        let run_time = now.saturating_duration_since(allocation.ordered_at);
+        self.demand.record_run(&entry.accepted.queue, estimate, run_time);
     }
 
-    /// A task has failed; one that lasts is started again however often it does.
-    fn on_failed(&mut self, life: &Incarnation, end: &End, lasts: bool) {
+    /// Counts a failed run and fails the job at its limit of attempts. A long-running task is
+    /// restarted however often it fails.
+    fn on_failed(&mut self, incarnation: &Incarnation, end: &End, is_long_running: bool) {
         let Some(entry) = self.jobs.get_mut(&end.task.job) else { return };
         let limit = entry.accepted.max_attempts.max(1);
         let Some(task) = entry.task_mut(end.task) else { return };
-        if !task.avoided_workers.iter().any(|other| other == life) {
-            task.avoided_workers.push(life.clone());
+        if !task.avoided_workers.iter().any(|other| other == incarnation) {
+            task.avoided_workers.push(incarnation.clone());
         }
-        if lasts || task.failed.contains(&end.run) {
+        if is_long_running || task.failed.contains(&end.run) {
             return;
         }
         task.failed.push(end.run);
@@ -175,7 +191,7 @@
         log::info!(
             task = end.task.to_string().as_str(),
             run = end.run,
-            worker:% = life,
+            worker:% = incarnation,
             failed,
             limit;
             "task failed"
@@ -185,9 +201,9 @@
         }
     }
 
-    /// Counts failures in a row of a worker; one that fails everything rests.
-    fn count_failure(&mut self, life: &Incarnation, outcome: Outcome, now: Instant) {
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
+    /// Counts a worker's consecutive failures; one that fails every task backs off.
+    fn count_failure(&mut self, incarnation: &Incarnation, outcome: Outcome, now: Instant) {
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
         match outcome {
             Outcome::Done => worker.failures = 0,
             Outcome::Failed => {
@@ -195,9 +211,9 @@
                 if worker.failures >= MAX_CONSECUTIVE_FAILURES {
                     worker.backoff_until = now + BACKOFF_FAILING;
                     log::warn!(
-                        worker:% = life,
+                        worker:% = incarnation,
                         failures = worker.failures;
-                        "worker fails everything, rests"
+                        "worker fails every task, backing off"
                     );
                 }
             }
@@ -205,59 +221,62 @@
         }
     }
 
-    /// Matches what a worker says it runs with what it should run.
-    fn adopt_runs(&mut self, life: &Incarnation, running: &[Running], now: Instant) {
-        for told in running {
-            let Some(mut worker) = self.workers.get_mut(life) else { return };
-            match worker.allocations.get_mut(&told.task) {
-                Some(slot) if slot.run == told.run => update_allocation(slot, told, now),
+    /// Compares the runs that a worker reports with its allocations.
+    fn adopt_runs(&mut self, incarnation: &Incarnation, running: &[Running], now: Instant) {
+        for reported in running {
+            let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
+            match worker.allocations.get_mut(&reported.task) {
+                Some(allocation) if allocation.run == reported.run => {
+                    update_allocation(allocation, reported, now)
+                }
                 Some(_) => {
-                    // The slot is for a later run, so this one must end first.
+                    // The allocation is for a later run, so this one must be stopped first.
                     let peer = worker.peer.clone();
-                    self.outbox.push(Order::Stop { peer, task: told.task, run: told.run });
+                    self.outbox.push(Order::Stop { peer, task: reported.task, run: reported.run });
                 }
                 None => {
                     drop(worker);
-                    self.adopt_unknown_run(life, told, now);
+                    self.adopt_unknown_run(incarnation, reported, now);
                 }
             }
         }
     }
 
-    /// A run ordered by an earlier scheduler: it goes on if its task needs it, else it is stopped.
-    fn adopt_unknown_run(&mut self, life: &Incarnation, told: &Running, now: Instant) {
-        let Some(worker) = self.workers.get(life) else { return };
+    /// Adds a run that an earlier scheduler ordered. It goes on if its task needs it; otherwise it
+    /// is stopped.
+    fn adopt_unknown_run(&mut self, incarnation: &Incarnation, reported: &Running, now: Instant) {
+        let Some(worker) = self.workers.get(incarnation) else { return };
         let peer = worker.peer.clone();
-        let (room, kind) = self.resources_and_class(told.task);
-        let claim = self.claim_of(told.task);
-        let wanted = self.count_found_run(told);
+        let (resources, class) = self.resources_and_class(reported.task);
+        let claim = self.claim_of(reported.task);
+        let wanted = self.count_found_run(reported);
         let phase = if wanted { Phase::Live(now) } else { Phase::Stopping(None) };
-        let mut slot = Allocation {
+        let mut allocation = Allocation {
             adopted: true,
             claim,
-            ..Allocation::new(told.run, phase, room, kind, now)
+            ..Allocation::new(reported.run, phase, resources, class, now)
         };
-        update_allocation(&mut slot, told, now);
+        update_allocation(&mut allocation, reported, now);
         log::info!(
-            task = told.task.to_string().as_str(),
-            run = told.run,
-            worker:% = life,
+            task = reported.task.to_string().as_str(),
+            run = reported.run,
+            worker:% = incarnation,
             wanted;
             "unknown run found"
         );
-        if !self.jobs.contains_key(&told.task.job) {
-            self.unknown_jobs.insert(told.task.job);
+        if !self.jobs.contains_key(&reported.task.job) {
+            self.unknown_jobs.insert(reported.task.job);
         }
-        if let Some(mut worker) = self.workers.get_mut(life) {
-            worker.insert(told.task, slot);
+        if let Some(mut worker) = self.workers.get_mut(incarnation) {
+            worker.insert(reported.task, allocation);
         }
         if !wanted {
-            self.outbox.push(Order::Stop { peer, task: told.task, run: told.run });
+            self.outbox.push(Order::Stop { peer, task: reported.task, run: reported.run });
         }
     }
 
-    /// What a task takes of a worker's room, and what kind of neighbour it is. Nothing is known
-    /// of that while its job is not.
+    /// The resources of a task and its workload class. Without the job nothing is known of them:
+    /// the run then counts as a batch task without resources.
     fn resources_and_class(&self, name: TaskName) -> (Resources, Class) {
         let step = self.jobs.get(&name.job).and_then(|entry| entry.step(name.step));
         match step {
@@ -266,80 +285,87 @@
         }
     }
 
-    /// Counts a run that was found for its task; returns whether it may go on. One whose job is
-    /// not known may: the record of the job may still be on its way from the store.
-    fn count_found_run(&mut self, told: &Running) -> bool {
-        let Some(entry) = self.jobs.get_mut(&told.task.job) else { return true };
-        let active = entry.is_active();
-        entry.create_tasks(told.task.repetition);
+    /// Counts a discovered run for its task; returns whether it may go on. It may if its job is not
+    /// known: the job's record may still be on its way from the store.
+    fn count_found_run(&mut self, reported: &Running) -> bool {
+        let Some(entry) = self.jobs.get_mut(&reported.task.job) else { return true };
+        let is_active = entry.is_active();
+        entry.create_tasks(reported.task.repetition);
         if !entry.started {
             entry.started = true;
-            self.dirty_jobs.insert(told.task.job);
+            self.dirty_jobs.insert(reported.task.job);
         }
-        let Some(task) = entry.task_mut(told.task) else { return false };
-        task.last_run = task.last_run.max(told.run);
-        let wanted = active && !task.done && task.runs == 0;
+        let Some(task) = entry.task_mut(reported.task) else { return false };
+        task.last_run = task.last_run.max(reported.run);
+        let wanted = is_active && !task.done && task.runs == 0;
         task.runs += 1;
-        // It does not wait, whatever was thought before this run was found.
+        // The task does not wait for placement any more, now that this run was discovered.
         task.waiting_since = None;
-        if wanted && let Some(run) = entry.step_run_mut(told.task.repetition, told.task.step) {
-            run.waiting.remove(&told.task.index);
+        if wanted
+            && let Some(run) = entry.step_run_mut(reported.task.repetition, reported.task.step)
+        {
+            run.waiting.remove(&reported.task.index);
         }
         wanted
     }
 
-    /// Removes runs that a look should have shown and did not.
-    fn remove_missing_runs(&mut self, life: &Incarnation, sent: Instant, running: &[Running]) {
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
-        let shown: HashSet<(TaskName, Run)> =
-            running.iter().map(|told| (told.task, told.run)).collect();
-        let missing = worker.allocations.iter().filter(|(task, slot)| {
-            let settled = match slot.phase {
+    /// Releases the runs that the poll sent at `sent_at` should have listed and did not.
+    fn remove_missing_runs(
+        &mut self,
+        incarnation: &Incarnation,
+        sent_at: Instant,
+        running: &[Running],
+    ) {
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
+        let listed: HashSet<(TaskName, Run)> =
+            running.iter().map(|reported| (reported.task, reported.run)).collect();
+        let missing = worker.allocations.iter().filter(|(task, allocation)| {
+            let is_confirmed = match allocation.phase {
                 Phase::Starting => false,
-                Phase::Live(since) => since < sent,
-                Phase::Stopping(since) => since.is_some_and(|since| since < sent),
+                Phase::Live(since) => since < sent_at,
+                Phase::Stopping(since) => since.is_some_and(|since| since < sent_at),
             };
-            settled && !shown.contains(&(**task, slot.run))
+            is_confirmed && !listed.contains(&(**task, allocation.run))
         });
         let missing: Vec<TaskName> = missing.map(|(task, _)| *task).collect();
-        let taken = remove_allocations(&mut worker, &missing);
+        let removed = remove_allocations(&mut worker, &missing);
         drop(worker);
-        for (task, slot) in taken {
-            self.release_run(task, slot);
+        for (task, allocation) in removed {
+            self.release_run(task, allocation);
         }
     }
 
-    /// A look was answered; its carrier has asked for a lease until then at the latest.
-    pub fn record_lease(&mut self, life: &Incarnation, until: WorkerMs) {
-        if let Some(mut worker) = self.workers.get_mut(life) {
+    /// Records that a dispatcher has requested a lease until `until`, by the worker's clock.
+    pub fn record_lease(&mut self, incarnation: &Incarnation, until: WorkerMs) {
+        if let Some(mut worker) = self.workers.get_mut(incarnation) {
             worker.lease_until = worker.lease_until.max(until);
         }
     }
 
-    /// A look had no answer.
-    pub fn on_failed_poll(&mut self, life: &Incarnation) {
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
+    /// Handles a poll without an answer.
+    pub fn on_failed_poll(&mut self, incarnation: &Incarnation) {
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
         worker.failed_polls += 1;
         worker.first_failed_at.get_or_insert_with(clock::now);
         if worker.has_token && !worker.recorded_unresponsive {
             worker.recorded_unresponsive = true;
-            self.pending_records.push(record::worker(life, &worker.to_stored()));
+            self.pending_records.push(record::worker(incarnation, &worker.to_stored()));
         }
     }
 }
 
-/// Takes over what a worker tells of a run.
-fn update_allocation(slot: &mut Allocation, told: &Running, now: Instant) {
-    slot.confirmed = true;
-    if slot.phase == Phase::Starting {
-        slot.phase = Phase::Live(now);
+/// Updates an allocation with what the worker reports of its run.
+fn update_allocation(allocation: &mut Allocation, reported: &Running, now: Instant) {
+    allocation.confirmed = true;
+    if allocation.phase == Phase::Starting {
+        allocation.phase = Phase::Live(now);
     }
-    if told.percent != slot.percent {
-        slot.percent = told.percent;
-        slot.progressed_at = now;
+    if reported.percent != allocation.percent {
+        allocation.percent = reported.percent;
+        allocation.progressed_at = now;
     }
-    slot.figure = told.figure;
-    if !told.checkpoint.is_empty() {
-        slot.checkpoint.clone_from(&told.checkpoint);
+    allocation.figure = reported.figure;
+    if !reported.checkpoint.is_empty() {
+        allocation.checkpoint.clone_from(&reported.checkpoint);
     }
 }
