--- a/lib/tests/test_batch.rs
+++ b/lib/tests/test_batch.rs
@@ -1,5 +1,5 @@
-//! The scheduler's state, step by step: what is started, and when what may run elsewhere is known
-//! to be gone.
+//! The scheduler's state, step by step: what is started, and when a run that may exist elsewhere is
+//! known to be over.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -45,7 +45,7 @@
     Step { count, cpu: 1_000, memory_mb: 100, estimate_ms: 500, ..Step::default() }
 }
 
-fn lasting(count: u32) -> Step {
+fn long_running_step(count: u32) -> Step {
     Step { long_running: true, max_unavailable: Some(1), max_per_worker: 1, ..step(count) }
 }
 
@@ -57,36 +57,36 @@
     batch::entry(machine, 4_000)
 }
 
-struct Bed {
+struct Fixture {
     cell: Cell,
-    begun: Instant,
+    started_at: Instant,
     now: Instant,
 }
 
-impl Bed {
+impl Fixture {
     /// A scheduler with workers `w0`, `w1` and so on, on machines `m0`, `m1` and so on.
-    fn new(workers: usize) -> Bed {
+    fn new(workers: usize) -> Fixture {
         let now = clock::now();
-        let mut bed = Bed { cell: Cell::new(TOKEN), begun: now, now };
+        let mut fixture = Fixture { cell: Cell::new(TOKEN), started_at: now, now };
         for number in 0..workers {
-            bed.meet(&format!("w{number}"), &format!("m{number}"));
+            fixture.discover(&format!("w{number}"), &format!("m{number}"));
         }
-        bed
+        fixture
     }
 
-    fn meet(&mut self, id: &str, machine: &str) {
+    fn discover(&mut self, id: &str, machine: &str) {
         let peer = Peer { incarnation: id.into(), addr: addr() };
         self.cell.discover(peer, entry(machine), self.now);
     }
 
-    /// A look that was sent a millisecond ago is answered.
-    fn look(
+    /// A worker answers a poll that was sent a millisecond ago.
+    fn poll(
         &mut self,
         id: &str,
         running: &[(TaskName, Run)],
         ended: &[(u64, TaskName, Run, Outcome)],
     ) {
-        let sent = self.now;
+        let sent_at = self.now;
         self.now += MILLI;
         let running = running.iter().map(|(task, run)| Running {
             task: *task,
@@ -102,33 +102,34 @@
             outcome: *outcome,
             checkpoint: String::new(),
         });
-        // A worker's clock goes on from one answer to the next.
-        let clock = 1_000 + (self.now - self.begun).as_millis() as u64;
-        let seen = PollResponse {
+        // A worker's clock advances from one answer to the next.
+        let clock = 1_000 + (self.now - self.started_at).as_millis() as u64;
+        let response = PollResponse {
             clock,
             running: running.collect(),
             ended: ended.collect(),
             birth_ms: None,
         };
         self.now += MILLI;
-        self.cell.on_poll(&id.into(), sent, self.now, seen);
+        self.cell.on_poll(&id.into(), sent_at, self.now, response);
     }
 
-    /// A worker does not answer; its carrier tells until when it has asked for a lease, at a start.
-    fn miss(&mut self, id: &str) {
-        let clock = 1_000 + (self.now - self.begun).as_millis() as u64;
+    /// A worker does not answer a poll; its dispatcher reports until when it had requested a lease,
+    /// with a start.
+    fn fail_poll(&mut self, id: &str) {
+        let clock = 1_000 + (self.now - self.started_at).as_millis() as u64;
         self.cell.record_lease(&id.into(), clock + WORKER_LEASE.as_millis() as u64);
         self.cell.on_failed_poll(&id.into());
     }
 
-    fn look_at_all(&mut self) {
+    fn poll_all(&mut self) {
         let ids: Vec<String> = self.cell.workers.keys().map(Incarnation::to_string).collect();
         for id in ids {
-            self.look(&id, &[], &[]);
+            self.poll(&id, &[], &[]);
         }
     }
 
-    /// Starts what can be started: worker, task and run.
+    /// Places the waiting tasks; returns worker, task and run of each start.
     fn place(&mut self) -> Vec<(String, TaskName, Run)> {
         self.cell.place_ready(self.now, Duration::from_secs(1));
         let orders = std::mem::take(&mut self.cell.outbox);
@@ -139,7 +140,7 @@
         starts.collect()
     }
 
-    /// The same, and the workers take them.
+    /// As [`Self::place`], and the workers accept the starts.
     fn start(&mut self) -> Vec<(String, TaskName, Run)> {
         let starts = self.place();
         for (worker, task, run) in &starts {
@@ -161,456 +162,460 @@
 
 #[test]
 fn steps_run_in_their_order() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
     let second = Step { after: vec![0], ..step(1) };
-    bed.cell.admit(1, accepted(vec![step(2), second]), None);
-    let starts = bed.start();
+    fixture.cell.admit(1, accepted(vec![step(2), second]), None);
+    let starts = fixture.start();
     assert_eq!(starts.len(), 2);
-    bed.look("w0", &[(task(1, 0, 1), TOKEN)], &[(1, task(1, 0, 0), TOKEN, Outcome::Done)]);
-    assert_eq!(bed.start(), []);
-    bed.look("w0", &[], &[(2, task(1, 0, 1), TOKEN, Outcome::Done)]);
-    assert_eq!(bed.start(), [("w0".to_owned(), task(1, 1, 0), TOKEN)]);
-    bed.look("w0", &[], &[(3, task(1, 1, 0), TOKEN, Outcome::Done)]);
-    assert_eq!(bed.cell.jobs[&1].end, Some(JobState::Succeeded));
-}
-
-#[test]
-fn only_a_worker_that_has_answered_and_has_no_order_open_passes_to_another_carrier_unasked() {
-    let mut bed = Bed::new(1);
-    assert!(!bed.cell.workers["w0"].can_change_dispatcher());
-    bed.look_at_all();
-    assert!(bed.cell.workers["w0"].can_change_dispatcher());
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    let (worker, task, run) = bed.place().remove(0);
-    assert!(!bed.cell.workers["w0"].can_change_dispatcher());
-    bed.cell.on_started(&worker.as_str().into(), task, run, bed.now);
-    assert!(bed.cell.workers["w0"].can_change_dispatcher());
-    bed.cell.hand_over(&"w0".into(), bed.now);
-    assert!(!bed.cell.workers["w0"].can_change_dispatcher());
-    bed.look("w0", &[(task, run)], &[]);
-    bed.cell.on_failed_poll(&"w0".into());
-    assert!(!bed.cell.workers["w0"].can_change_dispatcher());
-}
-
-/// Tasks that last were ended beyond what their steps may miss: 0.3 s after it began, a scheduler moved
-/// boxes whose workers had not answered it yet. It knew of no runs there and took them for empty.
+    fixture.poll("w0", &[(task(1, 0, 1), TOKEN)], &[(1, task(1, 0, 0), TOKEN, Outcome::Done)]);
+    assert_eq!(fixture.start(), []);
+    fixture.poll("w0", &[], &[(2, task(1, 0, 1), TOKEN, Outcome::Done)]);
+    assert_eq!(fixture.start(), [("w0".to_owned(), task(1, 1, 0), TOKEN)]);
+    fixture.poll("w0", &[], &[(3, task(1, 1, 0), TOKEN, Outcome::Done)]);
+    assert_eq!(fixture.cell.jobs[&1].end, Some(JobState::Succeeded));
+}
+
+#[test]
+fn only_a_worker_that_has_answered_and_has_no_open_order_can_change_dispatcher() {
+    let mut fixture = Fixture::new(1);
+    assert!(!fixture.cell.workers["w0"].can_change_dispatcher());
+    fixture.poll_all();
+    assert!(fixture.cell.workers["w0"].can_change_dispatcher());
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    let (worker, task, run) = fixture.place().remove(0);
+    assert!(!fixture.cell.workers["w0"].can_change_dispatcher());
+    fixture.cell.on_started(&worker.as_str().into(), task, run, fixture.now);
+    assert!(fixture.cell.workers["w0"].can_change_dispatcher());
+    fixture.cell.hand_over(&"w0".into(), fixture.now);
+    assert!(!fixture.cell.workers["w0"].can_change_dispatcher());
+    fixture.poll("w0", &[(task, run)], &[]);
+    fixture.cell.on_failed_poll(&"w0".into());
+    assert!(!fixture.cell.workers["w0"].can_change_dispatcher());
+}
+
+/// Guards against stopping more long-running tasks than `max_unavailable` allows: a new scheduler
+/// knows of no runs on a worker that has not answered it yet, and must not take its box for empty
+/// and move it.
 #[test]
 fn a_box_whose_worker_has_not_answered_is_not_empty() {
-    let mut bed = Bed::new(1);
-    assert!(!maintenance::evacuate(&mut bed.cell, &"w0".into(), true));
-    bed.look_at_all();
-    assert!(maintenance::evacuate(&mut bed.cell, &"w0".into(), true));
+    let mut fixture = Fixture::new(1);
+    assert!(!maintenance::evacuate(&mut fixture.cell, &"w0".into(), true));
+    fixture.poll_all();
+    assert!(maintenance::evacuate(&mut fixture.cell, &"w0".into(), true));
 }
 
-/// What happens: a scheduler that has just begun orders the upkeep of a box though a worker lives there, which runs what an
-/// earlier scheduler has started.
-/// Why: the store does not list that worker (its entry ran out while the store was slow), and had not been told of it either;
-/// a box whose worker was not known counted as empty.
-/// Shown by: reading, while tasks away beside each other were traced; no play is known in which it came.
+/// Guards against maintenance of a box whose worker runs tasks of an earlier scheduler. The store
+/// does not list the worker, as its entry expired while the store was slow, and had no record of
+/// it: an unknown worker on a box must not make it count as empty.
 #[test]
-fn a_box_whose_worker_is_not_known_is_not_empty_until_all_of_before_has_lapsed() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
+fn a_box_whose_worker_is_not_known_is_not_empty_until_all_earlier_leases_have_expired() {
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
     let now = clock::now();
-    bed.cell.known_everywhere_from = Some(now + Duration::from_secs(1));
-    assert!(!maintenance::evacuate(&mut bed.cell, &"elsewhere".into(), false));
-    // One whose life is known to be over runs nothing.
-    bed.cell.restore_ended("over".into(), now);
-    assert!(maintenance::evacuate(&mut bed.cell, &"over".into(), false));
-    bed.cell.known_everywhere_from = Some(now - WORKER_LEASE - Duration::from_secs(1));
-    assert!(maintenance::evacuate(&mut bed.cell, &"elsewhere".into(), false));
-}
-
-#[test]
-fn a_worker_that_passes_to_another_carrier_takes_nothing_until_it_answers() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(3)]), None);
-    let starts = bed.place();
-    bed.cell.on_started(&"w0".into(), starts[0].1, starts[0].2, bed.now);
-    let last = bed.now + Duration::from_secs(2);
-    bed.cell.hand_over(&"w0".into(), last);
-    // What was not answered for may have been started, so it is stopped first.
-    let mut stops: Vec<TaskName> = bed.stops().into_iter().map(|(_, task, _)| task).collect();
+    fixture.cell.known_everywhere_from = Some(now + Duration::from_secs(1));
+    assert!(!maintenance::evacuate(&mut fixture.cell, &"elsewhere".into(), false));
+    // An incarnation that is known to have ended runs nothing.
+    fixture.cell.restore_ended("over".into(), now);
+    assert!(maintenance::evacuate(&mut fixture.cell, &"over".into(), false));
+    fixture.cell.known_everywhere_from = Some(now - WORKER_LEASE - Duration::from_secs(1));
+    assert!(maintenance::evacuate(&mut fixture.cell, &"elsewhere".into(), false));
+}
+
+#[test]
+fn a_worker_that_changes_dispatcher_gets_no_task_until_it_answers() {
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(3)]), None);
+    let starts = fixture.place();
+    fixture.cell.on_started(&"w0".into(), starts[0].1, starts[0].2, fixture.now);
+    let last = fixture.now + Duration::from_secs(2);
+    fixture.cell.hand_over(&"w0".into(), last);
+    // A start without an answer may have been executed, so it is stopped first.
+    let mut stops: Vec<TaskName> = fixture.stops().into_iter().map(|(_, task, _)| task).collect();
     stops.sort();
     assert_eq!(stops, [task(1, 0, 1), task(1, 0, 2)]);
-    bed.cell.admit(2, accepted(vec![step(1)]), None);
-    assert_eq!(bed.place(), []);
-    // The first carrier may have extended the lease as long as it could act.
-    bed.cell.on_failed_poll(&"w0".into());
-    assert_eq!(bed.cell.expired_workers(last + WORKER_LEASE), []);
-    assert_eq!(bed.cell.expired_workers(last + WORKER_LEASE * 2), [("w0".into(), true)]);
-    bed.look("w0", &[(task(1, 0, 0), TOKEN)], &[]);
-    let flush = bed.cell.take_flush();
-    bed.cell.on_flushed(&flush);
-    assert_eq!(bed.place(), [("w0".to_owned(), task(2, 0, 0), TOKEN)]);
-}
-
-#[test]
-fn an_end_is_shown_and_acknowledged_only_once_the_store_knows() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    bed.start();
-    bed.look("w0", &[], &[(1, task(1, 0, 0), TOKEN, Outcome::Done)]);
-    assert_eq!(bed.cell.jobs[&1].visible_state(), JobState::Running);
-    assert_eq!(bed.cell.workers["w0"].durable_end, 0);
-    let flush = bed.cell.take_flush();
-    bed.cell.on_flushed(&flush);
-    assert_eq!(bed.cell.jobs[&1].visible_state(), JobState::Succeeded);
-    assert_eq!(bed.cell.workers["w0"].durable_end, 1);
-}
-
-#[test]
-fn nothing_inherited_is_started_before_every_worker_was_asked() {
-    let mut bed = Bed::new(2);
-    bed.cell.unpolled = bed.cell.workers.keys().cloned().collect();
-    bed.cell.admit(1, accepted(vec![step(1)]), Some(&Progress::default()));
-    bed.look("w0", &[], &[]);
-    assert_eq!(bed.place(), []);
-    bed.look("w1", &[(task(1, 0, 0), 3)], &[]);
-    assert_eq!(bed.place(), []);
-    bed.look("w1", &[], &[(1, task(1, 0, 0), 3, Outcome::Done)]);
-    assert_eq!(bed.cell.jobs[&1].end, Some(JobState::Succeeded));
-}
-
-/// A worker joins while the holder cannot renew the lead. Another node has claimed it and read the
-/// workers before, so nobody tells the new one to refuse the old holder, which would start there what
-/// the next holder starts elsewhere.
-#[test]
-fn a_worker_met_after_the_lead_may_have_passed_on_gets_nothing_until_it_is_renewed() {
-    let mut bed = Bed::new(1);
-    bed.cell.renewed_at = Some(bed.now);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(8)]), None);
-    // Known to whoever claims the lead later.
-    assert_eq!(bed.start().len(), 4);
-    bed.now += EXCLUSIVE_LEASE + MILLI;
-    bed.meet("w1", "m1");
-    bed.look("w1", &[], &[]);
-    assert_eq!(bed.start(), []);
-    bed.cell.renewed_at = Some(bed.now);
-    assert_eq!(bed.start().len(), 4);
+    fixture.cell.admit(2, accepted(vec![step(1)]), None);
+    assert_eq!(fixture.place(), []);
+    // The first dispatcher may have renewed the lease as long as it could act.
+    fixture.cell.on_failed_poll(&"w0".into());
+    assert_eq!(fixture.cell.expired_workers(last + WORKER_LEASE), []);
+    assert_eq!(fixture.cell.expired_workers(last + WORKER_LEASE * 2), [("w0".into(), true)]);
+    fixture.poll("w0", &[(task(1, 0, 0), TOKEN)], &[]);
+    let flush = fixture.cell.take_flush();
+    fixture.cell.on_flushed(&flush);
+    assert_eq!(fixture.place(), [("w0".to_owned(), task(2, 0, 0), TOKEN)]);
+}
+
+#[test]
+fn an_end_is_shown_and_acknowledged_only_once_it_is_stored() {
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    fixture.start();
+    fixture.poll("w0", &[], &[(1, task(1, 0, 0), TOKEN, Outcome::Done)]);
+    assert_eq!(fixture.cell.jobs[&1].visible_state(), JobState::Running);
+    assert_eq!(fixture.cell.workers["w0"].durable_end, 0);
+    let flush = fixture.cell.take_flush();
+    fixture.cell.on_flushed(&flush);
+    assert_eq!(fixture.cell.jobs[&1].visible_state(), JobState::Succeeded);
+    assert_eq!(fixture.cell.workers["w0"].durable_end, 1);
+}
+
+#[test]
+fn nothing_inherited_is_started_before_every_worker_was_polled() {
+    let mut fixture = Fixture::new(2);
+    fixture.cell.unpolled = fixture.cell.workers.keys().cloned().collect();
+    fixture.cell.admit(1, accepted(vec![step(1)]), Some(&Progress::default()));
+    fixture.poll("w0", &[], &[]);
+    assert_eq!(fixture.place(), []);
+    fixture.poll("w1", &[(task(1, 0, 0), 3)], &[]);
+    assert_eq!(fixture.place(), []);
+    fixture.poll("w1", &[], &[(1, task(1, 0, 0), 3, Outcome::Done)]);
+    assert_eq!(fixture.cell.jobs[&1].end, Some(JobState::Succeeded));
+}
+
+/// Guards against a task running twice. A worker joins while the leader cannot renew its lease:
+/// another node may have claimed the lease and read the list of workers before. The new leader then
+/// does not tell this worker to refuse the old one, which could start there what the new one starts
+/// elsewhere.
+#[test]
+fn a_worker_discovered_after_the_leader_lease_may_have_changed_gets_no_task_until_it_is_renewed() {
+    let mut fixture = Fixture::new(1);
+    fixture.cell.renewed_at = Some(fixture.now);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(8)]), None);
+    // `w0` is known to any node that claims the leader lease later.
+    assert_eq!(fixture.start().len(), 4);
+    fixture.now += EXCLUSIVE_LEASE + MILLI;
+    fixture.discover("w1", "m1");
+    fixture.poll("w1", &[], &[]);
+    assert_eq!(fixture.start(), []);
+    fixture.cell.renewed_at = Some(fixture.now);
+    assert_eq!(fixture.start().len(), 4);
 }
 
 #[test]
 fn a_job_that_arrives_during_the_takeover_counts_as_inherited() {
-    let mut bed = Bed::new(2);
-    bed.cell.unpolled = bed.cell.workers.keys().cloned().collect();
-    bed.look("w0", &[], &[]);
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    assert_eq!(bed.place(), []);
-    bed.look("w1", &[(task(1, 0, 0), 3)], &[]);
-    assert_eq!(bed.place(), []);
-}
-
-/// A worker that had died with its box just before the holder did stayed unasked for 5.6 s; nothing of its
-/// service was started meanwhile, with 900 workers free, jobs that came seconds later included.
-#[test]
-fn a_job_whose_node_told_this_scheduler_waits_for_no_worker_once_all_nodes_know_it() {
-    let mut bed = Bed::new(2);
-    bed.cell.unpolled = bed.cell.workers.keys().cloned().collect();
-    bed.look("w0", &[], &[]);
-    // Nodes that have not heard of this scheduler yet tell the earlier one.
-    bed.cell.admit_announced(1, accepted(vec![step(1)]));
-    assert_eq!(bed.place(), []);
-    bed.cell.known_everywhere_from = Some(clock::now());
-    bed.cell.admit_announced(2, accepted(vec![step(1)]));
-    // What is only read in the store may have been told to the earlier one.
-    bed.cell.admit(3, accepted(vec![step(1)]), None);
-    assert_eq!(bed.start(), [("w0".to_owned(), task(2, 0, 0), TOKEN)]);
-}
-
-#[test]
-fn a_job_that_arrives_after_the_earlier_scheduler_gave_up_the_lead_waits_for_no_worker() {
-    let mut bed = Bed::new(2);
-    bed.cell.predecessor_is_done = true;
-    bed.cell.unpolled = bed.cell.workers.keys().cloned().collect();
-    bed.look("w0", &[], &[]);
-    bed.cell.admit(1, accepted(vec![step(2)]), None);
-    bed.cell.admit(2, accepted(vec![step(2)]), Some(&Progress::default()));
-    // The earlier scheduler cannot have heard of the first; it may have started the second.
-    let starts = bed.start();
+    let mut fixture = Fixture::new(2);
+    fixture.cell.unpolled = fixture.cell.workers.keys().cloned().collect();
+    fixture.poll("w0", &[], &[]);
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    assert_eq!(fixture.place(), []);
+    fixture.poll("w1", &[(task(1, 0, 0), 3)], &[]);
+    assert_eq!(fixture.place(), []);
+}
+
+/// Guards against a service waiting with free workers: a worker that died with its box just before
+/// the leader did stays unpolled for up to 5.6 s, and jobs that arrive meanwhile must not wait for
+/// it.
+#[test]
+fn a_job_reported_by_its_node_waits_for_no_worker_once_all_nodes_know_this_scheduler() {
+    let mut fixture = Fixture::new(2);
+    fixture.cell.unpolled = fixture.cell.workers.keys().cloned().collect();
+    fixture.poll("w0", &[], &[]);
+    // Nodes that do not know of this scheduler yet report to the earlier one.
+    fixture.cell.admit_announced(1, accepted(vec![step(1)]));
+    assert_eq!(fixture.place(), []);
+    fixture.cell.known_everywhere_from = Some(clock::now());
+    fixture.cell.admit_announced(2, accepted(vec![step(1)]));
+    // A job that is only read from the store may have been reported to the earlier scheduler.
+    fixture.cell.admit(3, accepted(vec![step(1)]), None);
+    assert_eq!(fixture.start(), [("w0".to_owned(), task(2, 0, 0), TOKEN)]);
+}
+
+#[test]
+fn a_job_that_arrives_after_the_earlier_scheduler_released_the_leader_lease_waits_for_no_worker() {
+    let mut fixture = Fixture::new(2);
+    fixture.cell.predecessor_is_done = true;
+    fixture.cell.unpolled = fixture.cell.workers.keys().cloned().collect();
+    fixture.poll("w0", &[], &[]);
+    fixture.cell.admit(1, accepted(vec![step(2)]), None);
+    fixture.cell.admit(2, accepted(vec![step(2)]), Some(&Progress::default()));
+    // The earlier scheduler cannot know the first job; it may have started the second.
+    let starts = fixture.start();
     assert_eq!(starts.len(), 2);
     assert!(starts.iter().all(|(_, task, _)| task.job == 1));
 }
 
 #[test]
-fn an_answer_that_was_overtaken_does_not_bring_back_a_run_that_is_over() {
-    let mut bed = Bed::new(1);
-    bed.look("w0", &[], &[]);
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    let (_, task, run) = bed.start().remove(0);
-    bed.cell.on_started(&"w0".into(), task, run, bed.now);
-    let before = bed.now;
-    bed.look("w0", &[], &[(1, task, run, Outcome::Done)]);
-    // Sent earlier, on another connection, and answered while the task still ran.
-    bed.now = before;
-    bed.look("w0", &[(task, run)], &[]);
-    assert!(bed.cell.workers["w0"].allocations.is_empty());
+fn an_answer_out_of_order_does_not_restore_a_run_that_is_over() {
+    let mut fixture = Fixture::new(1);
+    fixture.poll("w0", &[], &[]);
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    let (_, task, run) = fixture.start().remove(0);
+    fixture.cell.on_started(&"w0".into(), task, run, fixture.now);
+    let before = fixture.now;
+    fixture.poll("w0", &[], &[(1, task, run, Outcome::Done)]);
+    // Sent earlier, on another connection, and answered while the task was still running.
+    fixture.now = before;
+    fixture.poll("w0", &[(task, run)], &[]);
+    assert!(fixture.cell.workers["w0"].allocations.is_empty());
 }
 
 #[test]
-fn a_worker_whose_machine_has_moved_holds_up_no_later_scheduler() {
-    let mut first = Bed::new(2);
-    first.look_at_all();
+fn a_worker_whose_machine_has_moved_delays_no_later_scheduler() {
+    let mut first = Fixture::new(2);
+    first.poll_all();
     first.cell.end_incarnations_elsewhere("m1", "another pool");
     let flush = first.cell.take_flush();
-    let mut second = Bed::new(0);
+    let mut second = Fixture::new(0);
     for record in &flush.records {
         match ProgressRecord::decode(record).unwrap() {
             ProgressRecord::Ended(id) => second.cell.restore_ended(id, second.now),
-            ProgressRecord::Worker(id, known) => second.cell.restore_worker(id, known, second.now),
+            ProgressRecord::Worker(id, stored) => {
+                second.cell.restore_worker(id, stored, second.now)
+            }
             _ => {}
         }
     }
-    // The store lists both for a while.
-    second.meet("w0", "m0");
-    second.meet("w1", "m1");
+    // The store lists both workers for a while.
+    second.discover("w0", "m0");
+    second.discover("w1", "m1");
     let known: Vec<String> = second.cell.workers.keys().map(Incarnation::to_string).collect();
     assert_eq!(known, ["w0"]);
-    // What was moved to the pool it is in already goes on.
+    // A worker whose machine is moved to the pool it is in already stays.
     first.cell.end_incarnations_elsewhere("m0", "work");
     assert!(first.cell.workers.contains_key(&"w0".into()));
 }
 
 #[test]
 fn a_run_that_is_found_before_its_job_arrives_is_the_run_of_its_task() {
-    let mut bed = Bed::new(2);
-    bed.look("w0", &[(task(1, 0, 0), 3)], &[]);
-    bed.look("w1", &[], &[]);
-    assert_eq!(bed.stops(), []);
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    assert_eq!(bed.place(), []);
-    assert_eq!(bed.cell.workers["w0"].free.cpu, 3_000);
-    bed.look("w0", &[], &[(1, task(1, 0, 0), 3, Outcome::Done)]);
-    assert_eq!(bed.cell.jobs[&1].end, Some(JobState::Succeeded));
+    let mut fixture = Fixture::new(2);
+    fixture.poll("w0", &[(task(1, 0, 0), 3)], &[]);
+    fixture.poll("w1", &[], &[]);
+    assert_eq!(fixture.stops(), []);
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    assert_eq!(fixture.place(), []);
+    assert_eq!(fixture.cell.workers["w0"].free.cpu, 3_000);
+    fixture.poll("w0", &[], &[(1, task(1, 0, 0), 3, Outcome::Done)]);
+    assert_eq!(fixture.cell.jobs[&1].end, Some(JobState::Succeeded));
 }
 
 #[test]
 fn a_run_whose_job_never_arrives_is_stopped() {
-    let mut bed = Bed::new(1);
-    bed.look("w0", &[(task(9, 0, 0), 3)], &[]);
-    bed.cell.stop_unknown_jobs(bed.now + Duration::from_secs(10));
-    assert_eq!(bed.stops(), [("w0".to_owned(), task(9, 0, 0), 3)]);
+    let mut fixture = Fixture::new(1);
+    fixture.poll("w0", &[(task(9, 0, 0), 3)], &[]);
+    fixture.cell.stop_unknown_jobs(fixture.now + Duration::from_secs(10));
+    assert_eq!(fixture.stops(), [("w0".to_owned(), task(9, 0, 0), 3)]);
 }
 
 #[test]
 fn a_start_without_an_answer_is_stopped_before_it_is_repeated() {
-    let mut bed = Bed::new(2);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    let (worker, name, run) = bed.place().remove(0);
-    bed.cell.on_unanswered(&worker.as_str().into(), name, run, bed.now);
-    assert_eq!(bed.stops(), [(worker.clone(), name, run)]);
-    assert_eq!(bed.place(), []);
-    // A look that was sent before the stop was answered proves nothing.
-    bed.look(&worker, &[], &[]);
-    assert_eq!(bed.place(), []);
-    bed.cell.on_stopped(&worker.as_str().into(), name, run, bed.now);
-    bed.now += MILLI;
-    bed.look(&worker, &[], &[]);
-    let again = bed.place();
+    let mut fixture = Fixture::new(2);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    let (worker, name, run) = fixture.place().remove(0);
+    fixture.cell.on_unanswered(&worker.as_str().into(), name, run, fixture.now);
+    assert_eq!(fixture.stops(), [(worker.clone(), name, run)]);
+    assert_eq!(fixture.place(), []);
+    // A poll that was sent before the stop was answered proves nothing.
+    fixture.poll(&worker, &[], &[]);
+    assert_eq!(fixture.place(), []);
+    fixture.cell.on_stopped(&worker.as_str().into(), name, run, fixture.now);
+    fixture.now += MILLI;
+    fixture.poll(&worker, &[], &[]);
+    let again = fixture.place();
     assert_eq!(again.len(), 1);
     assert!(again[0].2 > run);
     assert_ne!(again[0].0, worker);
 }
 
 #[test]
-fn the_lease_of_a_silent_worker_runs_out() {
-    let mut bed = Bed::new(2);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    let (worker, name, _) = bed.start().remove(0);
-    bed.miss(&worker);
-    assert_eq!(bed.cell.expired_workers(bed.now + WORKER_LEASE / 2), []);
-    let later = bed.now + WORKER_LEASE + Duration::from_millis(500);
-    assert_eq!(bed.cell.expired_workers(later), [(worker.as_str().into(), true)]);
-    bed.cell.expire_runs(&worker.as_str().into());
-    bed.now = later;
-    let again = bed.place();
+fn the_lease_of_an_unresponsive_worker_expires() {
+    let mut fixture = Fixture::new(2);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    let (worker, name, _) = fixture.start().remove(0);
+    fixture.fail_poll(&worker);
+    assert_eq!(fixture.cell.expired_workers(fixture.now + WORKER_LEASE / 2), []);
+    let later = fixture.now + WORKER_LEASE + Duration::from_millis(500);
+    assert_eq!(fixture.cell.expired_workers(later), [(worker.as_str().into(), true)]);
+    fixture.cell.expire_runs(&worker.as_str().into());
+    fixture.now = later;
+    let again = fixture.place();
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].1, name);
     assert_ne!(again[0].0, worker);
 }
 
 #[test]
-fn of_two_lives_on_a_machine_the_one_that_answers_is_the_one_that_lives() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    bed.start();
-    // A read that is seconds old tells of an earlier life.
-    bed.meet("old", "m0");
-    assert!(bed.cell.workers.contains_key(&"w0".into()));
-    bed.look("w0", &[(task(1, 0, 0), TOKEN)], &[]);
-    assert!(!bed.cell.workers.contains_key(&"old".into()));
-    assert_eq!(bed.place(), []);
+fn of_two_incarnations_on_a_machine_the_one_that_answers_is_the_running_one() {
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    fixture.start();
+    // A read that is seconds old returns the entry of an earlier incarnation.
+    fixture.discover("old", "m0");
+    assert!(fixture.cell.workers.contains_key(&"w0".into()));
+    fixture.poll("w0", &[(task(1, 0, 0), TOKEN)], &[]);
+    assert!(!fixture.cell.workers.contains_key(&"old".into()));
+    assert_eq!(fixture.place(), []);
 }
 
 #[test]
-fn failures_are_counted_by_run_whoever_hears_of_them_and_when() {
-    let mut bed = Bed::new(2);
-    bed.look_at_all();
+fn failures_are_counted_once_per_run_in_any_order() {
+    let mut fixture = Fixture::new(2);
+    fixture.poll_all();
     let mut progress = Progress::default();
     progress.failed.push(((0, 0, 0), vec![7]));
-    bed.cell.admit(1, accepted(vec![step(1)]), Some(&progress));
-    // The store knows of run 7 already; run 5 is told of late.
-    bed.look("w0", &[], &[(1, task(1, 0, 0), 7, Outcome::Failed)]);
-    assert_eq!(bed.cell.jobs[&1].end, None);
-    bed.look("w1", &[], &[(1, task(1, 0, 0), 5, Outcome::Failed)]);
-    assert_eq!(bed.cell.jobs[&1].end, Some(JobState::Failed));
-    assert_eq!(bed.place(), []);
+    fixture.cell.admit(1, accepted(vec![step(1)]), Some(&progress));
+    // Run 7 is in the store already; run 5 is reported late.
+    fixture.poll("w0", &[], &[(1, task(1, 0, 0), 7, Outcome::Failed)]);
+    assert_eq!(fixture.cell.jobs[&1].end, None);
+    fixture.poll("w1", &[], &[(1, task(1, 0, 0), 5, Outcome::Failed)]);
+    assert_eq!(fixture.cell.jobs[&1].end, Some(JobState::Failed));
+    assert_eq!(fixture.place(), []);
 }
 
 #[test]
-fn a_task_is_not_moved_off_while_another_of_its_step_may_be_away() {
-    let mut bed = Bed::new(3);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![lasting(3)]), None);
-    let starts = bed.start();
+fn a_task_is_not_moved_while_another_of_its_step_may_be_unavailable() {
+    let mut fixture = Fixture::new(3);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![long_running_step(3)]), None);
+    let starts = fixture.start();
     assert_eq!(starts.len(), 3);
     for (worker, name, run) in &starts {
-        bed.look(worker, &[(*name, *run)], &[]);
+        fixture.poll(worker, &[(*name, *run)], &[]);
     }
-    // A worker that is silent may have lost its task.
-    bed.cell.on_failed_poll(&"w0".into());
-    assert!(!maintenance::evacuate(&mut bed.cell, &"w1".into(), false));
-    assert_eq!(bed.stops(), []);
+    // An unresponsive worker may have lost its task.
+    fixture.cell.on_failed_poll(&"w0".into());
+    assert!(!maintenance::evacuate(&mut fixture.cell, &"w1".into(), false));
+    assert_eq!(fixture.stops(), []);
     let at_w0 = starts.iter().find(|start| start.0 == "w0").unwrap();
-    bed.look("w0", &[(at_w0.1, at_w0.2)], &[]);
-    assert!(!maintenance::evacuate(&mut bed.cell, &"w1".into(), false));
-    assert_eq!(bed.stops().len(), 1);
-    assert!(!maintenance::evacuate(&mut bed.cell, &"w2".into(), false));
-    assert_eq!(bed.stops(), []);
-}
-
-#[test]
-fn a_task_that_lasts_gets_the_room_of_tasks_that_end() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(4)]), None);
-    assert_eq!(bed.start().len(), 4);
-    bed.cell.admit(2, accepted(vec![lasting(1)]), None);
-    bed.cell.place_ready(bed.now, Duration::from_secs(1));
-    assert_eq!(bed.stops().len(), 1);
-}
-
-/// What happens: room is made for a task that lasts, and beside the one that gives it another run is stopped, of a job that has not
-/// been heard of and may last itself.
-/// Why: nothing is known of such a run, so it counts as one that ends by itself and takes no room; the youngest are
-/// stopped first, and it was found last.
-/// Shown by: reading; no play is known in which it came.
-#[test]
-fn a_run_whose_job_is_not_known_is_not_stopped_to_make_room() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(4)]), None);
+    fixture.poll("w0", &[(at_w0.1, at_w0.2)], &[]);
+    assert!(!maintenance::evacuate(&mut fixture.cell, &"w1".into(), false));
+    assert_eq!(fixture.stops().len(), 1);
+    assert!(!maintenance::evacuate(&mut fixture.cell, &"w2".into(), false));
+    assert_eq!(fixture.stops(), []);
+}
+
+#[test]
+fn a_long_running_task_preempts_batch_tasks() {
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(4)]), None);
+    assert_eq!(fixture.start().len(), 4);
+    fixture.cell.admit(2, accepted(vec![long_running_step(1)]), None);
+    fixture.cell.place_ready(fixture.now, Duration::from_secs(1));
+    assert_eq!(fixture.stops().len(), 1);
+}
+
+/// Guards against preempting a run whose job is not known yet, which may be long-running itself.
+/// Such a run counts as a batch task without resources, and as it was found last, it is the
+/// youngest; the youngest runs are preempted first.
+#[test]
+fn a_run_whose_job_is_not_known_is_not_preempted() {
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(4)]), None);
     let mut runs: Vec<(TaskName, Run)> =
-        bed.start().into_iter().map(|(_, name, run)| (name, run)).collect();
+        fixture.start().into_iter().map(|(_, name, run)| (name, run)).collect();
     runs.push((task(9, 0, 0), 3));
-    bed.look("w0", &runs, &[]);
-    bed.cell.admit(2, accepted(vec![lasting(1)]), None);
-    bed.cell.place_ready(bed.now, Duration::from_secs(1));
-    let stopped: Vec<JobId> = bed.stops().into_iter().map(|(_, name, _)| name.job).collect();
+    fixture.poll("w0", &runs, &[]);
+    fixture.cell.admit(2, accepted(vec![long_running_step(1)]), None);
+    fixture.cell.place_ready(fixture.now, Duration::from_secs(1));
+    let stopped: Vec<JobId> = fixture.stops().into_iter().map(|(_, name, _)| name.job).collect();
     assert_eq!(stopped, [1]);
 }
 
 #[test]
 fn a_newer_scheduler_ends_this_one() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    let (worker, name, run) = bed.place().remove(0);
-    let life = worker.as_str().into();
-    bed.cell.on_fenced(&life, compose_token(TOKEN, bed.cell.workers[&life].fence));
-    bed.cell.on_refused(&life, name, run, Some(Refusal::Fenced), bed.now);
-    assert!(bed.cell.is_fenced);
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    let (worker, name, run) = fixture.place().remove(0);
+    let incarnation = worker.as_str().into();
+    fixture
+        .cell
+        .on_fenced(&incarnation, compose_token(TOKEN, fixture.cell.workers[&incarnation].fence));
+    fixture.cell.on_refused(&incarnation, name, run, Some(Refusal::Fenced), fixture.now);
+    assert!(fixture.cell.is_fenced);
 }
 
 #[test]
 fn a_cancelled_job_is_stopped_and_stays_cancelled() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    let starts = bed.start();
-    assert_matches!(bed.cell.cancel(1), Some(JobState::Canceled));
-    assert_eq!(bed.stops(), starts);
-    bed.look("w0", &[], &[(1, task(1, 0, 0), TOKEN, Outcome::Done)]);
-    assert_eq!(bed.cell.jobs[&1].end, Some(JobState::Canceled));
-    assert_eq!(bed.cell.cancel(2), None);
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    let starts = fixture.start();
+    assert_matches!(fixture.cell.cancel(1), Some(JobState::Canceled));
+    assert_eq!(fixture.stops(), starts);
+    fixture.poll("w0", &[], &[(1, task(1, 0, 0), TOKEN, Outcome::Done)]);
+    assert_eq!(fixture.cell.jobs[&1].end, Some(JobState::Canceled));
+    assert_eq!(fixture.cell.cancel(2), None);
 }
 
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![Step { gang: true, ..step(5) }]), None);
-    assert_eq!(bed.place(), []);
-    bed.meet("w9", "m9");
-    bed.look("w9", &[], &[]);
-    let starts = bed.start();
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![Step { gang: true, ..step(5) }]), None);
+    assert_eq!(fixture.place(), []);
+    fixture.discover("w9", "m9");
+    fixture.poll("w9", &[], &[]);
+    let starts = fixture.start();
     assert_eq!(starts.len(), 5);
     assert!(starts.iter().all(|start| start.2 == starts[0].2));
 }
 
-/// A scheduler under which `job` was started and one of the workers fell silent, and its successor,
-/// which has heard from another worker only. Returns the successor and the silent worker.
-fn taken_over(job: &Accepted) -> (Bed, String) {
-    let mut first = Bed::new(2);
-    first.look_at_all();
+/// A scheduler under which `job` was started and one of the workers became unresponsive, and its
+/// successor, which only another worker has answered. Returns the successor and the unresponsive
+/// worker.
+fn after_takeover(job: &Accepted) -> (Fixture, String) {
+    let mut first = Fixture::new(2);
+    first.poll_all();
     first.cell.admit(1, job.clone(), None);
-    let (silent, ..) = first.start().remove(0);
-    first.cell.on_failed_poll(&silent.as_str().into());
+    let (unresponsive, ..) = first.start().remove(0);
+    first.cell.on_failed_poll(&unresponsive.as_str().into());
     let flush = first.cell.take_flush();
     let mut records = flush.records.iter().map(|record| ProgressRecord::decode(record).unwrap());
-    let known = records.find_map(|record| match record {
-        ProgressRecord::Worker(id, known)
-            if id == silent.as_str().into() && known.unresponsive_with.is_some() =>
+    let stored = records.find_map(|record| match record {
+        ProgressRecord::Worker(id, stored)
+            if id == unresponsive.as_str().into() && stored.unresponsive_with.is_some() =>
         {
-            Some(known)
+            Some(stored)
         }
         _ => None,
     });
 
-    let mut second = Bed::new(0);
-    second.cell.restore_worker(silent.as_str().into(), known.unwrap(), second.now);
-    second.meet(&silent, "m0");
-    second.meet("other", "m9");
+    let mut second = Fixture::new(0);
+    second.cell.restore_worker(unresponsive.as_str().into(), stored.unwrap(), second.now);
+    second.discover(&unresponsive, "m0");
+    second.discover("other", "m9");
     second.cell.unpolled = second.cell.workers.keys().cloned().collect();
     second.cell.admit(1, job.clone(), Some(&Progress::default()));
-    second.look("other", &[], &[]);
-    (second, silent)
+    second.poll("other", &[], &[]);
+    (second, unresponsive)
 }
 
 #[test]
 fn a_gang_of_which_a_member_may_run_is_not_started() {
-    let (mut bed, _) = taken_over(&accepted(vec![Step { gang: true, ..step(2) }]));
-    assert_eq!(bed.start(), []);
+    let (mut fixture, _) = after_takeover(&accepted(vec![Step { gang: true, ..step(2) }]));
+    assert_eq!(fixture.start(), []);
 }
 
 #[test]
-fn a_worker_that_fell_silent_before_the_takeover_holds_up_only_what_it_may_run() {
-    let (mut second, silent) = taken_over(&accepted(vec![step(1)]));
+fn a_worker_unresponsive_since_before_the_takeover_delays_only_tasks_it_may_run() {
+    let (mut second, unresponsive) = after_takeover(&accepted(vec![step(1)]));
     second.cell.admit(2, accepted(vec![step(1)]), Some(&Progress::default()));
     let starts = second.start();
     assert_eq!(starts.len(), 1);
     assert_eq!(starts[0].1, task(2, 0, 0));
 
-    // Heard of again, it is given work only once the store knows.
-    second.look(&silent, &[(task(1, 0, 0), TOKEN)], &[]);
-    assert!(!second.cell.workers[silent.as_str()].is_schedulable(second.now));
+    // Once it answers again, it gets tasks only after the store has recorded that.
+    second.poll(&unresponsive, &[(task(1, 0, 0), TOKEN)], &[]);
+    assert!(!second.cell.workers[unresponsive.as_str()].is_schedulable(second.now));
     let flush = second.cell.take_flush();
     second.cell.on_flushed(&flush);
-    assert!(second.cell.workers[silent.as_str()].is_schedulable(second.now));
+    assert!(second.cell.workers[unresponsive.as_str()].is_schedulable(second.now));
 }
 
 #[test]
-fn a_machine_whose_upkeep_has_begun_is_known_to_the_next_scheduler() {
-    let mut bed = Bed::new(1);
-    bed.cell.record_maintenance_started(7, "m0");
-    let flush = bed.cell.take_flush();
+fn a_machine_whose_maintenance_has_started_is_known_to_the_next_scheduler() {
+    let mut fixture = Fixture::new(1);
+    fixture.cell.record_maintenance_started(7, "m0");
+    let flush = fixture.cell.take_flush();
     let wave = flush.records.iter().find(|record| record.key == "wave/7").unwrap();
     assert_eq!(
         ProgressRecord::decode(wave).unwrap(),
@@ -619,239 +624,240 @@
 }
 
 #[test]
-fn an_end_that_is_told_before_its_job_arrives_counts_and_is_not_acknowledged_until_then() {
-    let mut bed = Bed::new(2);
-    bed.look_at_all();
-    bed.look("w0", &[], &[(1, task(1, 0, 0), 3, Outcome::Done)]);
-    let flush = bed.cell.take_flush();
-    bed.cell.on_flushed(&flush);
-    assert_eq!(bed.cell.workers["w0"].durable_end, 0);
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    assert_eq!(bed.place(), []);
-    assert_eq!(bed.cell.jobs[&1].end, Some(JobState::Succeeded));
-    let flush = bed.cell.take_flush();
-    bed.cell.on_flushed(&flush);
-    assert_eq!(bed.cell.workers["w0"].durable_end, 1);
-    // The end of a job that never arrives is let go after a while.
-    bed.look("w0", &[], &[(2, task(9, 0, 0), 3, Outcome::Done)]);
-    bed.cell.stop_unknown_jobs(bed.now + Duration::from_secs(10));
-    let flush = bed.cell.take_flush();
-    bed.cell.on_flushed(&flush);
-    assert_eq!(bed.cell.workers["w0"].durable_end, 2);
-}
-
-#[test]
-fn a_worker_whose_entry_ran_out_with_the_store_away_works_on_until_it_should_be_back() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    let back = bed.now + Duration::from_millis(2_000);
-    bed.cell.mark_unlisted("w0", Some(back));
-    assert_eq!(bed.start().len(), 1);
-    bed.now = back;
-    bed.cell.admit(2, accepted(vec![step(1)]), None);
-    assert_eq!(bed.start(), vec![]);
-    // Without an outage a worker that is not listed gets nothing at once.
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    bed.cell.mark_unlisted("w0", None);
-    assert_eq!(bed.start(), vec![]);
-}
-
-#[test]
-fn tasks_that_last_leave_a_worker_that_goes_without_a_word_one_at_a_time() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    let step = Step { max_per_worker: 0, ..lasting(2) };
-    bed.cell.admit(1, accepted(vec![step]), None);
-    let starts = bed.start();
+fn an_end_reported_before_its_job_arrives_counts_and_is_not_acknowledged_until_then() {
+    let mut fixture = Fixture::new(2);
+    fixture.poll_all();
+    fixture.poll("w0", &[], &[(1, task(1, 0, 0), 3, Outcome::Done)]);
+    let flush = fixture.cell.take_flush();
+    fixture.cell.on_flushed(&flush);
+    assert_eq!(fixture.cell.workers["w0"].durable_end, 0);
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    assert_eq!(fixture.place(), []);
+    assert_eq!(fixture.cell.jobs[&1].end, Some(JobState::Succeeded));
+    let flush = fixture.cell.take_flush();
+    fixture.cell.on_flushed(&flush);
+    assert_eq!(fixture.cell.workers["w0"].durable_end, 1);
+    // The end of a job that never arrives is dropped after a while.
+    fixture.poll("w0", &[], &[(2, task(9, 0, 0), 3, Outcome::Done)]);
+    fixture.cell.stop_unknown_jobs(fixture.now + Duration::from_secs(10));
+    let flush = fixture.cell.take_flush();
+    fixture.cell.on_flushed(&flush);
+    assert_eq!(fixture.cell.workers["w0"].durable_end, 2);
+}
+
+#[test]
+fn a_worker_whose_entry_expired_in_a_store_outage_gets_tasks_until_it_should_be_listed_again() {
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    let back = fixture.now + Duration::from_millis(2_000);
+    fixture.cell.mark_unlisted("w0", Some(back));
+    assert_eq!(fixture.start().len(), 1);
+    fixture.now = back;
+    fixture.cell.admit(2, accepted(vec![step(1)]), None);
+    assert_eq!(fixture.start(), vec![]);
+    // Without an outage of the store, a worker that is not listed gets no tasks from then on.
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    fixture.cell.mark_unlisted("w0", None);
+    assert_eq!(fixture.start(), vec![]);
+}
+
+#[test]
+fn long_running_tasks_leave_a_worker_that_departs_unannounced_one_at_a_time() {
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    let step = Step { max_per_worker: 0, ..long_running_step(2) };
+    fixture.cell.admit(1, accepted(vec![step]), None);
+    let starts = fixture.start();
     assert_eq!(starts.len(), 2);
     let running: Vec<(TaskName, Run)> = starts.iter().map(|(_, task, run)| (*task, *run)).collect();
-    bed.look("w0", &running, &[]);
-    assert_eq!(bed.cell.leaving_unannounced(bed.now), Vec::<Incarnation>::new());
-    bed.cell.mark_unlisted("w0", None);
-    bed.meet("w1", "m1");
-    bed.look("w1", &[], &[]);
+    fixture.poll("w0", &running, &[]);
+    assert_eq!(fixture.cell.leaving_unannounced(fixture.now), Vec::<Incarnation>::new());
+    fixture.cell.mark_unlisted("w0", None);
+    fixture.discover("w1", "m1");
+    fixture.poll("w1", &[], &[]);
     for _ in 0..3 {
-        for id in bed.cell.leaving_unannounced(bed.now) {
-            maintenance::evacuate(&mut bed.cell, &id, false);
+        for id in fixture.cell.leaving_unannounced(fixture.now) {
+            maintenance::evacuate(&mut fixture.cell, &id, false);
         }
     }
-    let stops = bed.stops();
-    assert_eq!(stops.len(), 1, "one may be away, so one is stopped: {stops:?}");
-    let (_, gone, _) = stops[0];
-    bed.now += MILLI;
+    let stops = fixture.stops();
+    assert_eq!(stops.len(), 1, "one may be unavailable, so one is stopped: {stops:?}");
+    let (_, stopped, _) = stops[0];
+    fixture.now += MILLI;
     let left: Vec<(TaskName, Run)> =
-        running.iter().copied().filter(|(task, _)| *task != gone).collect();
-    bed.cell.on_stopped(&"w0".into(), gone, running[0].1, bed.now);
-    bed.now += MILLI;
-    bed.look("w0", &left, &[]);
-    let starts = bed.start();
+        running.iter().copied().filter(|(task, _)| *task != stopped).collect();
+    fixture.cell.on_stopped(&"w0".into(), stopped, running[0].1, fixture.now);
+    fixture.now += MILLI;
+    fixture.poll("w0", &left, &[]);
+    let starts = fixture.start();
     assert_eq!(starts.len(), 1);
     assert_eq!(starts[0].0, "w1");
 }
 
 #[test]
 fn a_worker_that_was_emptied_as_leaving_and_is_listed_again_takes_work() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.mark_unlisted("w0", None);
-    for id in bed.cell.leaving_unannounced(bed.now) {
-        maintenance::evacuate(&mut bed.cell, &id, false);
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.mark_unlisted("w0", None);
+    for id in fixture.cell.leaving_unannounced(fixture.now) {
+        maintenance::evacuate(&mut fixture.cell, &id, false);
     }
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    assert_eq!(bed.start(), vec![]);
-    bed.meet("w0", "m0");
-    assert_eq!(bed.start().len(), 1);
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    assert_eq!(fixture.start(), vec![]);
+    fixture.discover("w0", "m0");
+    assert_eq!(fixture.start().len(), 1);
 }
 
 #[test]
-fn room_for_a_task_that_lasts_is_made_only_where_it_may_run() {
-    let mut bed = Bed::new(1);
+fn a_long_running_task_preempts_only_where_it_may_run() {
+    let mut fixture = Fixture::new(1);
     let peer = Peer { incarnation: "w9".into(), addr: addr() };
     let labels = vec!["big".to_owned()];
-    bed.cell.discover(peer, Entry { labels, ..entry("m9") }, bed.now);
-    bed.look_at_all();
-    // The one worker with the label is full, the other one is empty.
+    fixture.cell.discover(peer, Entry { labels, ..entry("m9") }, fixture.now);
+    fixture.poll_all();
+    // The only worker with the label is full, the other one is empty.
     let full = Step { requires: Some("big".to_owned()), ..step(4) };
-    bed.cell.admit(1, accepted(vec![full]), None);
-    let starts = bed.start();
+    fixture.cell.admit(1, accepted(vec![full]), None);
+    let starts = fixture.start();
     assert!(starts.len() == 4 && starts.iter().all(|(worker, ..)| worker == "w9"));
-    bed.cell.admit(
+    fixture.cell.admit(
         2,
-        accepted(vec![Step { requires: Some("big".to_owned()), ..lasting(1) }]),
+        accepted(vec![Step { requires: Some("big".to_owned()), ..long_running_step(1) }]),
         None,
     );
-    bed.cell.place_ready(bed.now, Duration::from_secs(1));
-    let stops = bed.stops();
+    fixture.cell.place_ready(fixture.now, Duration::from_secs(1));
+    let stops = fixture.stops();
     assert_eq!(stops.len(), 1, "{stops:?}");
     assert_eq!(stops[0].0, "w9");
 }
 
 #[test]
-fn a_pool_wants_as_many_workers_as_a_gang_that_waits_needs() {
-    let mut bed = Bed::new(2);
-    bed.look_at_all();
-    // Nine tasks of a core and a half need five workers of four cores; by their work alone, which
-    // is over in a moment, two would do.
+fn a_pool_requests_as_many_workers_as_a_waiting_gang_needs() {
+    let mut fixture = Fixture::new(2);
+    fixture.poll_all();
+    // Nine tasks of 1.5 cores need five workers of four cores. By the amount of work, which takes
+    // only a moment, two would do.
     let gang = Step { gang: true, cpu: 1_500, estimate_ms: 10, ..step(9) };
-    bed.cell.admit(1, accepted(vec![gang]), None);
-    assert_eq!(bed.start(), vec![]);
-    let loads = loads(&bed.cell, bed.now);
+    fixture.cell.admit(1, accepted(vec![gang]), None);
+    assert_eq!(fixture.start(), vec![]);
+    let loads = loads(&fixture.cell, fixture.now);
     assert_eq!(loads["work"].min_workers, 5);
     assert!(!loads["work"].can_spare(4_000));
     for number in 2..5 {
-        bed.meet(&format!("w{number}"), &format!("m{number}"));
+        fixture.discover(&format!("w{number}"), &format!("m{number}"));
     }
-    bed.look_at_all();
-    assert_eq!(bed.start().len(), 9);
+    fixture.poll_all();
+    assert_eq!(fixture.start().len(), 9);
 }
 
 #[test]
-fn a_finished_job_is_let_go_of_in_every_partition_that_keeps_it() {
-    let mut bed = Bed::new(1);
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    bed.cell.cancel(1);
-    let flush = bed.cell.take_flush();
-    bed.cell.on_flushed(&flush);
+fn a_finished_job_is_removed_from_every_partition_that_holds_it() {
+    let mut fixture = Fixture::new(1);
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    fixture.cell.cancel(1);
+    let flush = fixture.cell.take_flush();
+    fixture.cell.on_flushed(&flush);
     let keep = Duration::from_secs(1);
     let later = clock::now() + Duration::from_secs(60);
-    // Nobody knows yet where the store keeps it; a record left there would be a new job to the next
-    // scheduler.
-    assert!(bed.cell.finished_jobs(keep, later).is_empty());
+    // It is not known yet which partitions hold it; a record left there would be a new job to the
+    // next scheduler.
+    assert!(fixture.cell.finished_jobs(keep, later).is_empty());
     let key = JobKey { id: 1, account: None };
-    bed.cell.record_kept(key.clone(), 3);
-    bed.cell.record_kept(key.clone(), 7);
+    fixture.cell.record_kept(key.clone(), 3);
+    fixture.cell.record_kept(key.clone(), 7);
     let finished = [FinishedJob { key, cancelled: true, kept_in: [3, 7].into() }];
-    assert_eq!(bed.cell.finished_jobs(keep, later), finished);
-    // Its end is forgotten last, once no partition keeps it.
-    let ends = |bed: &mut Bed| {
-        let records = bed.cell.take_flush().records;
+    assert_eq!(fixture.cell.finished_jobs(keep, later), finished);
+    // Its end is removed last, once no partition holds it.
+    let ends = |fixture: &mut Fixture| {
+        let records = fixture.cell.take_flush().records;
         records.iter().filter(|record| record.key == format!("{:016x}", 1)).count()
     };
-    assert_eq!(ends(&mut bed), 0);
-    assert_eq!(bed.cell.finished_jobs(keep, later), finished);
-    bed.cell.forget_job(1);
-    assert_eq!(ends(&mut bed), 1);
-    assert!(bed.cell.finished_jobs(keep, later).is_empty());
+    assert_eq!(ends(&mut fixture), 0);
+    assert_eq!(fixture.cell.finished_jobs(keep, later), finished);
+    fixture.cell.forget_job(1);
+    assert_eq!(ends(&mut fixture), 1);
+    assert!(fixture.cell.finished_jobs(keep, later).is_empty());
 }
 
 #[test]
 fn a_worker_whose_entry_was_overwritten_gets_nothing_new_and_keeps_what_it_runs() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    let (_, _, run) = bed.start().remove(0);
-    assert!(bed.cell.record_unusable("w0", "misshapen"));
-    assert!(!bed.cell.record_unusable("w0", "misshapen"), "told once");
-    bed.cell.admit(2, accepted(vec![step(1)]), None);
-    bed.look("w0", &[(task(1, 0, 0), run)], &[]);
-    assert_eq!(bed.start(), []);
-    assert_eq!(bed.stops(), [], "nothing is taken from it");
-    bed.look("w0", &[], &[(1, task(1, 0, 0), run, Outcome::Done)]);
-    assert_eq!(bed.cell.jobs[&1].end, Some(JobState::Succeeded));
-    // Its own entry is back.
-    bed.meet("w0", "m0");
-    assert_eq!(bed.start().len(), 1);
-}
-
-#[test]
-fn entries_of_others_are_remembered_in_bounds() {
-    let mut bed = Bed::new(1);
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    let (_, _, run) = fixture.start().remove(0);
+    assert!(fixture.cell.record_unusable("w0", "misshapen"));
+    assert!(!fixture.cell.record_unusable("w0", "misshapen"), "reported once");
+    fixture.cell.admit(2, accepted(vec![step(1)]), None);
+    fixture.poll("w0", &[(task(1, 0, 0), run)], &[]);
+    assert_eq!(fixture.start(), []);
+    assert_eq!(fixture.stops(), [], "nothing on it is stopped");
+    fixture.poll("w0", &[], &[(1, task(1, 0, 0), run, Outcome::Done)]);
+    assert_eq!(fixture.cell.jobs[&1].end, Some(JobState::Succeeded));
+    // Its own entry is listed again.
+    fixture.discover("w0", "m0");
+    assert_eq!(fixture.start().len(), 1);
+}
+
+#[test]
+fn the_number_of_remembered_invalid_entries_is_limited() {
+    let mut fixture = Fixture::new(1);
     for number in 0..1_000 {
-        bed.cell.record_unusable(&format!("x{number}"), "unreadable");
+        fixture.cell.record_unusable(&format!("x{number}"), "unreadable");
     }
-    assert_eq!(bed.cell.unusable.len(), 256);
-    assert_eq!(bed.cell.workers.len(), 1);
-    bed.cell.mark_unlisted("x0", None);
-    assert_eq!(bed.cell.unusable.len(), 255);
+    assert_eq!(fixture.cell.unusable.len(), 256);
+    assert_eq!(fixture.cell.workers.len(), 1);
+    fixture.cell.mark_unlisted("x0", None);
+    assert_eq!(fixture.cell.unusable.len(), 255);
 }
 
-/// A worker's room halves while it is full: it gets nothing, nothing is stopped, and it gets more once it fits.
+/// A full worker's capacity halves: it gets no tasks, none is stopped, and it gets tasks again once
+/// they fit.
 #[test]
-fn a_worker_whose_room_has_shrunk_gets_nothing_until_what_it_runs_fits() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(4)]), None);
-    let started = bed.start();
+fn a_worker_whose_capacity_has_shrunk_gets_nothing_until_what_it_runs_fits() {
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(4)]), None);
+    let started = fixture.start();
     assert_eq!(started.len(), 4);
-    let resize = |bed: &mut Bed, cpu: u32| {
+    let resize = |fixture: &mut Fixture, cpu: u32| {
         let peer = Peer { incarnation: "w0".into(), addr: addr() };
-        let room = Resources { cpu, memory_mb: 4_000, gpu: 0 };
-        bed.cell.discover(peer, Entry { capacity: room, ..entry("m0") }, bed.now);
+        let capacity = Resources { cpu, memory_mb: 4_000, gpu: 0 };
+        fixture.cell.discover(peer, Entry { capacity, ..entry("m0") }, fixture.now);
     };
-    resize(&mut bed, 2_000);
-    bed.cell.admit(2, accepted(vec![step(1)]), None);
-    assert_eq!(bed.start(), []);
-    assert_eq!(bed.stops(), []);
+    resize(&mut fixture, 2_000);
+    fixture.cell.admit(2, accepted(vec![step(1)]), None);
+    assert_eq!(fixture.start(), []);
+    assert_eq!(fixture.stops(), []);
     let runs: Vec<(TaskName, Run)> = started.iter().map(|(_, task, run)| (*task, *run)).collect();
     // Two have ended: the other two fill it.
     let ends = [(1, runs[0].0, runs[0].1, Outcome::Done), (2, runs[1].0, runs[1].1, Outcome::Done)];
-    bed.look("w0", &runs[2..], &ends);
-    assert_eq!(bed.start(), []);
-    resize(&mut bed, 4_000);
-    assert_eq!(bed.start().len(), 1);
+    fixture.poll("w0", &runs[2..], &ends);
+    assert_eq!(fixture.start(), []);
+    resize(&mut fixture, 4_000);
+    assert_eq!(fixture.start().len(), 1);
 }
 
-/// A task that lasts gets the room of enough others: of a worker that is two tasks over its room, three have to be
-/// stopped for one.
+/// A long-running task preempts enough others: on a worker that is two tasks over its capacity,
+/// three have to be stopped for one.
 #[test]
-fn room_is_made_for_what_is_missing_too() {
-    let mut bed = Bed::new(1);
-    bed.look_at_all();
-    bed.cell.admit(1, accepted(vec![step(4)]), None);
-    assert_eq!(bed.start().len(), 4);
+fn preemption_also_covers_a_capacity_deficit() {
+    let mut fixture = Fixture::new(1);
+    fixture.poll_all();
+    fixture.cell.admit(1, accepted(vec![step(4)]), None);
+    assert_eq!(fixture.start().len(), 4);
     let peer = Peer { incarnation: "w0".into(), addr: addr() };
-    let room = Resources { cpu: 2_000, memory_mb: 4_000, gpu: 0 };
-    bed.cell.discover(peer, Entry { capacity: room, ..entry("m0") }, bed.now);
-    bed.cell.admit(2, accepted(vec![lasting(1)]), None);
-    bed.cell.place_ready(bed.now, Duration::from_secs(1));
-    assert_eq!(bed.stops().len(), 3);
+    let capacity = Resources { cpu: 2_000, memory_mb: 4_000, gpu: 0 };
+    fixture.cell.discover(peer, Entry { capacity, ..entry("m0") }, fixture.now);
+    fixture.cell.admit(2, accepted(vec![long_running_step(1)]), None);
+    fixture.cell.place_ready(fixture.now, Duration::from_secs(1));
+    assert_eq!(fixture.stops().len(), 3);
 }
 
 #[test]
-fn a_record_of_a_job_that_nobody_could_keep_in_memory_is_not_taken_in() {
+fn a_record_of_a_job_too_large_for_memory_is_rejected() {
     let mut job = accepted(vec![step(1)]);
     job.job.repetitions = u32::MAX;
     let record = spokelift_lib::batch::record::accepted(1, &job);
--- a/lib/tests/test_bounds.rs
+++ b/lib/tests/test_bounds.rs
@@ -1,7 +1,8 @@
-//! What accounts may have running: nothing is started above a bound, whatever happens, and nothing else waits for it.
+//! Quotas of accounts: nothing is started above a quota, whatever happens, and nothing else waits
+//! for it.
 //!
-//! A bound that was lowered far below what an account sent, beside a holder of the lead that was killed, was exceeded by
-//! the next start in three of four plays: nothing counted what an account had running.
+//! Guards against starts above a quota that was lowered far below the load of its account while the
+//! leader is killed: the new leader has to count what the account has running.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -35,8 +36,8 @@
 use spokelift_testutils::batch::published::published;
 
 const TOKEN: u64 = 7;
-/// Processor and memory of a worker.
-const ROOM: u32 = 8_000;
+/// CPU in millicores and memory in MB of a worker.
+const CAPACITY: u32 = 8_000;
 const ACCOUNTS: [&str; 2] = ["a", "b"];
 
 fn step(count: u32) -> Step {
@@ -47,15 +48,15 @@
     Accepted { account: Some(account.into()), ..batch::accepted(vec![step]) }
 }
 
-/// A configuration with these bounds of processor.
-fn config(version: u64, bounds: &[(&str, u64)]) -> Arc<Config> {
-    let accounts = bounds.iter().map(|(name, cpu)| published::account(name, &[], *cpu));
+/// A configuration with these CPU quotas, in millicores.
+fn config(version: u64, quotas: &[(&str, u64)]) -> Arc<Config> {
+    let accounts = quotas.iter().map(|(name, cpu)| published::account(name, &[], *cpu));
     let text = published(version, &[], accounts.collect());
     Arc::new(Config::decode(&text).unwrap())
 }
 
-/// A scheduler's state, and what the workers run by what they were told.
-struct Bed {
+/// A scheduler's state, and what the workers run according to their orders.
+struct Fixture {
     cell: Cell,
     now: Instant,
     clock: u64,
@@ -65,9 +66,9 @@
     processed: BTreeMap<String, u64>,
 }
 
-impl Bed {
-    fn new(workers: usize) -> Bed {
-        let mut bed = Bed {
+impl Fixture {
+    fn new(workers: usize) -> Fixture {
+        let mut fixture = Fixture {
             cell: Cell::new(TOKEN),
             now: clock::now(),
             clock: 1_000,
@@ -77,20 +78,20 @@
             processed: BTreeMap::new(),
         };
         for number in 0..workers {
-            bed.meet(number);
-            bed.look(number, 0);
+            fixture.discover(number);
+            fixture.poll(number, 0);
         }
-        bed
+        fixture
     }
 
-    fn bound(&mut self, bounds: &[(&str, u64)]) {
+    fn set_quotas(&mut self, quotas: &[(&str, u64)]) {
         self.version += 1;
-        self.cell.set_quotas(&config(self.version, bounds));
+        self.cell.set_quotas(&config(self.version, quotas));
     }
 
-    fn meet(&mut self, number: usize) {
+    fn discover(&mut self, number: usize) {
         let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
-        self.cell.discover(peer, batch::entry(&format!("m{number}"), ROOM), self.now);
+        self.cell.discover(peer, batch::entry(&format!("m{number}"), CAPACITY), self.now);
     }
 
     fn tick(&mut self) {
@@ -98,33 +99,33 @@
         self.clock += 20;
     }
 
-    /// A worker answers a look; the first tasks on it have ended.
-    fn look(&mut self, number: usize, ended: usize) {
+    /// A worker answers a poll; the first `ended` tasks on it have ended.
+    fn poll(&mut self, number: usize, ended: usize) {
         let id = format!("w{number}");
-        let sent = self.now;
+        let sent_at = self.now;
         self.tick();
         let (mine, others): (Vec<_>, Vec<_>) =
             self.running.drain(..).partition(|(worker, ..)| *worker == id);
         self.running = others;
-        let (over, on) = mine.split_at(mine.len().min(ended));
+        let (ended_runs, ongoing) = mine.split_at(mine.len().min(ended));
         let last = self.processed.entry(id.clone()).or_default();
-        let ends = over.iter().map(|(_, task, run)| {
+        let ends = ended_runs.iter().map(|(_, task, run)| {
             *last += 1;
             let checkpoint = String::new();
             End { number: *last, task: *task, run: *run, outcome: Outcome::Done, checkpoint }
         });
         let ended = ends.collect();
-        let running = on.iter().map(|(_, task, run)| Running {
+        let running = ongoing.iter().map(|(_, task, run)| Running {
             task: *task,
             run: *run,
             checkpoint: String::new(),
             percent: 100,
             figure: 0,
         });
-        let seen =
+        let response =
             PollResponse { clock: self.clock, running: running.collect(), ended, birth_ms: None };
-        self.running.extend_from_slice(on);
-        self.cell.on_poll(&id.as_str().into(), sent, self.now, seen);
+        self.running.extend_from_slice(ongoing);
+        self.cell.on_poll(&id.as_str().into(), sent_at, self.now, response);
     }
 
     fn submit(&mut self, account: &str, step: Step) -> JobId {
@@ -133,7 +134,7 @@
         self.jobs
     }
 
-    /// Places what waits; returns the tasks that are started. The workers take all orders.
+    /// Places the waiting tasks; returns those that are started. The workers accept all orders.
     fn place(&mut self) -> Vec<TaskName> {
         self.cell.place_ready(self.now, Duration::from_secs(1));
         let mut started = Vec::new();
@@ -165,243 +166,251 @@
 }
 
 #[test]
-fn a_bound_holds_over_all_workers_and_nobody_else_waits() {
-    let mut bed = Bed::new(3);
-    bed.bound(&[("a", 3_000), ("b", 0)]);
-    let first = bed.submit("a", step(8));
-    let other = bed.submit("b", step(8));
-    let started = bed.place();
+fn a_quota_holds_over_all_workers_and_nobody_else_waits() {
+    let mut fixture = Fixture::new(3);
+    fixture.set_quotas(&[("a", 3_000), ("b", 0)]);
+    let first = fixture.submit("a", step(8));
+    let other = fixture.submit("b", step(8));
+    let started = fixture.place();
     assert_eq!((of(&started, first), of(&started, other)), (3, 8));
-    let held = count_unfit_workers(
-        &bed.cell,
+    let unfit = count_unfit_workers(
+        &fixture.cell,
         TaskName { job: first, repetition: 0, step: 0, index: 7 },
-        bed.now,
+        fixture.now,
     );
-    assert_eq!(held, [("its account is at its bound".to_owned(), 3)].into());
+    assert_eq!(unfit, [("its account is at its bound".to_owned(), 3)].into());
 }
 
 #[test]
-fn memory_bounds_as_processor_does_and_what_fills_counts() {
-    let mut bed = Bed::new(3);
+fn memory_is_limited_as_cpu_is_and_best_effort_tasks_count() {
+    let mut fixture = Fixture::new(3);
     let maximum = json!({ "cpu": 5_000, "memMb": 250 });
     let text = published(1, &[], json!([{ "name": "a", "maximum": maximum }]));
-    bed.cell.set_quotas(&Arc::new(Config::decode(&text).unwrap()));
-    bed.submit("a", Step { long_running: true, best_effort: true, ..step(1) });
-    bed.submit("a", step(4));
-    assert_eq!(bed.place().len(), 2);
+    fixture.cell.set_quotas(&Arc::new(Config::decode(&text).unwrap()));
+    fixture.submit("a", Step { long_running: true, best_effort: true, ..step(1) });
+    fixture.submit("a", step(4));
+    assert_eq!(fixture.place().len(), 2);
 }
 
 #[test]
-fn a_lowered_bound_stops_nothing_and_starts_nothing_until_there_is_room() {
-    let mut bed = Bed::new(1);
-    bed.bound(&[("a", 4_000)]);
-    bed.submit("a", step(8));
-    assert_eq!(bed.place().len(), 4);
-    bed.bound(&[("a", 2_000)]);
-    assert_eq!(bed.place().len(), 0);
-    assert_eq!(bed.running.len(), 4, "nothing is stopped");
-    bed.look(0, 2);
-    assert_eq!(bed.place().len(), 0);
-    bed.look(0, 1);
-    assert_eq!(bed.place().len(), 1);
-    bed.bound(&[("a", 4_000)]);
-    assert_eq!(bed.place().len(), 2, "raised");
-    // A version that comes late changes nothing.
-    bed.cell.set_quotas(&config(1, &[("a", 1_000)]));
-    bed.look(0, 1);
-    assert_eq!(bed.place().len(), 1);
+fn a_lowered_quota_stops_nothing_and_starts_nothing_until_usage_is_below_it() {
+    let mut fixture = Fixture::new(1);
+    fixture.set_quotas(&[("a", 4_000)]);
+    fixture.submit("a", step(8));
+    assert_eq!(fixture.place().len(), 4);
+    fixture.set_quotas(&[("a", 2_000)]);
+    assert_eq!(fixture.place().len(), 0);
+    assert_eq!(fixture.running.len(), 4, "nothing is stopped");
+    fixture.poll(0, 2);
+    assert_eq!(fixture.place().len(), 0);
+    fixture.poll(0, 1);
+    assert_eq!(fixture.place().len(), 1);
+    fixture.set_quotas(&[("a", 4_000)]);
+    assert_eq!(fixture.place().len(), 2, "raised");
+    // A version that arrives late changes nothing.
+    fixture.cell.set_quotas(&config(1, &[("a", 1_000)]));
+    fixture.poll(0, 1);
+    assert_eq!(fixture.place().len(), 1);
 }
 
 #[test]
-fn a_gang_starts_whole_within_the_bound_or_waits_alone() {
-    let mut bed = Bed::new(2);
-    bed.bound(&[("a", 3_000), ("b", 0)]);
-    let wide = bed.submit("a", Step { gang: true, ..step(4) });
-    let narrow = bed.submit("a", Step { gang: true, ..step(2) });
-    let other = bed.submit("b", step(3));
-    let started = bed.place();
+fn a_gang_starts_whole_within_the_quota_or_waits_alone() {
+    let mut fixture = Fixture::new(2);
+    fixture.set_quotas(&[("a", 3_000), ("b", 0)]);
+    let wide = fixture.submit("a", Step { gang: true, ..step(4) });
+    let narrow = fixture.submit("a", Step { gang: true, ..step(2) });
+    let other = fixture.submit("b", step(3));
+    let started = fixture.place();
     assert_eq!([wide, narrow, other].map(|job| of(&started, job)), [0, 2, 3]);
-    let held = count_unfit_workers(
-        &bed.cell,
+    let unfit = count_unfit_workers(
+        &fixture.cell,
         TaskName { job: wide, repetition: 0, step: 0, index: 0 },
-        bed.now,
+        fixture.now,
     );
-    assert_eq!(held.into_keys().collect::<Vec<_>>(), ["its account is at its bound"]);
+    assert_eq!(unfit.into_keys().collect::<Vec<_>>(), ["its account is at its bound"]);
 }
 
 #[test]
-fn work_that_its_account_may_not_run_wants_no_boxes() {
-    let mut bed = Bed::new(2);
-    bed.bound(&[("a", 2_000)]);
-    bed.submit("a", Step { count: 100, ..step(100) });
-    bed.place();
-    let load = &loads(&bed.cell, bed.now)["work"];
+fn work_that_its_account_may_not_run_requests_no_boxes() {
+    let mut fixture = Fixture::new(2);
+    fixture.set_quotas(&[("a", 2_000)]);
+    fixture.submit("a", Step { count: 100, ..step(100) });
+    fixture.place();
+    let load = &loads(&fixture.cell, fixture.now)["work"];
     assert_eq!((load.used, load.waiting), (2_000, 0));
     let before = load.arrival_rate;
-    bed.submit("a", step(100));
-    assert_eq!(loads(&bed.cell, bed.now)["work"].arrival_rate, before);
-    bed.bound(&[("a", 5_000)]);
-    assert_eq!(loads(&bed.cell, bed.now)["work"].waiting, 3_000, "as much as it may start");
+    fixture.submit("a", step(100));
+    assert_eq!(loads(&fixture.cell, fixture.now)["work"].arrival_rate, before);
+    fixture.set_quotas(&[("a", 5_000)]);
+    assert_eq!(loads(&fixture.cell, fixture.now)["work"].waiting, 3_000, "as much as it may start");
 }
 
 #[test]
-fn before_the_bounds_are_known_nothing_of_an_account_starts() {
-    let mut bed = Bed::new(1);
-    bed.submit("a", step(2));
-    assert_eq!(bed.place().len(), 0);
-    bed.bound(&[("a", 0)]);
-    assert_eq!(bed.place().len(), 2);
+fn before_the_quotas_are_known_nothing_of_an_account_starts() {
+    let mut fixture = Fixture::new(1);
+    fixture.submit("a", step(2));
+    assert_eq!(fixture.place().len(), 0);
+    fixture.set_quotas(&[("a", 0)]);
+    assert_eq!(fixture.place().len(), 2);
 }
 
 #[test]
-fn an_account_that_vanishes_keeps_its_bound() {
-    let mut bed = Bed::new(1);
-    bed.bound(&[("a", 2_000)]);
-    bed.submit("a", step(6));
-    assert_eq!(bed.place().len(), 2);
-    bed.bound(&[("b", 1_000)]);
-    bed.look(0, 1);
-    assert_eq!(bed.place().len(), 1);
-    bed.bound(&[("a", 0)]);
-    assert_eq!(bed.place().len(), 3, "it is back without a bound");
+fn an_account_that_is_removed_keeps_its_quota() {
+    let mut fixture = Fixture::new(1);
+    fixture.set_quotas(&[("a", 2_000)]);
+    fixture.submit("a", step(6));
+    assert_eq!(fixture.place().len(), 2);
+    fixture.set_quotas(&[("b", 1_000)]);
+    fixture.poll(0, 1);
+    assert_eq!(fixture.place().len(), 1);
+    fixture.set_quotas(&[("a", 0)]);
+    assert_eq!(fixture.place().len(), 3, "it is back without a quota");
 }
 
-/// A scheduler that has just begun, with a job of 6 tasks of account `a`, which may run 4. Its workers were those of an
-/// earlier scheduler; those in `asked` have been asked and run nothing.
-fn taken_over(asked: &[usize]) -> Bed {
-    let mut bed = Bed::new(0);
-    (0..3).for_each(|number| bed.meet(number));
-    // Jobs that come from now on are none that it can have started.
-    bed.cell.predecessor_is_done = true;
-    bed.cell.unpolled = bed.cell.workers.keys().cloned().collect();
-    bed.bound(&[("a", 4_000), ("b", 4_000)]);
-    bed.jobs = 1;
-    bed.cell.admit(1, accepted("a", step(6)), Some(&Progress::default()));
-    asked.iter().for_each(|number| bed.look(*number, 0));
-    bed
+/// A new scheduler with a job of 6 tasks of account `a`, which may run 4. Its workers were those of
+/// an earlier scheduler; those in `polled` have answered a poll and run nothing.
+fn after_takeover(polled: &[usize]) -> Fixture {
+    let mut fixture = Fixture::new(0);
+    (0..3).for_each(|number| fixture.discover(number));
+    // The earlier scheduler cannot have started jobs that arrive from now on.
+    fixture.cell.predecessor_is_done = true;
+    fixture.cell.unpolled = fixture.cell.workers.keys().cloned().collect();
+    fixture.set_quotas(&[("a", 4_000), ("b", 4_000)]);
+    fixture.jobs = 1;
+    fixture.cell.admit(1, accepted("a", step(6)), Some(&Progress::default()));
+    polled.iter().for_each(|number| fixture.poll(*number, 0));
+    fixture
 }
 
 #[test]
 fn after_a_takeover_what_is_not_known_counts_as_running() {
-    // The one that was not asked may run all six, whatever else is free.
-    let mut bed = taken_over(&[0, 1]);
-    let late = bed.submit("a", step(1));
-    let other = bed.submit("b", step(1));
-    let started = bed.place();
+    // The unpolled worker may run all six, whatever else is free.
+    let mut fixture = after_takeover(&[0, 1]);
+    let late = fixture.submit("a", step(1));
+    let other = fixture.submit("b", step(1));
+    let started = fixture.place();
     assert_eq!((of(&started, late), of(&started, other)), (0, 1));
     // It runs three.
     let runs = (0..3)
         .map(|index| ("w2".to_owned(), TaskName { job: 1, repetition: 0, step: 0, index }, 3));
-    bed.running.extend(runs);
-    bed.look(2, 0);
-    assert_eq!(bed.place().len(), 1, "four may run");
-    let mut bed = taken_over(&[0, 1, 2]);
-    assert_eq!(bed.place().len(), 4);
+    fixture.running.extend(runs);
+    fixture.poll(2, 0);
+    assert_eq!(fixture.place().len(), 1, "four may run");
+    let mut fixture = after_takeover(&[0, 1, 2]);
+    assert_eq!(fixture.place().len(), 4);
 }
 
 #[test]
-fn a_worker_that_had_fallen_silent_hides_no_more_than_the_store_names() {
-    let mut bed = taken_over(&[0, 1, 2]);
+fn a_worker_that_was_unresponsive_may_run_no_more_than_the_store_names() {
+    let mut fixture = after_takeover(&[0, 1, 2]);
     let tasks = vec![(1, (0, 0, 0))];
-    let known = StoredWorker {
+    let stored = StoredWorker {
         addr: addr(),
         service: "work".to_owned(),
         machine: None,
         unresponsive_with: Some(tasks),
     };
-    bed.cell.restore_worker("gone".into(), known, bed.now);
-    bed.cell.unpolled.insert("gone".into());
-    let started = bed.place();
-    assert_eq!(started.len(), 3, "one of four may be on the silent worker");
+    fixture.cell.restore_worker("gone".into(), stored, fixture.now);
+    fixture.cell.unpolled.insert("gone".into());
+    let started = fixture.place();
+    assert_eq!(started.len(), 3, "one of four may be on the unresponsive worker");
     assert!(started.iter().all(|task| task.index != 0));
-    bed.cell.expire_runs(&"gone".into());
-    assert_eq!(bed.place().len(), 1);
+    fixture.cell.expire_runs(&"gone".into());
+    assert_eq!(fixture.place().len(), 1);
 }
 
-/// What may happen to a worker, a job or a bound.
+/// An event of a worker, a job, a quota or the scheduler.
 #[derive(Clone, Debug)]
-enum Happening {
-    Meet(usize),
-    Look(usize, usize),
-    Miss(usize),
-    Bury(usize),
-    Lapse(usize),
-    /// Another scheduler follows; the one before had ended, so what comes from now on it cannot have started.
-    Overtake(bool),
+enum Event {
+    Discover(usize),
+    Poll(usize, usize),
+    FailPoll(usize),
+    MarkEnded(usize),
+    Expire(usize),
+    /// Another scheduler takes over. If true, the previous one has stopped, so it cannot start jobs
+    /// that arrive from now on.
+    Takeover(bool),
     Job {
         account: usize,
         tasks: u32,
         cpu: u32,
-        lasts: bool,
-        fills: bool,
+        is_long_running: bool,
+        best_effort: bool,
         gang: bool,
     },
     Cancel(u64),
-    Bound(usize, u64),
+    SetQuota(usize, u64),
     Place,
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn event() -> impl Strategy<Value = Event> {
     let worker = 0..4_usize;
     let job = (0..2_usize, 1..6_u32, 1..3_000_u32, any::<bool>(), any::<bool>(), any::<bool>());
     prop_oneof![
-        2 => worker.clone().prop_map(Happening::Meet),
-        6 => (worker.clone(), 0..4_usize).prop_map(|(number, ended)| Happening::Look(number, ended)),
-        1 => worker.clone().prop_map(Happening::Miss),
-        1 => worker.clone().prop_map(Happening::Bury),
-        1 => worker.prop_map(Happening::Lapse),
-        1 => any::<bool>().prop_map(Happening::Overtake),
-        5 => job.prop_map(|(account, tasks, cpu, lasts, fills, gang)| {
-            Happening::Job { account, tasks, cpu, lasts, fills: lasts && fills, gang: !lasts && gang }
+        2 => worker.clone().prop_map(Event::Discover),
+        6 => (worker.clone(), 0..4_usize).prop_map(|(number, ended)| Event::Poll(number, ended)),
+        1 => worker.clone().prop_map(Event::FailPoll),
+        1 => worker.clone().prop_map(Event::MarkEnded),
+        1 => worker.prop_map(Event::Expire),
+        1 => any::<bool>().prop_map(Event::Takeover),
+        5 => job.prop_map(|(account, tasks, cpu, is_long_running, best_effort, gang)| {
+            Event::Job {
+                account,
+                tasks,
+                cpu,
+                is_long_running,
+                best_effort: is_long_running && best_effort,
+                gang: !is_long_running && gang,
+            }
         }),
-        1 => (1..20_u64).prop_map(Happening::Cancel),
-        2 => (0..2_usize, 0..9_000_u64).prop_map(|(account, cpu)| Happening::Bound(account, cpu)),
-        6 => Just(Happening::Place),
+        1 => (1..20_u64).prop_map(Event::Cancel),
+        2 => (0..2_usize, 0..9_000_u64).prop_map(|(account, cpu)| Event::SetQuota(account, cpu)),
+        6 => Just(Event::Place),
     ]
 }
 
-/// What workers really run for an account.
-fn really_runs(bed: &Bed, account: &str) -> u64 {
-    let owned = bed.running.iter().filter_map(|(_, task, _)| {
-        let entry = bed.cell.jobs.get(&task.job)?;
+/// The CPU that workers really use for an account, in millicores.
+fn actual_usage(fixture: &Fixture, account: &str) -> u64 {
+    let owned = fixture.running.iter().filter_map(|(_, task, _)| {
+        let entry = fixture.cell.jobs.get(&task.job)?;
         (entry.accepted.account.as_deref() == Some(account))
             .then(|| entry.step(task.step).unwrap().cpu)
     });
     owned.map(u64::from).sum()
 }
 
-impl Bed {
-    fn happen(&mut self, what: Happening, bounds: &mut [u64; 2]) {
+impl Fixture {
+    fn apply_event(&mut self, event: Event, quotas: &mut [u64; 2]) {
         self.tick();
-        match what {
-            Happening::Meet(number) => self.meet(number),
-            Happening::Look(number, ended) => self.look(number, ended),
-            Happening::Miss(number) => self.cell.on_failed_poll(&format!("w{number}").into()),
-            Happening::Bury(number) | Happening::Lapse(number) => {
+        match event {
+            Event::Discover(number) => self.discover(number),
+            Event::Poll(number, ended) => self.poll(number, ended),
+            Event::FailPoll(number) => self.cell.on_failed_poll(&format!("w{number}").into()),
+            Event::MarkEnded(number) | Event::Expire(number) => {
                 let id = format!("w{number}");
                 self.forget_runs(&id);
-                match what {
-                    Happening::Bury(_) => self.cell.mark_ended(&id.as_str().into(), "a test"),
+                match event {
+                    Event::MarkEnded(_) => self.cell.mark_ended(&id.as_str().into(), "a test"),
                     _ => self.cell.expire_runs(&id.as_str().into()),
                 }
             }
-            Happening::Overtake(is_done) => self.overtake(*bounds, is_done),
-            Happening::Job { account, tasks, cpu, lasts, fills, gang } => {
+            Event::Takeover(is_done) => self.take_over(*quotas, is_done),
+            Event::Job { account, tasks, cpu, is_long_running, best_effort, gang } => {
                 let step =
-                    Step { cpu, long_running: lasts, best_effort: fills, gang, ..step(tasks) };
+                    Step { cpu, long_running: is_long_running, best_effort, gang, ..step(tasks) };
                 self.submit(ACCOUNTS[account], step);
             }
-            Happening::Cancel(job) => drop(self.cell.cancel(job)),
-            Happening::Bound(account, cpu) => {
-                bounds[account] = cpu;
-                self.bound(&[("a", bounds[0]), ("b", bounds[1])]);
+            Event::Cancel(job) => drop(self.cell.cancel(job)),
+            Event::SetQuota(account, cpu) => {
+                quotas[account] = cpu;
+                self.set_quotas(&[("a", quotas[0]), ("b", quotas[1])]);
             }
-            Happening::Place => drop(self.place()),
+            Event::Place => drop(self.place()),
         }
     }
 
-    /// Another scheduler goes on with the jobs and the workers, and has asked none of them.
-    fn overtake(&mut self, bounds: [u64; 2], predecessor_is_done: bool) {
+    /// Another scheduler takes over the jobs and the workers, and has polled none of them.
+    fn take_over(&mut self, quotas: [u64; 2], predecessor_is_done: bool) {
         let mut cell = Cell::new(self.cell.token + 1_000);
         cell.predecessor_is_done = predecessor_is_done;
         let mut jobs: Vec<_> = self.cell.jobs.iter().collect();
@@ -413,35 +422,39 @@
             cell.discover(worker.peer.clone(), worker.entry.clone(), self.now);
         }
         cell.unpolled = cell.workers.keys().cloned().collect();
-        let (version, last) = (self.version.max(1), bounds);
+        let (version, last) = (self.version.max(1), quotas);
         cell.set_quotas(&config(version, &[("a", last[0]), ("b", last[1])]));
         self.cell = cell;
     }
 }
 
 proptest! {
-    /// The totals are what a full count gives, and no round starts anything that lifts what workers really run for an
-    /// account above its bound, also just after a takeover.
+    /// The totals match a full count, and no placement starts anything that raises the real usage
+    /// of an account above its quota, including just after a takeover.
     #[test]
-    fn no_start_goes_above_a_bound(happenings in prop::collection::vec(happening(), 1..120)) {
-        let mut bed = Bed::new(3);
-        let mut bounds = [0, 0];
-        bed.bound(&[("a", 0), ("b", 0)]);
-        for what in happenings {
-            let told = format!("{what:?}");
-            let before = ACCOUNTS.map(|account| really_runs(&bed, account));
-            let places = matches!(what, Happening::Place);
-            bed.happen(what, &mut bounds);
-            prop_assert_eq!(bed.cell.workers.faults(), Vec::<String>::new(), "after {}", told);
+    fn no_start_exceeds_a_quota(events in prop::collection::vec(event(), 1..120)) {
+        let mut fixture = Fixture::new(3);
+        let mut quotas = [0, 0];
+        fixture.set_quotas(&[("a", 0), ("b", 0)]);
+        for event in events {
+            let event_text = format!("{event:?}");
+            let before = ACCOUNTS.map(|account| actual_usage(&fixture, account));
+            let is_placement = matches!(event, Event::Place);
+            fixture.apply_event(event, &mut quotas);
+            let faults = fixture.cell.workers.faults();
+            prop_assert_eq!(faults, Vec::<String>::new(), "after {}", event_text);
             for (number, account) in ACCOUNTS.iter().enumerate() {
-                let runs = really_runs(&bed, account);
-                let is_above = bounds[number] > 0 && runs > bounds[number];
-                let has_risen = places && runs > before[number];
-                prop_assert!(!is_above || !has_risen, "{account} runs {runs} after {told}");
+                let usage = actual_usage(&fixture, account);
+                let is_above = quotas[number] > 0 && usage > quotas[number];
+                let has_increased = is_placement && usage > before[number];
+                prop_assert!(
+                    !is_above || !has_increased,
+                    "{account} uses {usage} after {event_text}"
+                );
             }
         }
-        if bed.cell.workers.values().all(|worker| worker.allocations.is_empty()) {
-            prop_assert_eq!(bed.cell.workers.totals(), &Totals::default());
+        if fixture.cell.workers.values().all(|worker| worker.allocations.is_empty()) {
+            prop_assert_eq!(fixture.cell.workers.totals(), &Totals::default());
         }
     }
 }
--- a/lib/tests/test_box_list.rs
+++ b/lib/tests/test_box_list.rs
@@ -1,5 +1,5 @@
-//! Lives of workers that are over by the platform's list of boxes: nothing waits for what cannot run any more, and
-//! everything waits for what may.
+//! Incarnations of workers that have ended according to the platform's list of boxes: no task waits
+//! for runs that cannot exist any more, and every task waits for those that may.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -33,42 +33,43 @@
     batch::machine(&format!("m{number}"), status, worker)
 }
 
-/// A scheduler with worker `w0` on box `m0` and so on, each with room for one task.
-struct Bed {
+/// A scheduler with worker `w0` on box `m0` and so on, each with capacity for one task.
+struct Fixture {
     cell: Cell,
     now: Instant,
     clock: u64,
 }
 
-impl Bed {
-    fn new(workers: usize) -> Bed {
-        let mut bed = Bed { cell: Cell::new(TOKEN), now: clock::now(), clock: 1_000 };
+impl Fixture {
+    fn new(workers: usize) -> Fixture {
+        let mut fixture = Fixture { cell: Cell::new(TOKEN), now: clock::now(), clock: 1_000 };
         for number in 0..workers {
             let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
-            bed.cell.discover(peer, batch::entry(&format!("m{number}"), 4_000), bed.now);
+            fixture.cell.discover(peer, batch::entry(&format!("m{number}"), 4_000), fixture.now);
         }
-        bed
+        fixture
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
         self.clock += time.as_millis() as u64;
     }
 
-    fn look(&mut self, number: usize) {
-        let sent = self.now;
-        self.pass(MILLI);
-        let seen =
+    fn poll(&mut self, number: usize) {
+        let sent_at = self.now;
+        self.advance(MILLI);
+        let response =
             PollResponse { clock: self.clock, running: vec![], ended: vec![], birth_ms: None };
-        self.cell.on_poll(&format!("w{number}").into(), sent, self.now, seen);
-        self.pass(MILLI);
+        self.cell.on_poll(&format!("w{number}").into(), sent_at, self.now, response);
+        self.advance(MILLI);
     }
 
-    fn miss(&mut self, number: usize) {
+    fn fail_poll(&mut self, number: usize) {
         self.cell.on_failed_poll(&format!("w{number}").into());
     }
 
-    /// Starts what can be started, and the workers take it: on which worker, and what.
+    /// Starts what can be started, and the workers accept; returns the worker and task of each
+    /// start.
     fn start(&mut self) -> Vec<(String, TaskName)> {
         self.cell.place_ready(self.now, Duration::from_secs(1));
         let orders = std::mem::take(&mut self.cell.outbox);
@@ -78,14 +79,15 @@
             self.cell.on_started(&peer.incarnation, task, run, self.now);
             started.push((peer.incarnation.to_string(), task));
         }
-        self.pass(MILLI);
+        self.advance(MILLI);
         started
     }
 
-    /// The list of boxes that is asked for now arrives at once: all are up with their workers but those given.
+    /// A list of boxes is requested and arrives at once: all are up with their workers, apart from
+    /// those given.
     fn list(&mut self, others: Vec<Machine>) {
-        let asked_at = self.now;
-        self.pass(MILLI);
+        let requested_at = self.now;
+        self.advance(MILLI);
         let mut list: Vec<Machine> = (0..self.cell.workers.len())
             .map(|number| machine(number, Status::Up, Some(&format!("w{number}"))))
             .collect();
@@ -93,168 +95,171 @@
             list.retain(|machine| machine.id != other.id);
             list.push(other);
         }
-        self.cell.end_incarnations_by_box_list(&list, asked_at);
+        self.cell.end_incarnations_by_box_list(&list, requested_at);
     }
 
-    /// The list that is asked for now lacks a box.
+    /// A list of boxes is requested that lacks one box.
     fn list_without(&mut self, number: usize) {
-        let asked_at = self.now;
-        self.pass(MILLI);
+        let requested_at = self.now;
+        self.advance(MILLI);
         let others = (0..3).filter(|other| *other != number);
         let list: Vec<Machine> =
             others.map(|other| machine(other, Status::Up, Some(&format!("w{other}")))).collect();
-        self.cell.end_incarnations_by_box_list(&list, asked_at);
+        self.cell.end_incarnations_by_box_list(&list, requested_at);
     }
 
-    fn knows(&self, number: usize) -> bool {
+    fn is_known(&self, number: usize) -> bool {
         self.cell.workers.contains_key(&Incarnation::from(format!("w{number}").as_str()))
     }
 }
 
-/// A scheduler that has taken over, with a job of before; worker `w0` has not answered it, `w1` and `w2` have.
-fn taken_over() -> Bed {
-    let mut bed = Bed::new(3);
-    bed.cell.unpolled = bed.cell.workers.keys().cloned().collect();
-    bed.cell.admit(1, accepted(vec![step(1)]), Some(&Progress::default()));
-    bed.pass(MILLI);
-    bed.look(1);
-    bed.look(2);
-    bed
+/// A scheduler that has taken over, with an inherited job; `w1` and `w2` have answered it, `w0` has
+/// not.
+fn after_takeover() -> Fixture {
+    let mut fixture = Fixture::new(3);
+    fixture.cell.unpolled = fixture.cell.workers.keys().cloned().collect();
+    fixture.cell.admit(1, accepted(vec![step(1)]), Some(&Progress::default()));
+    fixture.advance(MILLI);
+    fixture.poll(1);
+    fixture.poll(2);
+    fixture
 }
 
 fn task(job: JobId) -> TaskName {
     TaskName { job, repetition: 0, step: 0, index: 0 }
 }
 
-/// Callers waited up to 5.8 s for a service of which one worker had left between two schedulers, for good where
-/// takeovers followed each other.
+/// Guards against callers of a service waiting up to 5.8 s for the leases of a worker that left
+/// between two schedulers, and without end if takeovers follow each other.
 #[test]
-fn a_worker_that_left_between_two_schedulers_holds_up_nothing() {
-    let mut bed = taken_over();
-    assert_eq!(bed.start(), []);
-    assert!(bed.cell.is_blocked_by_unresponsive());
-    bed.list_without(0);
-    bed.list_without(0);
-    assert_eq!(bed.start().len(), 1);
-    assert!(!bed.cell.is_blocked_by_unresponsive());
+fn a_worker_that_left_between_two_schedulers_delays_nothing() {
+    let mut fixture = after_takeover();
+    assert_eq!(fixture.start(), []);
+    assert!(fixture.cell.is_blocked_by_unresponsive());
+    fixture.list_without(0);
+    fixture.list_without(0);
+    assert_eq!(fixture.start().len(), 1);
+    assert!(!fixture.cell.is_blocked_by_unresponsive());
 }
 
 #[test]
-fn a_worker_that_crashed_between_two_schedulers_holds_up_nothing() {
+fn a_worker_that_crashed_between_two_schedulers_delays_nothing() {
     for status in [Status::Down, Status::Moving, Status::Maintenance] {
-        let mut bed = taken_over();
-        bed.list(vec![machine(0, status, None)]);
-        assert_eq!(bed.start().len(), 1, "{status:?}");
+        let mut fixture = after_takeover();
+        fixture.list(vec![machine(0, status, None)]);
+        assert_eq!(fixture.start().len(), 1, "{status:?}");
     }
 }
 
 #[test]
-fn a_worker_whose_box_has_another_worker_holds_up_nothing() {
-    let mut bed = taken_over();
-    bed.list(vec![machine(0, Status::Up, Some("w9"))]);
-    assert_eq!(bed.start().len(), 1);
+fn a_worker_whose_box_has_another_worker_delays_nothing() {
+    let mut fixture = after_takeover();
+    fixture.list(vec![machine(0, Status::Up, Some("w9"))]);
+    assert_eq!(fixture.start().len(), 1);
 }
 
-/// What it runs would be started a second time.
+/// Otherwise its runs would be started a second time.
 #[test]
 fn a_worker_that_may_be_cut_off_and_run_on_is_waited_for() {
-    let mut bed = taken_over();
-    bed.list(vec![]);
-    bed.list(vec![machine(0, Status::Up, None)]);
-    bed.miss(0);
-    bed.list(vec![]);
-    assert_eq!(bed.start(), []);
-    assert!(bed.knows(0));
+    let mut fixture = after_takeover();
+    fixture.list(vec![]);
+    fixture.list(vec![machine(0, Status::Up, None)]);
+    fixture.fail_poll(0);
+    fixture.list(vec![]);
+    assert_eq!(fixture.start(), []);
+    assert!(fixture.is_known(0));
 }
 
-/// The pages of a list are read one after the other, and a box may be in none of them as it changes.
+/// The pages of a list are read one after another, and a box may be in none of them while it
+/// changes.
 #[test]
 fn a_box_that_one_list_lacks_says_nothing() {
-    let mut bed = taken_over();
-    bed.list_without(0);
-    bed.list(vec![]);
-    bed.list_without(0);
-    assert_eq!(bed.start(), []);
-    // A worker that answers is there, whatever the lists say.
-    bed.look(0);
-    bed.list_without(0);
-    bed.list_without(0);
-    assert!(bed.knows(0));
+    let mut fixture = after_takeover();
+    fixture.list_without(0);
+    fixture.list(vec![]);
+    fixture.list_without(0);
+    assert_eq!(fixture.start(), []);
+    // A worker that answers is running, whatever the lists say.
+    fixture.poll(0);
+    fixture.list_without(0);
+    fixture.list_without(0);
+    assert!(fixture.is_known(0));
 }
 
 #[test]
-fn a_list_that_was_asked_for_before_a_worker_was_met_or_answered_says_nothing() {
-    let mut bed = Bed::new(1);
-    bed.pass(MILLI);
-    let asked_at = bed.now;
-    bed.pass(MILLI);
+fn a_list_requested_before_a_worker_was_discovered_or_answered_says_nothing() {
+    let mut fixture = Fixture::new(1);
+    fixture.advance(MILLI);
+    let requested_at = fixture.now;
+    fixture.advance(MILLI);
     let peer = Peer { incarnation: "w1".into(), addr: addr() };
-    bed.cell.discover(peer, batch::entry("m1", 4_000), bed.now);
-    bed.look(0);
+    fixture.cell.discover(peer, batch::entry("m1", 4_000), fixture.now);
+    fixture.poll(0);
     let list = [machine(0, Status::Down, None), machine(1, Status::Down, None)];
-    bed.cell.end_incarnations_by_box_list(&list, asked_at);
-    assert!(bed.knows(0) && bed.knows(1));
+    fixture.cell.end_incarnations_by_box_list(&list, requested_at);
+    assert!(fixture.is_known(0) && fixture.is_known(1));
 }
 
-/// Its tasks had waited until their leases were over, 5.7 s.
+/// Guards against the tasks of such a worker waiting until its leases expire, 5.7 s.
 #[test]
 fn the_tasks_of_a_worker_whose_box_is_down_start_elsewhere_at_once() {
-    let mut bed = Bed::new(2);
-    bed.look(0);
-    bed.cell.admit(1, accepted(vec![step(1)]), None);
-    assert_eq!(bed.start(), [("w0".to_owned(), task(1))]);
-    bed.look(1);
-    bed.list(vec![machine(0, Status::Down, None)]);
-    assert_eq!(bed.start(), [("w1".to_owned(), task(1))]);
-    // The store lists it for some seconds more.
+    let mut fixture = Fixture::new(2);
+    fixture.poll(0);
+    fixture.cell.admit(1, accepted(vec![step(1)]), None);
+    assert_eq!(fixture.start(), [("w0".to_owned(), task(1))]);
+    fixture.poll(1);
+    fixture.list(vec![machine(0, Status::Down, None)]);
+    assert_eq!(fixture.start(), [("w1".to_owned(), task(1))]);
+    // The store lists it for some more seconds.
     let peer = Peer { incarnation: "w0".into(), addr: addr() };
-    bed.cell.discover(peer, batch::entry("m0", 4_000), bed.now);
-    assert!(!bed.knows(0));
+    fixture.cell.discover(peer, batch::entry("m0", 4_000), fixture.now);
+    assert!(!fixture.is_known(0));
 }
 
 #[test]
 fn nothing_is_blamed_for_the_end_of_a_worker_whose_box_was_ordered() {
-    let away = [
+    let ordered = [
         machine(0, Status::Maintenance, None),
         machine(0, Status::Moving, None),
         Machine { pool: "spare".to_owned(), ..machine(0, Status::Down, None) },
     ];
-    for away in away {
-        let mut bed = Bed::new(2);
-        bed.look(0);
-        bed.cell.admit(1, accepted(vec![step(1)]), None);
-        bed.start();
-        bed.list(vec![away]);
-        assert!(!bed.knows(0));
-        assert_eq!(bed.cell.stats.crashed_workers, 0);
+    for ordered in ordered {
+        let mut fixture = Fixture::new(2);
+        fixture.poll(0);
+        fixture.cell.admit(1, accepted(vec![step(1)]), None);
+        fixture.start();
+        fixture.list(vec![ordered]);
+        assert!(!fixture.is_known(0));
+        assert_eq!(fixture.cell.stats.crashed_workers, 0);
     }
 }
 
-/// A crash says less of what ran there where others crashed with it, and those may be named by the same list.
+/// A crash says less about the tasks on a worker if others crashed with it, and those may be in the
+/// same list.
 #[test]
-fn crashes_of_one_list_come_together() {
-    let mut bed = Bed::new(3);
-    (0..3).for_each(|number| bed.look(number));
-    let lasting = Step { long_running: true, ..step(3) };
-    bed.cell.admit(1, accepted(vec![lasting]), None);
-    assert_eq!(bed.start().len(), 3);
-    bed.list((0..3).map(|number| machine(number, Status::Down, None)).collect());
-    assert_eq!(bed.cell.stats.crashed_workers, 3);
-    let entry = &bed.cell.jobs[&1];
+fn crashes_found_by_one_list_count_as_concurrent() {
+    let mut fixture = Fixture::new(3);
+    (0..3).for_each(|number| fixture.poll(number));
+    let long_running = Step { long_running: true, ..step(3) };
+    fixture.cell.admit(1, accepted(vec![long_running]), None);
+    assert_eq!(fixture.start().len(), 3);
+    fixture.list((0..3).map(|number| machine(number, Status::Down, None)).collect());
+    assert_eq!(fixture.cell.stats.crashed_workers, 3);
+    let entry = &fixture.cell.jobs[&1];
     let crashes = entry.crashed_tasks().flat_map(|(_, task)| &task.crashes);
-    let told: Vec<String> = crashes.map(|crash| crash.evidence.to_string()).collect();
-    assert_eq!(told, ["others crashed in the same moment"; 3]);
+    let evidence: Vec<String> = crashes.map(|crash| crash.evidence.to_string()).collect();
+    assert_eq!(evidence, ["others crashed in the same moment"; 3]);
 }
 
-/// A second box was fetched for what the first one had been fetched for.
+/// Guards against requesting a second box for the load that the first one was requested for.
 #[test]
 fn a_box_has_joined_its_pool_once_its_worker_counts_in_the_load() {
-    let mut bed = Bed::new(1);
+    let mut fixture = Fixture::new(1);
     let arrived = machine(0, Status::Up, Some("w0"));
     let counts = |cell: &Cell, now| loads(cell, now).get("work").map_or(0, |load| load.workers);
-    assert!(!has_joined(&bed.cell, &arrived));
-    assert_eq!(counts(&bed.cell, bed.now), 0);
-    bed.look(0);
-    assert!(has_joined(&bed.cell, &arrived));
-    assert_eq!(counts(&bed.cell, bed.now), 1);
+    assert!(!has_joined(&fixture.cell, &arrived));
+    assert_eq!(counts(&fixture.cell, fixture.now), 0);
+    fixture.poll(0);
+    assert!(has_joined(&fixture.cell, &arrived));
+    assert_eq!(counts(&fixture.cell, fixture.now), 1);
 }
--- a/lib/tests/test_unheard.rs
+++ b/lib/tests/test_unheard.rs
@@ -1,4 +1,5 @@
-//! A worker that is silent over several takeovers holds up what it may run no longer than its leases last.
+//! A worker that is unreachable over several takeovers delays the tasks it may run no longer than
+//! its leases last.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -18,11 +19,11 @@
 use spokelift_testutils::batch::addr;
 
 const TICK: Duration = Duration::from_millis(100);
-/// What a clock that runs slow and the time between two records may add to the longest lease.
+/// What a slow clock and the interval between two records may add to the longest lease.
 const SLACK: Duration = Duration::from_millis(900);
 
-/// Schedulers that follow each other, and what they leave in the store.
-struct Bed {
+/// Successive schedulers, and what they leave in the store.
+struct Fixture {
     cell: Cell,
     token: u64,
     now: Instant,
@@ -37,18 +38,19 @@
     PollResponse { clock, running: Vec::new(), ended: Vec::new(), birth_ms: None }
 }
 
-impl Bed {
-    /// A scheduler of which the first worker has a task; the second has room.
-    fn new() -> Bed {
+impl Fixture {
+    /// A scheduler with two workers: the first one may run a task, the second one has free
+    /// resources.
+    fn new() -> Fixture {
         let now = clock::now();
-        let mut bed = Bed { cell: Cell::new(1), token: 1, now, store: batch::Store::new() };
-        bed.meet_all();
-        bed.flush();
-        bed
+        let mut fixture = Fixture { cell: Cell::new(1), token: 1, now, store: batch::Store::new() };
+        fixture.discover_all();
+        fixture.flush();
+        fixture
     }
 
-    fn meet_all(&mut self) {
-        for id in ["silent", "other"] {
+    fn discover_all(&mut self) {
+        for id in ["unresponsive", "other"] {
             self.cell.discover(peer(id), batch::entry(&format!("m-{id}"), 4_000), self.now);
         }
     }
@@ -61,27 +63,29 @@
     fn take_over(&mut self) {
         self.token += 1;
         self.cell = Cell::new(self.token);
-        let mut unheard = Vec::new();
+        let mut unreachable = Vec::new();
         for record in self.store.values() {
             match ProgressRecord::decode(record).unwrap() {
-                ProgressRecord::Worker(life, known) => {
-                    self.cell.restore_worker(life, known, self.now)
+                ProgressRecord::Worker(incarnation, stored) => {
+                    self.cell.restore_worker(incarnation, stored, self.now)
+                }
+                ProgressRecord::Unreachable(incarnation, duration) => {
+                    unreachable.push((incarnation, duration))
                 }
-                ProgressRecord::Unreachable(life, time) => unheard.push((life, time)),
                 _ => {}
             }
         }
-        self.cell.restore_unreachable(unheard);
-        self.meet_all();
+        self.cell.restore_unreachable(unreachable);
+        self.discover_all();
         self.cell.unpolled = self.cell.workers.keys().cloned().collect();
         let step = Step { count: 1, cpu: 1_000, memory_mb: 100, ..Step::default() };
         self.cell.admit(1, accepted(vec![step]), Some(&Progress::default()));
         self.cell.on_poll(&"other".into(), self.now, self.now, idle(1));
     }
 
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         self.now += TICK;
-        self.cell.on_failed_poll(&"silent".into());
+        self.cell.on_failed_poll(&"unresponsive".into());
         self.cell.expire_due(self.now);
         self.flush();
     }
@@ -97,65 +101,66 @@
     }
 }
 
-/// How long a task waits for the leases of a worker where the lead passes on after each of these times.
-fn waits(between: Duration) -> Duration {
-    let mut bed = Bed::new();
-    bed.take_over();
-    let (begun, mut taken_at) = (bed.now, bed.now);
-    while bed.starts() == 0 {
-        assert!(bed.now - begun < Duration::from_secs(60), "it is never started");
-        if bed.now - taken_at >= between {
-            bed.take_over();
-            taken_at = bed.now;
+/// How long a task waits for the leases of a worker if another scheduler takes over each `between`.
+fn waiting_time(between: Duration) -> Duration {
+    let mut fixture = Fixture::new();
+    fixture.take_over();
+    let (started_at, mut taken_over_at) = (fixture.now, fixture.now);
+    while fixture.starts() == 0 {
+        assert!(fixture.now - started_at < Duration::from_secs(60), "it is never started");
+        if fixture.now - taken_over_at >= between {
+            fixture.take_over();
+            taken_over_at = fixture.now;
         }
-        bed.pass();
+        fixture.advance();
     }
-    bed.now - begun
+    fixture.now - started_at
 }
 
-/// Each scheduler waited anew, so that with a takeover each 4.2 s a service stood still for good.
+/// Guards against each scheduler waiting for the full lease again: with a takeover each 4.2 s the
+/// tasks would never start.
 #[test]
-fn takeovers_do_not_put_off_the_end_of_what_a_silent_worker_holds_up() {
+fn takeovers_do_not_extend_the_wait_for_an_unreachable_worker() {
     for millis in (800..8_000).step_by(100) {
-        let waited = waits(Duration::from_millis(millis));
+        let waited = waiting_time(Duration::from_millis(millis));
         assert!(
             waited >= WORKER_LEASE,
-            "{millis} ms: started after {waited:?}, its leases may last"
+            "{millis} ms: started after {waited:?}, its leases may not have expired"
         );
-        // What passed since the last record is waited for again at each takeover.
+        // The time since the last record is waited for again after each takeover.
         let takeovers = WORKER_LEASE.as_millis() as u64 / millis + 1;
         let most = WORKER_LEASE + SLACK + Duration::from_millis(500 * takeovers);
         assert!(waited <= most, "{millis} ms: waited {waited:?}");
     }
 }
 
-/// Otherwise the next scheduler would take leases for over that have just been extended.
+/// Otherwise the next scheduler would treat leases as expired that have just been renewed.
 #[test]
-fn a_worker_that_is_heard_of_is_granted_leases_once_the_store_knows() {
-    let mut bed = Bed::new();
-    bed.take_over();
-    assert!(bed.is_granted("other"));
-    (0..8).for_each(|_| bed.pass());
-    assert!(bed.store.contains_key("unheard/silent"));
-    bed.cell.on_poll(&"silent".into(), bed.now, bed.now, idle(1));
-    assert!(!bed.is_granted("silent"));
-    assert!(!bed.cell.workers[&Incarnation::from("silent")].is_schedulable(bed.now));
-    bed.flush();
-    assert!(!bed.store.contains_key("unheard/silent"));
-    assert!(bed.is_granted("silent"));
+fn a_worker_that_answers_is_granted_leases_once_the_store_has_recorded_it() {
+    let mut fixture = Fixture::new();
+    fixture.take_over();
+    assert!(fixture.is_granted("other"));
+    (0..8).for_each(|_| fixture.advance());
+    assert!(fixture.store.contains_key("unheard/unresponsive"));
+    fixture.cell.on_poll(&"unresponsive".into(), fixture.now, fixture.now, idle(1));
+    assert!(!fixture.is_granted("unresponsive"));
+    assert!(!fixture.cell.workers[&Incarnation::from("unresponsive")].is_schedulable(fixture.now));
+    fixture.flush();
+    assert!(!fixture.store.contains_key("unheard/unresponsive"));
+    assert!(fixture.is_granted("unresponsive"));
 }
 
 #[test]
-fn what_the_store_says_of_a_worker_that_is_gone_is_let_go_of() {
-    let mut bed = Bed::new();
-    bed.take_over();
-    (0..8).for_each(|_| bed.pass());
-    bed.cell.mark_ended(&"silent".into(), "a test");
-    bed.flush();
-    assert!(!bed.store.contains_key("unheard/silent"));
-    let lost = vec![("nobody".into(), Duration::from_secs(1))];
-    bed.cell.restore_unreachable(lost);
-    let flush = bed.cell.take_flush();
+fn the_unreachable_record_of_an_ended_worker_is_removed() {
+    let mut fixture = Fixture::new();
+    fixture.take_over();
+    (0..8).for_each(|_| fixture.advance());
+    fixture.cell.mark_ended(&"unresponsive".into(), "a test");
+    fixture.flush();
+    assert!(!fixture.store.contains_key("unheard/unresponsive"));
+    let unknown = vec![("nobody".into(), Duration::from_secs(1))];
+    fixture.cell.restore_unreachable(unknown);
+    let flush = fixture.cell.take_flush();
     let dropped = flush.records.iter().find(|record| record.key == "unheard/nobody");
     assert_eq!(dropped.map(|record| record.value.is_none()), Some(true));
 }
