--- a/lib/src/batch/cell/incarnations.rs
+++ b/lib/src/batch/cell/incarnations.rs
@@ -140,6 +140,7 @@
 
     /// Handles a worker's refusal because it has seen a token higher than `token`: that of a later
     /// scheduler, or one that this scheduler has given to another incarnation with the same id.
+    /// Ignored if this scheduler has raised the worker's token since.
     pub fn on_fenced(&mut self, incarnation: &Incarnation, token: Token) {
         let Some(worker) = self.workers.get(incarnation) else { return };
         if token < worker_token(self.token, worker.fence) {
