--- a/lib/src/batch/scheduler.rs
+++ b/lib/src/batch/scheduler.rs
@@ -1,5 +1,5 @@
-//! The tasks of the node that holds the lead: they look at workers, start and stop what the
-//! [`Cell`] says, and keep the store informed.
+//! The scheduler that runs on the leader node: polls workers, carries out the decisions of the [`Cell`], and
+//! writes its state to the store.
 
 mod answer;
 mod boxes;
@@ -50,58 +50,58 @@
 use crate::batch::scheduler::rebalance::stop_shards;
 use crate::batch::scheduler::shard::Shards;
 use crate::batch::scheduler::tick::tick;
-use crate::batch::store_latency;
+use crate::batch::store_latency::StoreLatency;
 use crate::transport::clock;
 
-/// Name under which the store knows the writer of the progress topic.
+/// Producer name of the scheduler in the progress topic.
 const PRODUCER_NAME: &str = "scheduler";
-/// How long a read of everything may take.
+/// Time limit of reading a whole topic.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long another call to the store may take; a slow store takes about 250 ms.
+/// Time limit of any other call to the store; a slow store takes about 250 ms.
 const STORE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// How long after it began every node knows of a scheduler: they read the record of the lead at least each
-/// half second.
+/// Time after its start by which every node knows of a scheduler: nodes read the record of the leader lease at
+/// least every half second.
 const DISCOVERY_TIME: Duration = Duration::from_millis(1_000);
-/// Steps that wait, above which a round of placing is dear and every change should not cause one.
+/// Number of waiting steps above which a placement round is too expensive to run after every change.
 const BACKLOG_STEPS: usize = 60;
-/// Pause between rounds then; a task runs for about a second.
+/// Pause between placement rounds with such a backlog; a task runs for about a second.
 const BACKLOG_PAUSE: Duration = Duration::from_millis(8);
-/// How long the last changes may take to reach the store when the lead is given up.
+/// How long to wait for the last changes to reach the store when the leader lease is released.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The scheduler while this node holds the lead.
+/// The scheduler, as long as this node is the leader.
 pub struct Scheduler {
-    /// The node.
+    /// Node that the scheduler runs on.
     pub node: Arc<Node>,
-    /// Number of this scheduler.
+    /// Fencing token of this scheduler; each later scheduler has a higher one.
     pub token: Token,
     cell: Mutex<Cell>,
-    /// Which node looks after which worker.
+    /// Which node dispatches for which worker.
     shards: Shards,
-    /// Something may be started.
+    /// Wakes the task that places and dispatches.
     placement_wake: Notify,
-    /// The advice service may be asked something.
+    /// Wakes the task that asks the advice service.
     pub advice_wake: Notify,
-    /// Something is to be written to the store.
+    /// Wakes the task that writes to the store.
     flush_wake: Notify,
-    /// Number of writes done.
+    /// Number of completed flushes.
     flush_count: watch::Sender<u64>,
-    store_pace: Mutex<store_latency::StoreLatency>,
-    /// When this scheduler began.
+    store_latency: Mutex<StoreLatency>,
+    /// When the scheduler was started.
     pub started_at: Instant,
-    /// Its turn to order machines.
+    /// When this scheduler may order boxes.
     pub order_window: OrderWindow,
     cancellation: CancellationToken,
 }
 
 impl Scheduler {
-    /// Begins: reads the store, then looks at every worker, then starts tasks.
+    /// Starts a scheduler: it reads the store, then polls every worker, then starts tasks.
     pub fn start(
         node: Arc<Node>,
         token: Token,
-        turn: OrderWindow,
+        order_window: OrderWindow,
         predecessor_is_done: bool,
     ) -> Arc<Scheduler> {
         let now = clock::now();
@@ -110,7 +110,7 @@
         cell.renewed_at = Some(now);
         cell.longest_lease = node.settings.longest_lease;
         let (own, events) = Dispatcher::start(node.dispatch_context(), Lease::unbounded());
-        let base = own.started_at();
+        let time_base = own.started_at();
         let scheduler = Arc::new(Scheduler {
             node,
             token,
@@ -120,73 +120,73 @@
             advice_wake: Notify::new(),
             flush_wake: Notify::new(),
             flush_count: watch::Sender::new(0),
-            store_pace: Mutex::default(),
+            store_latency: Mutex::default(),
             started_at: now,
-            order_window: turn,
+            order_window,
             cancellation: CancellationToken::new(),
         });
-        scheduler.spawn(consume_own_events(scheduler.clone(), base, events));
+        scheduler.spawn(consume_own_events(scheduler.clone(), time_base, events));
         scheduler.spawn(run(scheduler.clone()));
         scheduler
     }
 
-    /// Ends all tasks of the scheduler. Carriers on other nodes end as their licences run out.
+    /// Stops all tasks of the scheduler. Dispatchers on other nodes stop acting when their dispatch leases expire.
     pub fn stop(&self) {
         self.cancellation.cancel();
         self.shards.stop_own();
     }
 
-    /// The same, and waits until nothing more can come of its carriers.
+    /// Stops as [`Scheduler::stop`] does, and waits until none of its dispatchers can act any more.
     pub async fn stop_with_dispatchers(self: &Arc<Self>) {
         self.cancellation.cancel();
         stop_shards(self).await;
     }
 
-    /// Runs a task until the scheduler ends.
+    /// Spawns a task that is cancelled when the scheduler stops.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
-        let over = self.cancellation.clone();
-        tokio::spawn(async move { over.run_until_cancelled_owned(task).await });
+        let cancellation = self.cancellation.clone();
+        tokio::spawn(async move { cancellation.run_until_cancelled_owned(task).await });
     }
 
-    /// The state.
+    /// Locks the scheduling state.
     pub fn cell(&self) -> MutexGuard<'_, Cell> {
-        self.cell.lock().expect("no holder of the cell panics")
+        self.cell.lock().expect("no thread panics while it holds the cell lock")
     }
 
-    /// Whether a newer scheduler was heard of.
+    /// Whether a newer scheduler is known to exist.
     pub fn is_fenced(&self) -> bool {
         self.cell().is_fenced
     }
 
-    /// The call that renewed the lead was sent at `sent`.
+    /// Records that the leader lease was renewed by a call sent at `sent`.
     pub fn record_renewal(&self, sent: Instant) {
         self.cell().renewed_at = Some(sent);
     }
 
-    /// Something may be started, or is to be sent.
+    /// Wakes the task that places and dispatches.
     pub fn wake(&self) {
         self.placement_wake.notify_one();
     }
 
-    /// Something is to be written.
+    /// Wakes the task that writes to the store.
     pub fn wake_flush(&self) {
         self.flush_wake.notify_one();
     }
 
-    /// Waits a moment for the last changes to reach the store.
+    /// Waits for up to half a second for all changes to reach the store.
     pub async fn await_flush(&self) {
         self.flush_wake.notify_one();
         let mut flushed = self.flush_count.subscribe();
-        let settled = async {
+        let all_flushed = async {
             while self.cell().needs_flush() {
                 if flushed.changed().await.is_err() {
                     return;
                 }
             }
         };
-        if timeout(SETTLE_TIMEOUT, settled).await.is_err() {
+        if timeout(SETTLE_TIMEOUT, all_flushed).await.is_err() {
             log::warn!(
-                "the last changes did not reach the store; the next scheduler asks the workers"
+                "the last changes were not written to the store in time; the next scheduler reads them from the workers"
             );
         }
     }
@@ -205,7 +205,7 @@
             jobs = cell.jobs.len(),
             workers = cell.workers.len(),
             took_ms = clock::since(scheduler.started_at).as_millis() as u64;
-            "scheduler begins"
+            "scheduler started"
         );
     }
     scheduler.node.set_scheduler(Some(scheduler.clone()));
@@ -225,7 +225,7 @@
     run_placement(scheduler).await;
 }
 
-/// Reads the store, again and again; `None` if a newer scheduler has come.
+/// Reads the store, and retries until that succeeds; `None` if a newer scheduler has fenced this one off.
 async fn load_until_done(scheduler: &Arc<Scheduler>) -> Option<Vec<Offset>> {
     loop {
         let error = match load(scheduler).await {
@@ -233,7 +233,7 @@
             Err(error) => error,
         };
         scheduler.node.counters.count("batch.scheduler.load-failed");
-        log::warn!("the store cannot be read: {error}");
+        log::warn!("reading the store failed: {error}");
         if error.status() == Some(409) {
             scheduler.cell().is_fenced = true;
             return None;
@@ -246,17 +246,17 @@
     loop {
         match load_workers(scheduler, None).await {
             Ok(end) => return end,
-            Err(error) => log::warn!("the workers cannot be read: {error}"),
+            Err(error) => log::warn!("reading the worker topic failed: {error}"),
         }
         sleep(RETRY_PAUSE).await;
     }
 }
 
-/// Places what waits and sends the orders, whenever something may have changed.
+/// Places waiting tasks and dispatches the orders whenever something may have changed.
 async fn run_placement(scheduler: Arc<Scheduler>) {
     loop {
         scheduler.placement_wake.notified().await;
-        let (waits, tally, needs_flush, backlog) = {
+        let (wait_times, stats, needs_flush, backlog) = {
             let config = scheduler.node.config();
             let mut cell = scheduler.cell();
             config.iter().for_each(|config| cell.set_quotas(config));
@@ -264,16 +264,16 @@
                 cell.place_ready(clock::now(), wall_clock());
             }
             dispatch_orders(&scheduler, &mut cell);
-            let (waits, tally) =
+            let (wait_times, stats) =
                 (std::mem::take(&mut cell.wait_times), std::mem::take(&mut cell.stats));
-            (waits, tally, cell.needs_flush(), cell.ready.len())
+            (wait_times, stats, cell.needs_flush(), cell.ready.len())
         };
-        scheduler.node.counters.add("batch.worker.crashed", tally.crashed_workers);
-        scheduler.node.counters.add("batch.task.given-up", tally.abandoned_tasks);
-        scheduler.node.counters.add("batch.worker.gone", tally.ended_incarnations);
-        scheduler.node.counters.add("batch.worker.gone-by-list", tally.ended_by_box_list);
-        for waited in waits {
-            scheduler.node.latencies.record("batch.start.wait", waited);
+        scheduler.node.counters.add("batch.worker.crashed", stats.crashed_workers);
+        scheduler.node.counters.add("batch.task.given-up", stats.abandoned_tasks);
+        scheduler.node.counters.add("batch.worker.gone", stats.ended_incarnations);
+        scheduler.node.counters.add("batch.worker.gone-by-list", stats.ended_by_box_list);
+        for wait_time in wait_times {
+            scheduler.node.latencies.record("batch.start.wait", wait_time);
         }
         scheduler.advice_wake.notify_one();
         if needs_flush {
@@ -285,7 +285,7 @@
     }
 }
 
-/// Time since 1970. A clock before that is as good as one that stands at 1970.
+/// Time since the Unix epoch; zero if the clock is set before it.
 pub fn wall_clock() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/lib/src/batch/scheduler/answer.rs
+++ b/lib/src/batch/scheduler/answer.rs
@@ -1,4 +1,4 @@
-//! What the scheduler answers other nodes.
+//! Answers requests of other nodes.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use crate::batch::scheduler::events::take_report;
 use crate::batch::view;
 
-/// How long a client's cancel waits for the store.
+/// How long the cancel of a client waits until the store has it.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(700);
 
 impl Scheduler {
-    /// Answers a node on a client's behalf.
+    /// Answers a request of another node.
     pub async fn answer(&self, request: Request) -> Reply {
         match request {
             Request::Submitted(id, accepted) => self.admit(id, *accepted),
@@ -27,18 +27,18 @@
             }
             Request::Cancel(id, caller) => self.cancel(id, &caller).await,
             Request::View(path) => {
-                let (waves, shares) = (self.node.waves(), self.shards.view());
-                Reply::View(view::render(&self.cell(), &waves, &shares, &path))
+                let (waves, shards) = (self.node.waves(), self.shards.view());
+                Reply::View(view::render(&self.cell(), &waves, &shards, &path))
             }
             Request::Relay(call) => Reply::Relayed(self.node.relay_for_peer(call).await),
             Request::Report(report) => take_report(self, *report),
-            // The node itself carries, and knows the configuration.
+            // Answered by the node itself.
             Request::Dispatch(_) | Request::Newer { .. } | Request::Config(_) => Reply::NotReady,
             Request::Ping => Reply::Done,
         }
     }
 
-    /// Takes in a job that the store keeps.
+    /// Admits a job whose record is in the store.
     fn admit(&self, id: JobId, accepted: Accepted) -> Reply {
         let mut cell = self.cell();
         let owner = accepted.account.clone();
--- a/lib/src/batch/scheduler/boxes.rs
+++ b/lib/src/batch/scheduler/boxes.rs
@@ -1,4 +1,4 @@
-//! When boxes may be ordered: the holder's turn, and what the store is to know before.
+//! When boxes may be ordered: the order window of the leader, and the announcement in the store that comes first.
 
 use std::collections::HashSet;
 use std::sync::MutexGuard;
@@ -12,18 +12,18 @@
 use crate::batch::store_latency;
 use crate::transport::clock;
 
-/// How long orders about boxes wait for the store to know of them; a slow one takes about 0.4 s.
+/// How long orders to boxes wait until the store has their announcement; a slow store takes about 0.4 s.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl Scheduler {
-    /// Whether orders about machines may be given now, but for those that are left alone: the turn
-    /// of an earlier holder must be over for some time, and that of a later one cannot have begun.
+    /// Whether boxes may be ordered now, apart from those on hold: the order window of an earlier leader must have
+    /// ended some time ago, and that of a later one cannot have started.
     pub fn may_order_boxes(&self) -> bool {
         let now = clock::now();
         self.order_window.may_order(now) && is_sole_leader(self.cell().renewed_at, now)
     }
 
-    /// Makes sure that the store knows that boxes are about to be ordered; `false` if it does not.
+    /// Makes sure that the store has an announcement of orders to these boxes; `false` if it did not get it in time.
     pub async fn announce_orders(&self, boxes: &[MachineId]) -> bool {
         self.update_announced();
         let Some(all) = self.order_window.required_announcement(boxes, clock::now()) else {
@@ -43,14 +43,17 @@
         };
         if timeout(ANNOUNCE_TIMEOUT, known).await.is_err() {
             self.node.counters.count("batch.machines.not-announced");
-            log::debug!("the store does not know of {} orders about boxes in time", boxes.len());
+            log::debug!(
+                "the announcement of orders to {} boxes did not reach the store in time",
+                boxes.len()
+            );
             return false;
         }
         self.update_announced();
         true
     }
 
-    /// Has the store told of boxes that may be ordered; returns the announcement's number.
+    /// Starts writing an announcement of orders to these boxes; returns its number.
     fn start_announcement(&self, boxes: HashSet<MachineId>) -> u64 {
         let number = self.cell().announce_box_orders(&boxes);
         self.order_window.begin_announcement(number, boxes);
@@ -63,20 +66,20 @@
         self.order_window.confirm_announcement(announced);
     }
 
-    /// While the store is late every box is announced ahead, so that orders do not wait for it.
+    /// While the store is slow, announces every box in advance, so that orders do not wait for it.
     pub fn announce_ahead(&self, every: impl FnOnce() -> HashSet<MachineId>) {
-        let late = self.store_pace().is_slow(clock::now());
-        let boxes = if late { every() } else { HashSet::new() };
+        let is_slow = self.store_latency().is_slow(clock::now());
+        let boxes = if is_slow { every() } else { HashSet::new() };
         let Some(all) = self.order_window.set_pre_announced(boxes, clock::now()) else { return };
-        log::info!(late, boxes = all.len(); "boxes announced ahead");
-        if late {
+        log::info!(late = is_slow, boxes = all.len(); "boxes announced in advance");
+        if is_slow {
             self.node.counters.count("batch.machines.announced-ahead");
         }
         self.start_announcement(all);
     }
 
-    /// How fast the store takes changes.
-    pub(super) fn store_pace(&self) -> MutexGuard<'_, store_latency::StoreLatency> {
-        self.store_pace.lock().expect("no holder of the pace panics")
+    /// How long the store takes to write changes.
+    pub(super) fn store_latency(&self) -> MutexGuard<'_, store_latency::StoreLatency> {
+        self.store_latency.lock().expect("no thread panics while it holds the latency lock")
     }
 }
--- a/lib/src/batch/scheduler/events.rs
+++ b/lib/src/batch/scheduler/events.rs
@@ -1,4 +1,4 @@
-//! What carriers saw is taken into the cell.
+//! Applies the events of dispatchers to the cell.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -19,27 +19,27 @@
 use crate::batch::worker::table::WorkerNumber;
 use crate::transport::clock;
 
-/// Most events that are taken in at once.
+/// Most events that are applied at once.
 const MAX_EVENTS: usize = 1_024;
 
-/// Takes in what this node's own carrier saw, as long as the scheduler lasts.
+/// Applies the events of this node's own dispatcher until the scheduler stops. Their offsets count from `time_base`.
 pub(super) async fn consume_own_events(
     scheduler: Arc<Scheduler>,
-    base: Instant,
+    time_base: Instant,
     mut events: mpsc::UnboundedReceiver<Event>,
 ) {
     let mut gathered = Vec::new();
     while events.recv_many(&mut gathered, MAX_EVENTS).await > 0 {
-        apply_events(&scheduler, OWN_SHARD, base, std::mem::take(&mut gathered));
+        apply_events(&scheduler, OWN_SHARD, time_base, std::mem::take(&mut gathered));
     }
 }
 
-/// Takes in a report of another node.
+/// Applies a report of a dispatcher on another node.
 pub(super) fn take_report(scheduler: &Scheduler, report: Report) -> Reply {
-    let share = report.session.shard;
+    let shard = report.session.shard;
     match scheduler.shards.take_report(report, clock::now()) {
-        ReportOutcome::New(told) => {
-            apply_events(scheduler, share, told.time_base, told.report.events)
+        ReportOutcome::New(received) => {
+            apply_events(scheduler, shard, received.time_base, received.report.events)
         }
         ReportOutcome::Duplicate => {}
         ReportOutcome::Stale => return Reply::NotReady,
@@ -47,15 +47,15 @@
     Reply::Done
 }
 
-fn apply_events(scheduler: &Scheduler, share: ShardId, base: Instant, events: Vec<Event>) {
+fn apply_events(scheduler: &Scheduler, shard: ShardId, time_base: Instant, events: Vec<Event>) {
     if events.is_empty() {
         return;
     }
     let numbers = events.iter().map(number_of);
-    let current = scheduler.shards.in_shard(share, numbers);
+    let current = scheduler.shards.in_shard(shard, numbers);
     let mut cell = scheduler.cell();
     for event in events {
-        apply_event(&mut cell, &current, base, event);
+        apply_event(&mut cell, &current, time_base, event);
     }
     drop(cell);
     scheduler.wake();
@@ -76,32 +76,42 @@
     }
 }
 
-/// Takes in an event, unless it is of a worker that another carrier has by now.
-fn apply_event(cell: &mut Cell, current: &HashSet<WorkerNumber>, base: Instant, event: Event) {
+/// Applies an event, unless its worker is not among `current`, those that its shard still has.
+fn apply_event(cell: &mut Cell, current: &HashSet<WorkerNumber>, time_base: Instant, event: Event) {
     let number = number_of(&event);
     if !current.contains(&number) {
         return;
     }
-    let Some(life) = cell.workers.incarnation_of(number).cloned() else { return };
-    let life = &life;
+    let Some(incarnation) = cell.workers.incarnation_of(number).cloned() else { return };
+    let incarnation = &incarnation;
     let now = clock::now();
-    let instant = |moment: OffsetMicros| base + Duration::from_micros(moment);
+    let instant = |offset: OffsetMicros| time_base + Duration::from_micros(offset);
     match event {
-        Event::Polled { sent, at, lease_until, seen, .. } => {
-            cell.record_lease(life, lease_until);
-            cell.on_poll(life, instant(sent), instant(at), seen);
+        Event::Polled { sent, at, lease_until, seen: response, .. } => {
+            cell.record_lease(incarnation, lease_until);
+            cell.on_poll(incarnation, instant(sent), instant(at), response);
         }
         Event::PollFailed { lease_until, .. } => {
-            cell.record_lease(life, lease_until);
-            cell.on_failed_poll(life);
+            cell.record_lease(incarnation, lease_until);
+            cell.on_failed_poll(incarnation);
+        }
+        Event::Fenced { token, .. } => cell.on_fenced(incarnation, token),
+        Event::OtherId { .. } => {
+            cell.mark_ended(incarnation, "another worker answers at its address")
+        }
+        Event::OtherIncarnation { born: birth_ms, .. } => {
+            cell.on_other_incarnation(incarnation, birth_ms, now)
+        }
+        Event::ClockMismatch { .. } => cell.on_off_clock(incarnation, now),
+        Event::Started { task, run, at, .. } => {
+            cell.on_started(incarnation, task, run, instant(at))
+        }
+        Event::NotStarted { task, run, why, .. } => {
+            cell.on_refused(incarnation, task, run, why, now)
+        }
+        Event::StartUnanswered { task, run, .. } => cell.on_unanswered(incarnation, task, run, now),
+        Event::Stopped { task, run, at, .. } => {
+            cell.on_stopped(incarnation, task, run, instant(at))
         }
-        Event::Fenced { token, .. } => cell.on_fenced(life, token),
-        Event::OtherId { .. } => cell.mark_ended(life, "another worker answers at its address"),
-        Event::OtherIncarnation { born, .. } => cell.on_other_incarnation(life, born, now),
-        Event::ClockMismatch { .. } => cell.on_off_clock(life, now),
-        Event::Started { task, run, at, .. } => cell.on_started(life, task, run, instant(at)),
-        Event::NotStarted { task, run, why, .. } => cell.on_refused(life, task, run, why, now),
-        Event::StartUnanswered { task, run, .. } => cell.on_unanswered(life, task, run, now),
-        Event::Stopped { task, run, at, .. } => cell.on_stopped(life, task, run, instant(at)),
     }
 }
--- a/lib/src/batch/scheduler/flush.rs
+++ b/lib/src/batch/scheduler/flush.rs
@@ -1,4 +1,4 @@
-//! Writing changes to the store.
+//! Writes changes to the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 use crate::batch::scheduler::Scheduler;
 use crate::transport::clock;
 
-/// Changes within this time go to the store in one append.
+/// Changes within this time are written in one append.
 const FLUSH_DELAY: Duration = Duration::from_millis(12);
 
-/// Writes changes to the store, in order, each until it is done.
+/// Writes changes to the store in order; each write is retried until it succeeds.
 pub(super) async fn flush(scheduler: Arc<Scheduler>) {
     let mut sequence = 0;
     loop {
@@ -29,11 +29,11 @@
         let changes = scheduler.cell().take_flush();
         if !changes.records.is_empty() {
             sequence += 1;
-            scheduler.store_pace().start_change(clock::now());
+            scheduler.store_latency().start_change(clock::now());
             if !write(&scheduler, &changes.records, sequence).await {
                 return;
             }
-            scheduler.store_pace().finish_change(clock::now());
+            scheduler.store_latency().finish_change(clock::now());
         }
         scheduler.cell().on_flushed(&changes);
         acknowledge_ends(&scheduler, &changes);
@@ -44,18 +44,18 @@
     }
 }
 
-/// Tells carriers which ends their workers may forget.
+/// Tells workers, by their dispatchers, which ends they may forget.
 fn acknowledge_ends(scheduler: &Scheduler, changes: &Flush) {
     let cell = scheduler.cell();
-    for (life, end) in &changes.processed {
-        if let Some(worker) = cell.workers.get(life) {
+    for (incarnation, end) in &changes.processed {
+        if let Some(worker) = cell.workers.get(incarnation) {
             let number = worker.number;
             scheduler.shards.send(number, Command::AcknowledgeEnds { number, end: *end });
         }
     }
 }
 
-/// Appends records until that is done; `false` if a newer scheduler has come.
+/// Appends records, and retries until that succeeds; `false` if a newer scheduler has fenced this one off.
 async fn write(scheduler: &Scheduler, records: &[Record], sequence: u64) -> bool {
     loop {
         let producer =
@@ -64,13 +64,13 @@
         match scheduler.node.append(record::PROGRESS_TOPIC, records, &guard, STORE_TIMEOUT).await {
             Ok(_) => return true,
             Err(error) if error.status() == Some(409) => {
-                log::warn!("the store refuses this scheduler: {error}");
+                log::warn!("the store rejected a write: fenced off by a newer scheduler: {error}");
                 scheduler.cell().is_fenced = true;
                 return false;
             }
             Err(error) => {
                 scheduler.node.counters.count("batch.flush.failed");
-                log::debug!("changes were not written: {error}");
+                log::debug!("writing changes to the store failed: {error}");
                 sleep(RETRY_PAUSE).await;
             }
         }
--- a/lib/src/batch/scheduler/follow.rs
+++ b/lib/src/batch/scheduler/follow.rs
@@ -1,4 +1,4 @@
-//! Following the store: workers that come and go, jobs whose news was lost on the way.
+//! Follows the store: workers that are listed or unlisted, and jobs whose notification was lost.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,21 +19,21 @@
 use crate::batch::scheduler::rebalance::assign_unassigned;
 use crate::transport::clock;
 
-/// Time between reads of workers' entries. A worker that drains must get nothing new after 2 s.
-/// A worker that joins a pool is found as late as that.
+/// Time between reads of the worker topic. A worker that drains must get nothing new after 2 s. A worker that
+/// joins a pool is discovered up to this much later.
 const WORKERS_READ_INTERVAL: Duration = Duration::from_millis(150);
-/// Time between reads of a partition with jobs, for those whose news was lost on the way.
+/// Time between reads of a job partition, for jobs whose notification was lost.
 const JOBS_READ_INTERVAL: Duration = Duration::from_millis(400);
-/// How long such a read waits for a record. Partitions to which few nodes write are read rarely.
+/// How long such a read waits for a record, so that partitions to which few nodes write are read rarely.
 const JOBS_READ_WAIT: Duration = Duration::from_millis(2_000);
 
-/// How long after the store has come back a worker that it does not list may be given work: the
-/// platform lists those again that live, within about two seconds.
+/// How long after a store outage a worker that the store does not list may still get tasks: the platform lists
+/// live workers again within about two seconds.
 const RELIST_GRACE: Duration = Duration::from_millis(2_300);
 
-/// Follows the workers' topic; reads it anew where its start was cut off.
+/// Follows the worker topic; reads all of it again if the store has truncated it beyond the current offset.
 pub(super) async fn follow_workers(scheduler: Arc<Scheduler>, mut from: Offset) {
-    let mut excused_until = None;
+    let mut unlisted_grace_until = None;
     loop {
         sleep(WORKERS_READ_INTERVAL).await;
         match scheduler.node.read_topic(WORKER_TOPIC, from, Duration::ZERO, STORE_TIMEOUT).await {
@@ -41,7 +41,7 @@
                 from += page.records.len() as Offset;
                 let mut is_new = false;
                 for record in &page.records {
-                    is_new |= apply_worker_entry(&scheduler, record, excused_until);
+                    is_new |= apply_worker_entry(&scheduler, record, unlisted_grace_until);
                 }
                 if is_new {
                     assign_unassigned(&scheduler);
@@ -51,23 +51,23 @@
                 }
             }
             Err(error) if error.status() == Some(410) => {
-                match load_workers(&scheduler, excused_until).await {
+                match load_workers(&scheduler, unlisted_grace_until).await {
                     Ok(end) => {
                         from = end;
                         assign_unassigned(&scheduler);
                     }
-                    Err(error) => log::warn!("the workers cannot be read: {error}"),
+                    Err(error) => log::warn!("reading the worker topic failed: {error}"),
                 }
             }
             Err(error) => {
-                excused_until = Some(clock::now() + RELIST_GRACE);
-                log::debug!("the workers cannot be followed: {error}");
+                unlisted_grace_until = Some(clock::now() + RELIST_GRACE);
+                log::debug!("following the worker topic failed: {error}");
             }
         }
     }
 }
 
-/// Follows one partition with jobs; reads it anew where its start was cut off.
+/// Follows one job partition; reads all of it again if the store has truncated it beyond the current offset.
 pub(super) async fn follow_jobs(scheduler: Arc<Scheduler>, number: u16, mut from: Offset) {
     let partition = record::job_partition(number);
     loop {
@@ -87,10 +87,10 @@
                         from = newest.end;
                         apply_jobs(&scheduler, number, &newest.records);
                     }
-                    Err(error) => log::warn!("the jobs in {partition} cannot be read: {error}"),
+                    Err(error) => log::warn!("reading the jobs in {partition} failed: {error}"),
                 }
             }
-            Err(error) => log::debug!("the jobs in {partition} cannot be followed: {error}"),
+            Err(error) => log::debug!("following the jobs in {partition} failed: {error}"),
         }
     }
 }
@@ -111,7 +111,7 @@
                 scheduler.wake_flush();
             }
             Ok(JobRecord::Dropped) => {}
-            Err(error) => log::error!("the record of a job cannot be used: {error}"),
+            Err(error) => log::error!("invalid job record: {error}"),
         }
     }
     if changed {
--- a/lib/src/batch/scheduler/forget.rs
+++ b/lib/src/batch/scheduler/forget.rs
@@ -1,4 +1,4 @@
-//! Lets go of jobs that ended long ago, in the store and in memory.
+//! Forgets jobs that finished long ago, in the store and in memory.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -17,12 +17,12 @@
 use crate::batch::scheduler::Scheduler;
 use crate::transport::clock;
 
-/// Time between looks for such jobs.
+/// Time between checks for such jobs.
 const FORGET_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a finished job is kept beyond what clients were promised.
+/// How much longer a finished job is kept than clients were promised.
 const KEEP_EXTRA: Duration = Duration::from_secs(15);
 
-/// Lets go of finished jobs as long as the scheduler lasts.
+/// Forgets finished jobs until the scheduler stops.
 pub(super) async fn forget_finished(scheduler: Arc<Scheduler>) {
     let keep = scheduler.node.settings.status_time + KEEP_EXTRA;
     loop {
@@ -32,9 +32,9 @@
         if finished.is_empty() {
             continue;
         }
-        let still_kept = drop_records(&scheduler, &finished).await;
+        let still_stored = drop_records(&scheduler, &finished).await;
         let mut cell = scheduler.cell();
-        for job in finished.iter().filter(|job| !still_kept.contains(&job.key.id)) {
+        for job in finished.iter().filter(|job| !still_stored.contains(&job.key.id)) {
             cell.forget_job(job.key.id);
         }
         drop(cell);
@@ -42,22 +42,23 @@
     }
 }
 
-/// Drops the records of jobs under ids that are another account's: their senders were told that they are not taken.
+/// Deletes the records of jobs whose ids belong to jobs of other accounts: their senders were told that the jobs
+/// are not accepted.
 async fn drop_other_accounts(scheduler: &Scheduler) {
-    let foreign = scheduler.cell().take_id_conflicts();
-    for (key, number) in foreign {
+    let conflicts = scheduler.cell().take_id_conflicts();
+    for (key, number) in conflicts {
         let (partition, record) = (record::job_partition(number), record::forget_job(&key));
         if let Err(error) =
             scheduler.node.append(partition, &[record], &Guard::None, STORE_TIMEOUT).await
         {
-            log::warn!("a job that was not taken stays in the store for now: {error}");
+            log::warn!("deleting the record of a rejected job failed, will retry: {error}");
             scheduler.cell().record_id_conflict(key, number);
         }
     }
 }
 
-/// Drops the records of jobs in each partition that keeps one; returns the jobs of which one is
-/// left. They are tried again.
+/// Deletes the records of jobs in each partition that has one; returns the jobs of which one could not be deleted.
+/// They are tried again.
 async fn drop_records(scheduler: &Scheduler, finished: &[FinishedJob]) -> HashSet<JobId> {
     let mut by_partition: BTreeMap<u16, (Vec<JobId>, Vec<Record>)> = BTreeMap::new();
     let mut add = |partition: u16, id: JobId, record: Record| {
@@ -78,10 +79,10 @@
         let dropped = scheduler.node.append(partition, &records, &Guard::None, STORE_TIMEOUT).await;
         dropped.map_err(|error| (ids, error))
     });
-    let mut still_kept = HashSet::new();
+    let mut still_stored = HashSet::new();
     for (ids, error) in join_all(drops).await.into_iter().filter_map(Result::err) {
-        log::warn!(jobs = ids.len(); "finished jobs stay in the store for now: {error}");
-        still_kept.extend(ids);
+        log::warn!(jobs = ids.len(); "deleting the records of finished jobs failed, will retry: {error}");
+        still_stored.extend(ids);
     }
-    still_kept
+    still_stored
 }
--- a/lib/src/batch/scheduler/load.rs
+++ b/lib/src/batch/scheduler/load.rs
@@ -1,4 +1,4 @@
-//! Reading the store as a scheduler begins.
+//! Reads the store when a scheduler starts.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -33,70 +33,72 @@
 use crate::batch::scheduler::Scheduler;
 use crate::transport::clock;
 
-/// Bars earlier schedulers from the progress topic, then reads it and the jobs; returns the end of
-/// each partition with jobs.
+/// Fences earlier schedulers off the progress topic, then reads it and the jobs; returns the end offset of each job
+/// partition.
 pub(super) async fn load(scheduler: &Arc<Scheduler>) -> Result<Vec<Offset>, CallError> {
     let node = &scheduler.node;
     let producer = Producer { name: PRODUCER_NAME.to_owned(), epoch: scheduler.token, sequence: 0 };
     node.append(record::PROGRESS_TOPIC, &[], &Guard::Producer(producer), LOAD_TIMEOUT).await?;
-    let kept = node.read_newest(record::PROGRESS_TOPIC, LOAD_TIMEOUT).await?;
+    let newest = node.read_newest(record::PROGRESS_TOPIC, LOAD_TIMEOUT).await?;
     let partitions = 0..record::job_partitions(node.settings.store_partitions);
     let reads =
         partitions.map(|number| node.read_newest(record::job_partition(number), LOAD_TIMEOUT));
     let jobs = try_join_all(reads).await?;
     let mut cell = scheduler.cell();
-    let kept = apply_progress(&mut cell, &kept.records);
-    scheduler.order_window.set_inherited(kept.ordered);
-    cell.restore_unreachable(kept.unreachable);
-    apply_jobs(&mut cell, &jobs, kept.progress);
-    cell.restore_crashes(&kept.crashes);
+    let loaded = apply_progress(&mut cell, &newest.records);
+    scheduler.order_window.set_inherited(loaded.ordered);
+    cell.restore_unreachable(loaded.unreachable);
+    apply_jobs(&mut cell, &jobs, loaded.progress);
+    cell.restore_crashes(&loaded.crashes);
     Ok(jobs.iter().map(|newest| newest.end).collect())
 }
 
-/// What the progress topic says that is taken in once all of it is read.
+/// The part of the progress topic that is applied after all of it is read.
 #[derive(Default)]
 struct LoadedProgress {
-    /// How far jobs are.
+    /// Progress of jobs.
     progress: HashMap<JobId, Progress>,
-    /// Under which tasks workers crashed.
+    /// Crashes of workers, by the jobs that ran there.
     crashes: HashMap<JobId, Crashes>,
-    /// Boxes that the scheduler before may have ordered last.
+    /// Boxes that the previous scheduler may have ordered last.
     ordered: HashSet<MachineId>,
-    /// For how long earlier schedulers have not heard of workers.
+    /// How long workers have been unreachable for earlier schedulers.
     unreachable: Vec<(Incarnation, Duration)>,
 }
 
-/// Takes in the records of the progress topic; returns what is taken in after them.
+/// Applies the records of the progress topic; returns what is to be applied after them.
 fn apply_progress(cell: &mut Cell, records: &[Record]) -> LoadedProgress {
-    let mut kept = LoadedProgress::default();
+    let mut loaded = LoadedProgress::default();
     for record in records {
         match ProgressRecord::decode(record) {
-            Ok(ProgressRecord::Progress(id, told)) => {
-                kept.progress.insert(id, told);
+            Ok(ProgressRecord::Progress(id, progress)) => {
+                loaded.progress.insert(id, progress);
             }
-            Ok(ProgressRecord::Crashes(id, told)) => {
-                kept.crashes.insert(id, told);
+            Ok(ProgressRecord::Crashes(id, crashes)) => {
+                loaded.crashes.insert(id, crashes);
             }
-            Ok(ProgressRecord::Worker(id, known)) => cell.restore_worker(id, known, clock::now()),
-            Ok(ProgressRecord::Wave(number, begun)) => {
-                cell.maintenance_started.insert(number, begun.into_iter().collect());
+            Ok(ProgressRecord::Worker(id, worker)) => cell.restore_worker(id, worker, clock::now()),
+            Ok(ProgressRecord::Wave(number, machines)) => {
+                cell.maintenance_started.insert(number, machines.into_iter().collect());
             }
             Ok(ProgressRecord::WaveSeen(number, at)) => {
                 cell.waves_first_seen.insert(number, at);
             }
             Ok(ProgressRecord::Ended(id)) => cell.restore_ended(id, clock::now()),
-            Ok(ProgressRecord::Ordered(boxes)) => kept.ordered.extend(boxes),
-            Ok(ProgressRecord::Unreachable(life, time)) => kept.unreachable.push((life, time)),
+            Ok(ProgressRecord::Ordered(boxes)) => loaded.ordered.extend(boxes),
+            Ok(ProgressRecord::Unreachable(incarnation, time)) => {
+                loaded.unreachable.push((incarnation, time))
+            }
             Ok(ProgressRecord::Dropped) => {}
-            Err(error) => log::error!("a record of progress cannot be used: {error}"),
+            Err(error) => log::error!("invalid progress record: {error}"),
         }
     }
-    kept
+    loaded
 }
 
-/// Takes in the jobs in the order in which they were accepted, then what clients cancelled: a
-/// cancel can only be taken in once its job is known. A job that several nodes were sent may lie in
-/// several partitions; the first one accepted counts.
+/// Admits the jobs in the order in which they were accepted, then applies the cancels of clients: a cancel can only
+/// be applied once its job is known. A job that was sent to several nodes may be in several partitions; the one
+/// accepted first counts.
 fn apply_jobs(cell: &mut Cell, partitions: &[Newest], mut progress: HashMap<JobId, Progress>) {
     let mut cancelled = Vec::new();
     let mut accepted = Vec::new();
@@ -106,7 +108,7 @@
                 Ok(JobRecord::Accepted(id, job)) => accepted.push((id, job, partition)),
                 Ok(JobRecord::Cancel(id, caller)) => cancelled.push((id, caller)),
                 Ok(JobRecord::Dropped) => {}
-                Err(error) => log::error!("the record of a job cannot be used: {error}"),
+                Err(error) => log::error!("invalid job record: {error}"),
             }
         }
     }
@@ -122,34 +124,35 @@
     }
 }
 
-/// Reads which workers are listed; one that is not listed may still run what it was told.
+/// Reads the worker topic. A known worker that is not listed there is marked so; it may still run its tasks.
 pub(super) async fn load_workers(
     scheduler: &Arc<Scheduler>,
-    excused_until: Option<Instant>,
+    unlisted_grace_until: Option<Instant>,
 ) -> Result<Offset, CallError> {
     let newest = scheduler.node.read_newest(WORKER_TOPIC, LOAD_TIMEOUT).await?;
     let mut listed = HashSet::new();
     for record in &newest.records {
-        apply_worker_entry(scheduler, record, excused_until);
+        apply_worker_entry(scheduler, record, unlisted_grace_until);
         listed.insert(record.key.clone());
     }
     let mut cell = scheduler.cell();
-    let gone = cell.workers.keys().map(|life| &life.id).filter(|id| !listed.contains(*id));
-    let gone: HashSet<WorkerId> = gone.cloned().collect();
-    for id in gone {
-        cell.mark_unlisted(&id, excused_until);
+    let unlisted =
+        cell.workers.keys().map(|incarnation| &incarnation.id).filter(|id| !listed.contains(*id));
+    let unlisted: HashSet<WorkerId> = unlisted.cloned().collect();
+    for id in unlisted {
+        cell.mark_unlisted(&id, unlisted_grace_until);
     }
     Ok(newest.end)
 }
 
-/// Takes in a worker's entry; returns whether its life is new.
+/// Applies the entry of a worker; returns whether its incarnation is new.
 pub(super) fn apply_worker_entry(
     scheduler: &Arc<Scheduler>,
     record: &Record,
-    excused_until: Option<Instant>,
+    unlisted_grace_until: Option<Instant>,
 ) -> bool {
     let Some(value) = &record.value else {
-        scheduler.cell().mark_unlisted(&record.key, excused_until);
+        scheduler.cell().mark_unlisted(&record.key, unlisted_grace_until);
         return false;
     };
     let entry = match worker::Entry::decode(value) {
@@ -157,13 +160,13 @@
         Err(error) => {
             scheduler.node.counters.count(&format!("batch.worker.entry.{}", error.name()));
             if scheduler.cell().record_unusable(&record.key, error.name()) {
-                log::warn!(worker = record.key.as_str(); "an entry names no worker to use: {error}");
+                log::warn!(worker = record.key.as_str(); "invalid worker entry: {error}");
             }
             return false;
         }
     };
-    let life = Incarnation::new(record.key.clone(), entry.birth_ms);
-    let peer = Peer { incarnation: life, addr: entry.address };
+    let incarnation = Incarnation::new(record.key.clone(), entry.birth_ms);
+    let peer = Peer { incarnation, addr: entry.address };
     let mut cell = scheduler.cell();
     let was_draining =
         cell.workers.get(&peer.incarnation).is_some_and(|worker| worker.entry.draining);
@@ -171,7 +174,7 @@
         log::info!(
             worker:% = peer.incarnation,
             leaves_in_ms = entry.leaves_in_ms.unwrap_or(0);
-            "worker drains"
+            "worker is draining"
         );
     }
     cell.discover(peer, entry, clock::now())
--- a/lib/src/batch/scheduler/rebalance.rs
+++ b/lib/src/batch/scheduler/rebalance.rs
@@ -1,5 +1,5 @@
-//! Who carries for the scheduler: shares are begun on other nodes, taken back from those that are lost,
-//! and their workers dealt out anew.
+//! Manages the shards: starts them on other nodes, reclaims those whose dispatcher is lost, and reassigns their
+//! workers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,69 +26,69 @@
 use crate::batch::worker::table::WorkerNumber;
 use crate::transport::clock;
 
-/// Shares' worth of workers, in hundredths, up to which the scheduler's node carries alone: messages
+/// Number of workers, in percent of a full shard, up to which the scheduler's node dispatches alone: messages
 /// between nodes would cost it as much as the calls to so few workers.
 const SINGLE_SHARD_PERCENT: usize = 150;
-/// Time between two looks at the shares.
+/// Time between two checks of the shards.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Most workers that pass from one share to others in a round.
+/// Most workers that move from one shard to others in one check.
 const MAX_HANDOVER: usize = 100;
-/// How long a scheduler that begins waits for the nodes that are to carry; they say so at once.
+/// How long a starting scheduler waits for the first report of its dispatchers; they send it at once.
 const READY_TIMEOUT: Duration = Duration::from_millis(150);
-/// Time between looks whether they have.
+/// Time between checks whether they have sent it.
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Pause after a message that was not answered.
 const RETRY_PAUSE: Duration = Duration::from_millis(30);
-/// How long the end of a share is waited for.
+/// How long to wait for dispatchers to confirm that they have stopped.
 const STOP_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Watches over the shares as long as the scheduler lasts.
+/// Manages the shards until the scheduler stops.
 pub(super) async fn manage_shards(scheduler: Arc<Scheduler>) {
-    let mut last = clock::now();
+    let mut last_check = clock::now();
     loop {
         sleep(CHECK_INTERVAL).await;
         let now = clock::now();
-        scheduler.shards.discount_own_delay((now - last).saturating_sub(CHECK_INTERVAL));
-        last = now;
-        for (share, why) in scheduler.shards.find_lost(now) {
-            reclaim_shard(&scheduler, share, why);
+        scheduler.shards.discount_own_delay((now - last_check).saturating_sub(CHECK_INTERVAL));
+        last_check = now;
+        for (shard, why) in scheduler.shards.find_lost(now) {
+            reclaim_shard(&scheduler, shard, why);
         }
         start_shards(&scheduler);
         rebalance(&scheduler);
     }
 }
 
-/// Begins as many shares as the number of workers asks for, on the strongest of the other nodes.
+/// Starts as many shards as the number of workers requires, on the other nodes with the most CPU.
 pub(super) fn start_shards(scheduler: &Arc<Scheduler>) {
     let workers = scheduler.cell().workers.len();
-    let per_share = scheduler.node.options.workers_per_share;
-    if workers * 100 <= per_share * SINGLE_SHARD_PERCENT {
+    let per_shard = scheduler.node.options.workers_per_share;
+    if workers * 100 <= per_shard * SINGLE_SHARD_PERCENT {
         return;
     }
-    let has = scheduler.shards.addrs();
-    let wanted = workers.div_ceil(per_share).saturating_sub(has.len());
+    let used_addrs = scheduler.shards.addrs();
+    let wanted = workers.div_ceil(per_shard).saturating_sub(used_addrs.len());
     if wanted == 0 {
         return;
     }
     let directory = &scheduler.node.directory;
-    for (addr, cpu) in directory.peers_by_cpu(wanted, &has) {
-        let (share, wake) = scheduler.shards.start(addr, cpu, clock::now());
+    for (addr, cpu) in directory.peers_by_cpu(wanted, &used_addrs) {
+        let (shard, wake) = scheduler.shards.start(addr, cpu, clock::now());
         let to = addr.to_string();
-        log::info!(share, carrier = to.as_str(), cpu; "share begins");
+        log::info!(share = shard, carrier = to.as_str(), cpu; "shard started");
         scheduler.node.counters.count("batch.share.begun");
-        scheduler.spawn(send_commands(scheduler.clone(), share, addr, wake));
+        scheduler.spawn(send_commands(scheduler.clone(), shard, addr, wake));
     }
 }
 
-/// Waits a moment for the nodes that are to carry.
+/// Waits up to [`READY_TIMEOUT`] for the first report of every dispatcher.
 pub(super) async fn await_shards_ready(scheduler: &Scheduler) {
-    let begun = clock::now();
-    while !scheduler.shards.are_all_ready() && clock::since(begun) < READY_TIMEOUT {
+    let started_at = clock::now();
+    while !scheduler.shards.are_all_ready() && clock::since(started_at) < READY_TIMEOUT {
         sleep(READY_CHECK_INTERVAL).await;
     }
 }
 
-/// Gives every worker that no carrier has to one.
+/// Assigns every worker that has no dispatcher to one.
 pub(super) fn assign_unassigned(scheduler: &Scheduler) {
     let cell = scheduler.cell();
     for worker in cell.workers.values() {
@@ -104,66 +104,70 @@
     Command::AddWorker { number, peer, durable, token, grants: worker.renews_lease }
 }
 
-/// Takes a share back, and deals its workers out to others.
-fn reclaim_shard(scheduler: &Arc<Scheduler>, share: ShardId, why: Lost) {
-    let Some(addr) = scheduler.shards.addr_of(share) else { return };
-    let Some((workers, last)) = scheduler.shards.reclaim(share, clock::now()) else { return };
+/// Reclaims a shard, and reassigns its workers to other shards.
+fn reclaim_shard(scheduler: &Arc<Scheduler>, shard: ShardId, why: Lost) {
+    let Some(addr) = scheduler.shards.addr_of(shard) else { return };
+    let Some((workers, lease_end)) = scheduler.shards.reclaim(shard, clock::now()) else { return };
     let from = addr.to_string();
     log::warn!(
-        share,
+        share = shard,
         carrier = from.as_str(),
         workers = workers.len(),
         why = format!("{why:?}").as_str();
-        "share taken back"
+        "shard reclaimed"
     );
     scheduler.node.counters.count(&format!("batch.share.lost.{why:?}"));
     scheduler.node.directory.mark_unresponsive(addr);
     start_shards(scheduler);
-    reassign_workers(scheduler, &workers, last);
+    reassign_workers(scheduler, &workers, lease_end);
 }
 
-fn reassign_workers(scheduler: &Scheduler, numbers: &[WorkerNumber], last: Instant) {
+/// Assigns workers to other shards. `lease_end` is when the dispatch lease of their former dispatcher has expired.
+fn reassign_workers(scheduler: &Scheduler, numbers: &[WorkerNumber], lease_end: Instant) {
     let mut cell = scheduler.cell();
     for number in numbers {
-        let Some(life) = cell.workers.incarnation_of(*number).cloned() else { continue };
-        cell.hand_over(&life, last);
-        let command = add_worker_command(&cell, &cell.workers[&life]);
+        let Some(incarnation) = cell.workers.incarnation_of(*number).cloned() else { continue };
+        cell.hand_over(&incarnation, lease_end);
+        let command = add_worker_command(&cell, &cell.workers[&incarnation]);
         scheduler.shards.assign(*number, command);
     }
     drop(cell);
     scheduler.wake();
 }
 
-/// Workers of a share that has too many go to others; those of this node's own share do where any other
-/// node carries. Those that are not calm stay for now.
+/// Moves workers of an overloaded shard to others; all workers of this node's own shard move once another node
+/// dispatches. Workers whose dispatcher cannot be changed at the moment stay.
 fn rebalance(scheduler: &Scheduler) {
-    let Some(crowded) = scheduler.shards.find_overload() else { return };
-    let most = crowded.excess.min(MAX_HANDOVER);
-    let calm: Vec<WorkerNumber> = {
+    let Some(overload) = scheduler.shards.find_overload() else { return };
+    let limit = overload.excess.min(MAX_HANDOVER);
+    let movable: Vec<WorkerNumber> = {
         let cell = scheduler.cell();
-        let workers = crowded.workers.iter();
+        let workers = overload.workers.iter();
         let known =
             workers.filter_map(|number| cell.workers.get(cell.workers.incarnation_of(*number)?));
         known
             .filter(|worker| worker.can_change_dispatcher())
             .map(|worker| worker.number)
-            .take(most)
+            .take(limit)
             .collect()
     };
-    if calm.is_empty() {
+    if movable.is_empty() {
         return;
     }
-    let last = scheduler.shards.remove_workers(crowded.shard, &calm, clock::now());
-    reassign_workers(scheduler, &calm, last);
+    let lease_end = scheduler.shards.remove_workers(overload.shard, &movable, clock::now());
+    reassign_workers(scheduler, &movable, lease_end);
 }
 
-/// Passes the orders of the cell on to the carriers.
+/// Passes the orders of the cell on to the dispatchers.
 pub(super) fn dispatch_orders(scheduler: &Scheduler, cell: &mut Cell) {
     for number in std::mem::take(&mut cell.removed) {
         scheduler.shards.release(number);
     }
     for number in std::mem::take(&mut cell.reassigned) {
-        let worker = cell.workers.incarnation_of(number).and_then(|life| cell.workers.get(life));
+        let worker = cell
+            .workers
+            .incarnation_of(number)
+            .and_then(|incarnation| cell.workers.get(incarnation));
         let Some(worker) = worker else { continue };
         let command = add_worker_command(cell, worker);
         match scheduler.shards.is_assigned(number) {
@@ -192,47 +196,47 @@
     }
 }
 
-/// Sends a share its commands, in their order, until it is over.
+/// Sends a shard its commands, in order, until the shard ends.
 async fn send_commands(
     scheduler: Arc<Scheduler>,
-    share: ShardId,
+    shard: ShardId,
     addr: SocketAddr,
     wake: Arc<Notify>,
 ) {
     let own = scheduler.node.settings.peer_addr();
     loop {
         wake.notified().await;
-        let Some(errand) = scheduler.shards.next_commands(share, own) else { return };
-        let Some(errand) = errand else { continue };
-        if !deliver_commands(&scheduler, share, addr, errand).await {
+        let Some(commands) = scheduler.shards.next_commands(shard, own) else { return };
+        let Some(commands) = commands else { continue };
+        if !deliver_commands(&scheduler, shard, addr, commands).await {
             return;
         }
     }
 }
 
-/// Sends a message until it is taken; `false` if the share is over.
+/// Sends a message until it is accepted; `false` if the shard has ended.
 async fn deliver_commands(
     scheduler: &Arc<Scheduler>,
-    share: ShardId,
+    shard: ShardId,
     addr: SocketAddr,
-    errand: Commands,
+    commands: Commands,
 ) -> bool {
-    while scheduler.shards.addr_of(share).is_some() {
-        let request = Request::Dispatch(Box::new(errand.clone()));
+    while scheduler.shards.addr_of(shard).is_some() {
+        let request = Request::Dispatch(Box::new(commands.clone()));
         match scheduler.node.peers.ask_once(addr, request).await {
             Ok(Reply::Done) => return true,
             Ok(_) => {
-                reclaim_shard(scheduler, share, Lost::Refused);
+                reclaim_shard(scheduler, shard, Lost::Refused);
                 return false;
             }
-            // Nothing listens there: the process has ended, or the node is cut off.
+            // Nothing listens there: the process has ended, or the node is partitioned.
             Err(PeerError::NotSent) => {
-                reclaim_shard(scheduler, share, Lost::Gone);
+                reclaim_shard(scheduler, shard, Lost::Gone);
                 return false;
             }
             Err(error) => {
                 scheduler.node.counters.count("batch.share.unanswered");
-                log::debug!("the carrier at {addr} does not take its commands: {error}");
+                log::debug!("sending commands to the dispatcher at {addr} failed: {error}");
                 sleep(RETRY_PAUSE).await;
             }
         }
@@ -240,30 +244,31 @@
     false
 }
 
-/// Ends all shares, and waits until nothing more can come of them.
+/// Ends all shards, and waits until none of their dispatchers can act any more.
 pub(super) async fn stop_shards(scheduler: &Arc<Scheduler>) {
     scheduler.shards.stop_own();
-    let ends = scheduler.shards.ids().into_iter().filter_map(|share| {
-        let addr = scheduler.shards.addr_of(share)?;
-        Some(async move { stop_shard(scheduler, share, addr).await })
+    let ends = scheduler.shards.ids().into_iter().filter_map(|shard| {
+        let addr = scheduler.shards.addr_of(shard)?;
+        Some(async move { stop_shard(scheduler, shard, addr).await })
     });
     let ended = timeout(STOP_TIMEOUT, futures_util::future::join_all(ends)).await;
     if ended.is_ok_and(|ended| ended.into_iter().all(|ended| ended)) {
         return;
     }
-    if let Some(last) = scheduler.shards.last_lease_end() {
-        log::info!("waits for carriers that do not answer");
-        sleep(last.saturating_duration_since(clock::now())).await;
+    if let Some(lease_end) = scheduler.shards.last_lease_end() {
+        log::info!("waiting for the dispatch leases of unresponsive dispatchers to expire");
+        sleep(lease_end.saturating_duration_since(clock::now())).await;
     }
 }
 
-/// Ends a share, whatever commands are under way; `false` if its node does not answer.
-async fn stop_shard(scheduler: &Scheduler, share: ShardId, addr: SocketAddr) -> bool {
-    let Some(errand) = scheduler.shards.final_commands(share, scheduler.node.settings.peer_addr())
+/// Ends a shard, whatever commands are in flight; `false` if its node does not answer.
+async fn stop_shard(scheduler: &Scheduler, shard: ShardId, addr: SocketAddr) -> bool {
+    let Some(commands) =
+        scheduler.shards.final_commands(shard, scheduler.node.settings.peer_addr())
     else {
         return true;
     };
-    let request = Request::Dispatch(Box::new(errand));
-    // One that does not know the share any more does nothing for it either.
+    let request = Request::Dispatch(Box::new(commands));
+    // A node that does not know the shard any more does nothing for it either.
     matches!(scheduler.node.peers.ask_once(addr, request).await, Ok(Reply::Done | Reply::NotReady))
 }
--- a/lib/src/batch/scheduler/shard.rs
+++ b/lib/src/batch/scheduler/shard.rs
@@ -1,13 +1,13 @@
-//! Dealing out the workers to carriers: which node looks after which worker, and what becomes of a
-//! share whose carrier is lost.
+//! Assigns workers to dispatchers: which node dispatches for which worker, and what happens to a shard whose
+//! dispatcher is lost.
 //!
-//! The scheduler decides everything; carriers hold the connections and send what it decides. On a site of
-//! few workers its own node has the only share. On a large one the calls to workers would take all its
-//! processor: 1,100 workers mean some 150,000 calls in 45 s. There other nodes have the shares, and the
-//! scheduler gets a few hundred messages a second, each with many events.
+//! The scheduler makes all decisions; dispatchers hold the connections to workers and carry out its commands. On a
+//! site with few workers the scheduler's own node has the only shard. On a large site the calls to workers would take
+//! all its CPU: 1,100 workers mean some 150,000 calls in 45 s. There other nodes have the shards, and the scheduler
+//! gets a few hundred messages a second, each with many events.
 //!
-//! A carrier that is not heard of is given up, and its workers go to others at once. What it may still
-//! do is bounded by its licence, and counted in the leases of its workers.
+//! The shard of an unresponsive dispatcher is reclaimed, and its workers are assigned to others at once. The dispatch
+//! lease bounds how long the dispatcher may still act, and the expiry of the worker leases takes that into account.
 
 mod remote;
 
@@ -36,15 +36,15 @@
 
 pub use crate::batch::scheduler::shard::remote::Lost;
 
-/// Number of a share of this scheduler; the one of its own node is [`OWN_SHARD`].
+/// Number of a shard of this scheduler; that of its own node is [`OWN_SHARD`].
 pub type ShardId = u64;
-/// The share of the scheduler's own node.
+/// The shard of the scheduler's own node.
 pub const OWN_SHARD: ShardId = 0;
 
-/// A share with more than this part of what it should have, in hundredths, gives workers to others.
+/// A shard with more workers than this, in percent of its fair count, gives workers to others.
 const OVERLOAD_PERCENT: usize = 125;
 
-/// All shares of a scheduler.
+/// All shards of a scheduler.
 pub struct Shards {
     token: Token,
     own: Arc<Dispatcher>,
@@ -58,86 +58,88 @@
     last_id: ShardId,
 }
 
-/// A share that has too many workers.
+/// A shard that has too many workers.
 #[derive(Debug)]
 pub struct Overload {
-    /// Its number.
+    /// Number of the shard.
     pub shard: ShardId,
-    /// All its workers.
+    /// All workers of the shard.
     pub workers: Vec<WorkerNumber>,
-    /// How many of them others should have. Not more may be passed on: the others would have too many then,
-    /// and pass them on in turn.
+    /// How many of them other shards should have. No more than these may be moved: the other shards would have too
+    /// many then, and move them on in turn.
     pub excess: usize,
 }
 
-/// A report that was taken: what it tells, and from when its moments count.
+/// A report that was accepted.
 #[derive(Debug)]
 pub struct ReceivedReport {
-    /// The report.
+    /// The report itself.
     pub report: Report,
-    /// From when its moments count.
+    /// The time that its offsets count from.
     pub time_base: Instant,
 }
 
-/// What becomes of a report.
+/// How a report was received.
 #[derive(Debug)]
 pub enum ReportOutcome {
-    /// It is new.
+    /// It is the next one of its shard.
     New(ReceivedReport),
-    /// It was taken before.
+    /// It was accepted before.
     Duplicate,
-    /// The share is not that node's any more.
+    /// Its shard has ended, or a report before it is missing.
     Stale,
 }
 
 impl Shards {
-    /// Nothing is dealt out yet.
+    /// Creates the shard of the own node; no worker is assigned yet.
     pub fn new(token: Token, own: Arc<Dispatcher>) -> Shards {
         Shards { token, own, state: Mutex::default() }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder of the shares panics")
+        self.state.lock().expect("no thread panics while it holds the shards lock")
     }
 
-    /// Begins a share on another node; what wakes the task that is to send its commands.
+    /// Starts a shard on another node with so much CPU (in thousandths of a core). Returns its number, and what wakes
+    /// the task that sends its commands.
     pub fn start(&self, addr: SocketAddr, weight: u32, now: Instant) -> (ShardId, Arc<Notify>) {
         let mut state = self.state();
         state.last_id += 1;
         let id = state.last_id;
         let wake = Arc::new(Notify::new());
-        // The first message begins the share, whether there are commands or not.
+        // The first message starts the shard, with or without commands.
         wake.notify_one();
         let remote = RemoteShard::new(addr, weight, wake.clone(), now);
         state.remotes.insert(id, remote);
         (id, wake)
     }
 
-    /// Gives a worker to the share that has the fewest for its node's processor.
+    /// Assigns a worker to the ready shard with the fewest workers for the CPU of its node, and sends `command` there.
+    /// The own node gets it if no other one is ready.
     pub fn assign(&self, number: WorkerNumber, command: Command) {
         let mut state = self.state();
         let ready = state.remotes.iter().filter(|(_, remote)| remote.is_ready());
-        let least = ready.min_by(|(_, one), (_, other)| one.load().total_cmp(&other.load()));
-        let share = least.map_or(OWN_SHARD, |(id, _)| *id);
-        state.assignments.insert(number, share);
-        if let Some(remote) = state.remotes.get_mut(&share) {
+        let least = ready.min_by(|(_, first), (_, second)| first.load().total_cmp(&second.load()));
+        let shard = least.map_or(OWN_SHARD, |(id, _)| *id);
+        state.assignments.insert(number, shard);
+        if let Some(remote) = state.remotes.get_mut(&shard) {
             remote.workers.insert(number);
         }
-        self.push(&mut state, share, command);
+        self.push(&mut state, shard, command);
     }
 
-    /// Whether a worker is in some share.
+    /// Whether a worker is assigned to a shard.
     pub fn is_assigned(&self, number: WorkerNumber) -> bool {
         self.state().assignments.contains_key(&number)
     }
 
-    /// Whether each share that was begun is carried.
+    /// Whether the dispatcher of every shard has reported.
     pub fn are_all_ready(&self) -> bool {
         self.state().remotes.values().all(|remote| remote.is_ready())
     }
 
-    /// A share that has too many workers; none while no other node carries, or where all have about their
-    /// part.
+    /// A shard that has too many workers; `None` while no other node dispatches, and if each shard has about its fair
+    /// count.
     pub fn find_overload(&self) -> Option<Overload> {
         let state = self.state();
         let ready = || state.remotes.iter().filter(|(_, remote)| remote.is_ready());
@@ -145,95 +147,96 @@
         if weight == 0 {
             return None;
         }
-        let members = |share: ShardId| {
-            let places = state.assignments.iter().filter(move |(_, place)| **place == share);
-            places.map(|(number, _)| *number).collect::<Vec<WorkerNumber>>()
+        let members = |shard: ShardId| {
+            let assigned =
+                state.assignments.iter().filter(move |(_, assigned)| **assigned == shard);
+            assigned.map(|(number, _)| *number).collect::<Vec<WorkerNumber>>()
         };
         let own = members(OWN_SHARD);
         if !own.is_empty() {
             return Some(Overload { shard: OWN_SHARD, excess: own.len(), workers: own });
         }
         ready().find_map(|(id, remote)| {
-            let part = state.assignments.len() * remote.weight as usize / weight;
-            let is_crowded = remote.workers.len() > part * OVERLOAD_PERCENT / 100 + 1;
-            let too_many = remote.workers.len().saturating_sub(part);
-            is_crowded.then(|| Overload { shard: *id, workers: members(*id), excess: too_many })
+            let fair_count = state.assignments.len() * remote.weight as usize / weight;
+            let is_overloaded = remote.workers.len() > fair_count * OVERLOAD_PERCENT / 100 + 1;
+            let excess = remote.workers.len().saturating_sub(fair_count);
+            is_overloaded.then(|| Overload { shard: *id, workers: members(*id), excess })
         })
     }
 
-    /// Sends a command to the share that has the worker.
+    /// Sends a command to the shard that has the worker.
     pub fn send(&self, number: WorkerNumber, command: Command) {
         let mut state = self.state();
-        if let Some(share) = state.assignments.get(&number).copied() {
-            self.push(&mut state, share, command);
+        if let Some(shard) = state.assignments.get(&number).copied() {
+            self.push(&mut state, shard, command);
         }
     }
 
-    /// A worker is to be looked after no more.
+    /// Removes a worker from its shard.
     pub fn release(&self, number: WorkerNumber) {
         let mut state = self.state();
-        let Some(share) = state.assignments.remove(&number) else { return };
-        if let Some(remote) = state.remotes.get_mut(&share) {
+        let Some(shard) = state.assignments.remove(&number) else { return };
+        if let Some(remote) = state.remotes.get_mut(&shard) {
             remote.workers.remove(&number);
         }
-        self.push(&mut state, share, Command::RemoveWorker { number });
+        self.push(&mut state, shard, Command::RemoveWorker { number });
     }
 
-    fn push(&self, state: &mut State, share: ShardId, command: Command) {
-        let Some(remote) = state.remotes.get_mut(&share) else {
+    fn push(&self, state: &mut State, shard: ShardId, command: Command) {
+        let Some(remote) = state.remotes.get_mut(&shard) else {
             return self.own.execute(command);
         };
         remote.push(command);
     }
 
-    /// Takes the commands of a share as one message; nothing if there are none. The first message is
-    /// made also without any. `None` once the share is over.
-    pub fn next_commands(&self, share: ShardId, own: SocketAddr) -> Option<Option<Commands>> {
+    /// Takes the pending commands of a shard as one message; `Some(None)` if there are none, but the first message is
+    /// also made without any. `None` once the shard has ended.
+    pub fn next_commands(&self, shard: ShardId, own: SocketAddr) -> Option<Option<Commands>> {
         let mut state = self.state();
-        let remote = state.remotes.get_mut(&share)?;
-        let session = Session { token: self.token, shard: share };
+        let remote = state.remotes.get_mut(&shard)?;
+        let session = Session { token: self.token, shard };
         Some(remote.next_commands(session, own))
     }
 
-    /// The message that ends a share. It is the next one or, if that is under way, comes too early: the
-    /// share is refused then, and its carrier ends at once as well.
-    pub fn final_commands(&self, share: ShardId, own: SocketAddr) -> Option<Commands> {
+    /// The message that ends a shard; `None` if it has ended. If the message before it is still in flight, this one may
+    /// arrive out of order: the dispatcher then refuses it, and stops all the same.
+    pub fn final_commands(&self, shard: ShardId, own: SocketAddr) -> Option<Commands> {
         let mut state = self.state();
-        let remote = state.remotes.get_mut(&share)?;
-        Some(remote.final_commands(Session { token: self.token, shard: share }, own))
+        let remote = state.remotes.get_mut(&shard)?;
+        Some(remote.final_commands(Session { token: self.token, shard }, own))
     }
 
-    /// Whether a share is still dealt out, and where.
-    pub fn addr_of(&self, share: ShardId) -> Option<SocketAddr> {
-        Some(self.state().remotes.get(&share)?.addr)
+    /// The node of a shard; `None` once the shard has ended.
+    pub fn addr_of(&self, shard: ShardId) -> Option<SocketAddr> {
+        Some(self.state().remotes.get(&shard)?.addr)
     }
 
-    /// Takes a report of another node. Each counts once, in its order.
+    /// Receives a report of another node. Reports are accepted once each, in order.
     pub fn take_report(&self, report: Report, now: Instant) -> ReportOutcome {
         let mut state = self.state();
         let is_ours = report.session.token == self.token;
         let remote = state.remotes.get_mut(&report.session.shard).filter(|_| is_ours);
         let Some(remote) = remote else { return ReportOutcome::Stale };
         match remote.take_report(&report, now) {
-            ReportOrder::Next(base) => {
-                ReportOutcome::New(ReceivedReport { report, time_base: base })
+            ReportOrder::Next(time_base) => {
+                ReportOutcome::New(ReceivedReport { report, time_base })
             }
             ReportOrder::Duplicate => ReportOutcome::Duplicate,
             ReportOrder::Gap => ReportOutcome::Stale,
         }
     }
 
-    /// Those of some workers that are in a share.
+    /// Those of these workers that are in a shard.
     pub fn in_shard(
         &self,
-        share: ShardId,
+        shard: ShardId,
         numbers: impl Iterator<Item = WorkerNumber>,
     ) -> HashSet<WorkerNumber> {
         let state = self.state();
-        numbers.filter(|number| state.assignments.get(number) == Some(&share)).collect()
+        numbers.filter(|number| state.assignments.get(number) == Some(&shard)).collect()
     }
 
-    /// Shares that are to be taken back.
+    /// Shards that are to be reclaimed, and why.
     pub fn find_lost(&self, now: Instant) -> Vec<(ShardId, Lost)> {
         let state = self.state();
         let lost =
@@ -241,70 +244,72 @@
         lost.collect()
     }
 
-    /// This node was itself late by so much: that nothing was heard meanwhile says nothing.
+    /// Takes into account that this node itself was delayed by so much: that no report was received meanwhile says
+    /// nothing about the dispatchers.
     pub fn discount_own_delay(&self, late: Duration) {
         for remote in self.state().remotes.values_mut() {
             remote.received_at += late;
         }
     }
 
-    /// Takes a share back; its workers, and until when its carrier may act.
-    pub fn reclaim(&self, share: ShardId, now: Instant) -> Option<(Vec<WorkerNumber>, Instant)> {
+    /// Ends a shard; returns its workers, and until when its dispatcher may still act.
+    pub fn reclaim(&self, shard: ShardId, now: Instant) -> Option<(Vec<WorkerNumber>, Instant)> {
         let mut state = self.state();
-        let remote = state.remotes.remove(&share)?;
+        let remote = state.remotes.remove(&shard)?;
         for number in &remote.workers {
             state.assignments.remove(number);
         }
         remote.wake.notify_one();
-        let last = remote.acked_at.map_or(now, |at| at + DISPATCH_LEASE);
-        Some((remote.workers.into_iter().collect(), last))
+        let lease_end = remote.acked_at.map_or(now, |at| at + DISPATCH_LEASE);
+        Some((remote.workers.into_iter().collect(), lease_end))
     }
 
-    /// Takes workers out of a share, to be dealt out anew; until when its carrier may act for them.
+    /// Removes workers from a shard, so that they can be assigned again; returns until when its dispatcher may still
+    /// act for them.
     pub fn remove_workers(
         &self,
-        share: ShardId,
+        shard: ShardId,
         numbers: &[WorkerNumber],
         now: Instant,
     ) -> Instant {
         let mut state = self.state();
         for number in numbers.iter().copied() {
-            if state.assignments.get(&number) != Some(&share) {
+            if state.assignments.get(&number) != Some(&shard) {
                 continue;
             }
             state.assignments.remove(&number);
-            if let Some(remote) = state.remotes.get_mut(&share) {
+            if let Some(remote) = state.remotes.get_mut(&shard) {
                 remote.workers.remove(&number);
             }
-            self.push(&mut state, share, Command::RemoveWorker { number });
+            self.push(&mut state, shard, Command::RemoveWorker { number });
         }
         state
             .remotes
-            .get(&share)
+            .get(&shard)
             .and_then(|remote| remote.acked_at)
             .map_or(now, |at| at + DISPATCH_LEASE)
     }
 
-    /// The nodes that have shares.
+    /// The other nodes that have shards.
     pub fn addrs(&self) -> HashSet<SocketAddr> {
         self.state().remotes.values().map(|remote| remote.addr).collect()
     }
 
-    /// Each share as operators see it.
+    /// All shards as operators see them.
     pub fn view(&self) -> Vec<view::Shard> {
         let state = self.state();
-        let own = state.assignments.values().filter(|place| **place == OWN_SHARD).count();
-        let mut shares = vec![view::Shard { number: OWN_SHARD, dispatcher: None, workers: own }];
-        shares.extend(state.remotes.iter().map(|(id, remote)| view::Shard {
+        let own = state.assignments.values().filter(|assigned| **assigned == OWN_SHARD).count();
+        let mut shards = vec![view::Shard { number: OWN_SHARD, dispatcher: None, workers: own }];
+        shards.extend(state.remotes.iter().map(|(id, remote)| view::Shard {
             number: *id,
             dispatcher: Some(remote.addr),
             workers: remote.workers.len(),
         }));
-        shares.sort_by_key(|share| share.number);
-        shares
+        shards.sort_by_key(|shard| shard.number);
+        shards
     }
 
-    /// Until when any carrier may act, once all have been ended without an answer.
+    /// Until when any dispatcher may still act if none confirms that it has stopped; `None` if none has ever reported.
     pub fn last_lease_end(&self) -> Option<Instant> {
         let state = self.state();
         state
@@ -315,12 +320,12 @@
             .map(|at| at + DISPATCH_LEASE)
     }
 
-    /// All shares on other nodes.
+    /// All shards on other nodes.
     pub fn ids(&self) -> Vec<ShardId> {
         self.state().remotes.keys().copied().collect()
     }
 
-    /// Ends the share of this node.
+    /// Stops the dispatcher of this node.
     pub fn stop_own(&self) {
         self.own.stop();
     }
--- a/lib/src/batch/scheduler/shard/remote.rs
+++ b/lib/src/batch/scheduler/shard/remote.rs
@@ -1,4 +1,4 @@
-//! A share on another node: its workers, what its carrier is yet to be told, and when it is lost.
+//! A shard on another node: its workers, the commands that are yet to be sent, and when its dispatcher is lost.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -15,65 +15,65 @@
 use crate::batch::dispatch::remote::Session;
 use crate::batch::worker::table::WorkerNumber;
 
-/// How long a carrier may be silent before it is given up: more than three heartbeats. Its workers are
-/// not looked at meanwhile, and what ends there is not heard of.
+/// How long a dispatcher may send no report before its shard is reclaimed: more than three heartbeats. Meanwhile its
+/// workers may not be polled, and no ends of runs are received from them.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a node may take to say that it carries a share; it does so at once.
+/// How long the first report of a dispatcher may take; it is sent at once.
 const START_TIMEOUT: Duration = Duration::from_millis(500);
-/// How late the timers of a carrier may be before its share goes to others: clients of that node would
-/// soon wait as well.
+/// How late the timers of a dispatcher may be before its shard is reclaimed: the clients of that node would soon wait
+/// as well.
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(250);
-/// Reports in a row that tell of such lateness.
+/// Consecutive reports with such a delay after which the shard is reclaimed.
 const LATE_REPORT_LIMIT: u32 = 4;
 
-/// A share on another node.
+/// A shard on another node.
 pub(super) struct RemoteShard {
     pub(super) addr: SocketAddr,
-    /// Processor of the node, in thousandths of a core.
+    /// CPU of the node, in thousandths of a core; at least 1.
     pub(super) weight: u32,
     pub(super) workers: HashSet<WorkerNumber>,
     commands: Vec<Command>,
-    /// Number of the last message made of commands.
+    /// Sequence number of the last message of commands.
     sequence: u64,
-    /// Wakes the task that sends them.
+    /// Wakes the task that sends the commands.
     pub(super) wake: Arc<Notify>,
-    /// When something was last heard of it.
+    /// When the last report came, or when the shard was started; moved on by delays of this node itself.
     pub(super) received_at: Instant,
-    /// When its last report was acknowledged. Its licence runs from when it sent that report, so it is
-    /// over a licence's length after this.
+    /// When its last report was acknowledged. Its dispatch lease counts from when it sent that report, so it has
+    /// expired one lease after this.
     pub(super) acked_at: Option<Instant>,
-    /// The moment from which it counts its own, by our clock or later.
+    /// The time that its offsets count from, by the clock of this node: when it started, or somewhat later.
     time_base: Option<Instant>,
-    /// Number of the last report that was taken; it has workers only after the first one.
+    /// Sequence number of the last accepted report; the shard gets workers only after the first one.
     last_report: u64,
     late_reports: u32,
 }
 
-/// Why a share is taken back.
+/// Why a shard is reclaimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lost {
-    /// Nothing was heard of it for a while.
+    /// No report has come for too long.
     Silent,
-    /// The node does not carry it any more, or never did.
+    /// The node refuses commands: it does not have the shard any more, or never had.
     Refused,
     /// No connection could be made to the node.
     Gone,
-    /// The node has too much to do.
+    /// The timers of the node are late: it is overloaded.
     Late,
 }
 
-/// Where a report stands among those of its share.
+/// The position of a report among those of its shard.
 pub(super) enum ReportOrder {
-    /// It is the next one; from when its moments count.
+    /// It is the next one; the time that its offsets count from.
     Next(Instant),
-    /// It was taken before.
+    /// It was accepted before.
     Duplicate,
-    /// One before it is missing.
+    /// A report before it is missing.
     Gap,
 }
 
 impl RemoteShard {
-    /// A share without workers, whose carrier has said nothing yet.
+    /// Creates a shard without workers, whose dispatcher has not reported yet.
     pub(super) fn new(
         addr: SocketAddr,
         weight: u32,
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Whether its carrier has said that it carries.
+    /// Whether its dispatcher has reported.
     pub(super) fn is_ready(&self) -> bool {
         self.last_report > 0
     }
 
-    /// Its workers for its node's processor.
+    /// Number of its workers per unit of CPU.
     pub(super) fn load(&self) -> f64 {
         self.workers.len() as f64 / f64::from(self.weight)
     }
@@ -108,7 +108,7 @@
     /// Adds a command to the next message.
     pub(super) fn push(&mut self, command: Command) {
         match (self.commands.last_mut(), command) {
-            // Tasks of one job share its text.
+            // Starts of one job are sent together with its text.
             (
                 Some(Command::Start { spec, starts }),
                 Command::Start { spec: other, starts: more },
@@ -123,26 +123,30 @@
         self.wake.notify_one();
     }
 
-    /// Takes the commands as one message; nothing if there are none, but for the first one, which begins
-    /// the share.
-    pub(super) fn next_commands(&mut self, session: Session, own: SocketAddr) -> Option<Commands> {
+    /// Takes the pending commands as one message; `None` if there are none, unless it is the first message, which
+    /// starts the shard.
+    pub(super) fn next_commands(
+        &mut self,
+        session: Session,
+        scheduler: SocketAddr,
+    ) -> Option<Commands> {
         if self.commands.is_empty() && self.sequence > 0 {
             return None;
         }
         self.sequence += 1;
         let commands = std::mem::take(&mut self.commands);
-        Some(Commands { scheduler: own, session, sequence: self.sequence, commands })
+        Some(Commands { scheduler, session, sequence: self.sequence, commands })
     }
 
-    /// The message that ends the share, in place of all that its carrier was to be told.
-    pub(super) fn final_commands(&mut self, session: Session, own: SocketAddr) -> Commands {
+    /// The message that ends the shard, in place of all pending commands.
+    pub(super) fn final_commands(&mut self, session: Session, scheduler: SocketAddr) -> Commands {
         self.commands.clear();
         self.sequence += 1;
         let commands = vec![Command::End];
-        Commands { scheduler: own, session, sequence: self.sequence, commands }
+        Commands { scheduler, session, sequence: self.sequence, commands }
     }
 
-    /// Takes in that a report has come. Each counts once, in its order.
+    /// Records that a report has come. Reports are accepted once each, in order.
     pub(super) fn take_report(&mut self, report: &Report, now: Instant) -> ReportOrder {
         if report.sequence > self.last_report + 1 {
             return ReportOrder::Gap;
@@ -158,17 +162,17 @@
         ReportOrder::Next(*self.time_base.get_or_insert_with(|| earlier_by(now, report.made_at)))
     }
 
-    /// Why the share is to be taken back, if so.
+    /// Why the shard is to be reclaimed; `None` if it is not.
     pub(super) fn loss_reason(&self, now: Instant) -> Option<Lost> {
-        let patience = if self.is_ready() { SILENCE_TIMEOUT } else { START_TIMEOUT };
-        if now.saturating_duration_since(self.received_at) > patience {
+        let silence_limit = if self.is_ready() { SILENCE_TIMEOUT } else { START_TIMEOUT };
+        if now.saturating_duration_since(self.received_at) > silence_limit {
             return Some(Lost::Silent);
         }
         (self.late_reports >= LATE_REPORT_LIMIT).then_some(Lost::Late)
     }
 }
 
-/// A moment so many microseconds before another, or as early as the clock can tell.
-fn earlier_by(now: Instant, moment: OffsetMicros) -> Instant {
-    now.checked_sub(Duration::from_micros(moment)).unwrap_or(now)
+/// The time so many microseconds before `now`; `now` if the clock cannot represent that.
+fn earlier_by(now: Instant, offset: OffsetMicros) -> Instant {
+    now.checked_sub(Duration::from_micros(offset)).unwrap_or(now)
 }
--- a/lib/src/batch/scheduler/tick.rs
+++ b/lib/src/batch/scheduler/tick.rs
@@ -1,4 +1,4 @@
-//! What depends on clocks: leases and due times.
+//! Periodic work that depends on clocks: lease expiry and due times.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use crate::batch::scheduler::wall_clock;
 use crate::transport::clock;
 
-/// Time between looks at clocks: leases, due times, rests.
+/// Time between checks of leases, due times and backoffs.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Does what depends on clocks.
+/// Runs the periodic work until the scheduler stops.
 pub(super) async fn tick(scheduler: Arc<Scheduler>) {
     loop {
         sleep(TICK_INTERVAL).await;
@@ -24,8 +24,8 @@
             cell.expire_due(now);
             cell.stop_unknown_jobs(now);
             maintenance::evacuate_draining(&mut cell, now);
-            for life in cell.leaving_unannounced(now) {
-                maintenance::evacuate(&mut cell, &life, false);
+            for incarnation in cell.leaving_unannounced(now) {
+                maintenance::evacuate(&mut cell, &incarnation, false);
             }
             cell.adjust_best_effort_paces(now);
             cell.forget_ended(now);
