--- a/lib/src/batch/dispatch.rs
+++ b/lib/src/batch/dispatch.rs
@@ -1,12 +1,11 @@
-//! Carrying out what a scheduler decides: looks at its workers, starts and stops, in the scheduler's
-//! name and with its token.
+//! Carries out what a scheduler decides: polls its workers, and starts and stops tasks there with its fencing token.
 //!
-//! A carrier holds the connections to a share of the workers. It decides nothing: it obeys
-//! [`Command`]s and tells what it saw as [`Event`]s, in the order in which it saw it. The scheduler's
-//! own node carries in the same way as any other one; on a small site it has the only share.
+//! A dispatcher holds the connections to the workers of one shard. It decides nothing: it executes [`Command`]s and
+//! reports what it observes as [`Event`]s, in the order in which it observes them. The scheduler's own node dispatches
+//! in the same way as any other node; on a small site it has the only shard.
 //!
-//! What a carrier may do is bounded by its [`Lease`], so that a scheduler that has given its share to
-//! another knows from when on nothing more comes of it.
+//! A dispatcher may act only while its [`Lease`] is valid, so that a scheduler that has assigned the shard to another
+//! node knows when the dispatcher has stopped acting.
 
 pub mod lease;
 pub mod message;
@@ -34,71 +33,71 @@
 use crate::metrics::Counters;
 use crate::transport::clock;
 
-/// What a carrier needs of its node.
+/// What a dispatcher uses of its node.
 #[derive(Clone)]
 pub struct Context {
-    /// What calls workers.
+    /// Client for calls to workers.
     pub workers: Caller,
-    /// Counters.
+    /// Metrics counters of the node.
     pub counters: Counters,
 }
 
-/// Carries out what one scheduler decides about a share of its workers.
+/// Carries out the commands of one scheduler for the workers of one shard.
 pub struct Dispatcher {
     context: Context,
-    /// Whether it may act.
+    /// Until when it may act.
     pub lease: Lease,
     started_at: Instant,
     sessions: Mutex<HashMap<WorkerNumber, Arc<WorkerSession>>>,
-    /// Never full for long: each worker has one look under way at a time and no more starts than room,
-    /// and without a licence there are no looks and no starts.
+    /// Unbounded, but it stays short: each worker has one poll in flight at a time and no more starts than it has
+    /// resources for, and without a valid lease there are no polls and no starts.
     events: mpsc::UnboundedSender<Event>,
     cancellation: CancellationToken,
 }
 
 impl Dispatcher {
-    /// A carrier without workers, and where its events come.
+    /// Creates a dispatcher without workers; returns it with the receiver of its events.
     pub fn start(
-        tools: Context,
-        license: Lease,
+        context: Context,
+        lease: Lease,
     ) -> (Arc<Dispatcher>, mpsc::UnboundedReceiver<Event>) {
-        let (events, told) = mpsc::unbounded_channel();
-        let carrier = Dispatcher {
-            context: tools,
-            lease: license,
+        let (events, receiver) = mpsc::unbounded_channel();
+        let dispatcher = Dispatcher {
+            context,
+            lease,
             started_at: clock::now(),
             sessions: Mutex::default(),
             events,
             cancellation: CancellationToken::new(),
         };
-        (Arc::new(carrier), told)
+        (Arc::new(dispatcher), receiver)
     }
 
-    /// When it began; its events count their moments from there.
+    /// When it was started; the offsets in its events count from there.
     pub fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// Carries out a command; what becomes of it is told as an event.
+    /// Carries out a command; its outcome is reported as an event.
     pub fn execute(self: &Arc<Self>, command: Command) {
         match command {
             Command::AddWorker { number, peer, durable, token, grants } => {
                 self.add_worker(number, WorkerSession::new(peer, durable, token, grants));
             }
             Command::Grant { number } => {
-                if let Some(charge) = self.session(number) {
-                    charge.enable_lease_extension();
+                if let Some(session) = self.session(number) {
+                    session.enable_lease_extension();
                 }
             }
             Command::RemoveWorker { number } => self.remove_worker(number),
             Command::AcknowledgeEnds { number, end } => {
-                if let Some(charge) = self.session(number) {
-                    charge.set_durable_end(end);
+                if let Some(session) = self.session(number) {
+                    session.set_durable_end(end);
                 }
             }
             Command::Watch { number, closely } => {
-                if let Some(charge) = self.session(number) {
-                    charge.state().polls_often = closely;
+                if let Some(session) = self.session(number) {
+                    session.state().polls_often = closely;
                 }
             }
             Command::Start { spec, starts } => order::start(self, spec, starts),
@@ -110,42 +109,42 @@
         }
     }
 
-    /// Ends all that it does.
+    /// Stops all its tasks and drops all workers.
     pub fn stop(&self) {
         self.cancellation.cancel();
         self.sessions().clear();
     }
 
-    /// Whether it was ended.
+    /// Whether it was stopped.
     pub fn is_stopped(&self) -> bool {
         self.cancellation.is_cancelled()
     }
 
-    fn add_worker(self: &Arc<Self>, number: WorkerNumber, charge: WorkerSession) {
-        let charge = Arc::new(charge);
-        if let Some(before) = self.sessions().insert(number, charge.clone()) {
-            before.cancellation.cancel();
+    fn add_worker(self: &Arc<Self>, number: WorkerNumber, session: WorkerSession) {
+        let session = Arc::new(session);
+        if let Some(previous) = self.sessions().insert(number, session.clone()) {
+            previous.cancellation.cancel();
         }
-        let over = charge.cancellation.clone();
-        let looks = poll::poll_worker(self.clone(), number, charge);
+        let cancellation = session.cancellation.clone();
+        let polls = poll::poll_worker(self.clone(), number, session);
         self.spawn(async move {
-            over.run_until_cancelled_owned(looks).await;
+            cancellation.run_until_cancelled_owned(polls).await;
         });
     }
 
     fn remove_worker(&self, number: WorkerNumber) {
-        if let Some(charge) = self.sessions().remove(&number) {
-            charge.cancellation.cancel();
+        if let Some(session) = self.sessions().remove(&number) {
+            session.cancellation.cancel();
         }
     }
 
     fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
-        let over = self.cancellation.clone();
-        tokio::spawn(async move { over.run_until_cancelled_owned(task).await });
+        let cancellation = self.cancellation.clone();
+        tokio::spawn(async move { cancellation.run_until_cancelled_owned(task).await });
     }
 
     fn sessions(&self) -> MutexGuard<'_, HashMap<WorkerNumber, Arc<WorkerSession>>> {
-        self.sessions.lock().expect("no holder of the charges panics")
+        self.sessions.lock().expect("no thread panics while it holds the sessions lock")
     }
 
     fn session(&self, number: WorkerNumber) -> Option<Arc<WorkerSession>> {
@@ -157,7 +156,7 @@
     }
 
     fn emit(&self, event: Event) {
-        // Once nobody listens, the carrier is about to be ended.
+        // Without a receiver the dispatcher is about to be stopped.
         let _ = self.events.send(event);
     }
 }
--- a/lib/src/batch/dispatch/lease.rs
+++ b/lib/src/batch/dispatch/lease.rs
@@ -1,4 +1,4 @@
-//! How long a carrier may act without hearing from its scheduler.
+//! How long a dispatcher may act without an acknowledgement of its scheduler.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -6,27 +6,28 @@
 
 use crate::transport::clock;
 
-/// How long a carrier acts after it has sent a report that the scheduler then acknowledged. Several
-/// heartbeats, so that a scheduler which is late by a second does not stop its carriers, and far less
-/// than a lease, by which the work of a lost carrier's workers may have to wait longer.
+/// How long a dispatcher may act after it sent a report that the scheduler acknowledged. It spans several heartbeats,
+/// so that a scheduler that is late by a second does not stop its dispatchers. It is far shorter than a worker lease:
+/// if a dispatcher is lost, the tasks of its workers may have to wait that much longer.
 pub const DISPATCH_LEASE: Duration = Duration::from_millis(1_500);
 
-/// Until when a carrier may start tasks and extend leases.
+/// Until when a dispatcher may start tasks and extend worker leases.
 ///
-/// It is extended from the moment at which a report was sent, once that is acknowledged. The scheduler
-/// acknowledged it later, so [`DISPATCH_LEASE`] after its last acknowledgement it is over for certain.
+/// An acknowledged report extends it, from the time at which the report was sent. The scheduler acknowledged it later
+/// than that, so [`DISPATCH_LEASE`] after its last acknowledgement the lease has certainly expired.
 pub struct Lease {
-    /// None for the scheduler's own node, which ends its carrier itself.
+    /// `None` on the scheduler's own node, which stops its dispatcher itself; inside, `None` before the first
+    /// acknowledgement.
     valid_until: Option<Mutex<Option<Instant>>>,
 }
 
 impl Lease {
-    /// One that holds as long as the carrier is not ended.
+    /// A lease that does not expire; the dispatcher acts until it is stopped.
     pub fn unbounded() -> Lease {
         Lease { valid_until: None }
     }
 
-    /// One that does not hold before it is extended.
+    /// A lease that is not valid before it is extended.
     ///
     /// ```
     /// use std::time::Instant;
@@ -40,18 +41,18 @@
         Lease { valid_until: Some(Mutex::new(None)) }
     }
 
-    /// A report that was sent at `sent` is acknowledged.
+    /// Extends the lease: a report that was sent at `sent` is acknowledged.
     pub fn extend(&self, sent: Instant) {
         if let Some(until) = &self.valid_until {
-            let mut until = until.lock().expect("no holder of the time panics");
+            let mut until = until.lock().expect("no thread panics while it holds the lease lock");
             *until = (*until).max(Some(sent + DISPATCH_LEASE));
         }
     }
 
-    /// Whether the carrier may act now.
+    /// Whether the dispatcher may act now.
     pub fn is_valid(&self) -> bool {
         let Some(until) = &self.valid_until else { return true };
-        let until = *until.lock().expect("no holder of the time panics");
+        let until = *until.lock().expect("no thread panics while it holds the lease lock");
         until.is_some_and(|until| clock::now() < until)
     }
 }
--- a/lib/src/batch/dispatch/message.rs
+++ b/lib/src/batch/dispatch/message.rs
@@ -1,4 +1,4 @@
-//! What a scheduler and its carriers say to each other.
+//! The messages between a scheduler and its dispatchers.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,72 +13,72 @@
 
 use crate::batch::worker::table::WorkerNumber;
 
-/// Microseconds since a carrier began, by its own steady clock.
+/// Microseconds since a dispatcher was started, by its own steady clock.
 pub type OffsetMicros = u64;
 
-/// A task to be started.
+/// A task to start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Start {
     /// The worker.
     pub number: WorkerNumber,
     /// The task.
     pub task: TaskName,
-    /// Number of the start.
+    /// Number of the run.
     pub run: Run,
-    /// Where to go on from.
+    /// Checkpoint to resume from.
     pub checkpoint: String,
-    /// Permission, where the queue needs one.
+    /// Permission to start, if the queue requires one.
     pub ticket: String,
 }
 
-/// What a scheduler wants of a carrier.
+/// A command of a scheduler to a dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Look after a worker from now on.
+    /// Poll a worker from now on.
     #[serde(rename = "Take")]
     AddWorker {
-        /// Its number.
+        /// The worker.
         number: WorkerNumber,
-        /// How it is called.
+        /// Its incarnation and address.
         peer: Peer,
-        /// Ends up to this one may be forgotten by the worker.
+        /// The worker may forget its ends of runs up to this one.
         durable: u64,
-        /// What orders to it carry; a worker that has seen a higher one refuses them.
+        /// Fencing token of all calls to it; a worker that has seen a higher one refuses them.
         token: Token,
-        /// Its leases are extended from its first answer on, and not only once a [`Command::Grant`] has come.
+        /// Whether its lease is extended from its first answer on, rather than only after a [`Command::Grant`].
         grants: bool,
     },
-    /// Look after a worker no more.
+    /// Stop polling a worker.
     #[serde(rename = "Leave")]
     RemoveWorker {
-        /// Its number.
+        /// The worker.
         number: WorkerNumber,
     },
-    /// Ends up to this one may be forgotten by the worker.
+    /// A worker may forget its ends of runs up to this one.
     #[serde(rename = "Durable")]
     AcknowledgeEnds {
         /// The worker.
         number: WorkerNumber,
-        /// The highest end whose effect the store knows of.
+        /// Number of the last end whose effect is in the store.
         end: u64,
     },
-    /// The leases of a worker are extended from now on.
+    /// Extend the lease of a worker from now on.
     Grant {
         /// The worker.
         number: WorkerNumber,
     },
-    /// Tasks that serve stand beside tasks that take leftovers there, or no longer do.
+    /// Set how often a worker is polled.
     Watch {
         /// The worker.
         number: WorkerNumber,
-        /// Look more often.
+        /// Poll it more often: services run there next to best-effort tasks.
         closely: bool,
     },
     /// Start tasks of one job.
     Start {
-        /// The job's text.
+        /// Text of the job.
         spec: String,
-        /// The tasks.
+        /// Tasks of this job, possibly on several workers.
         starts: Vec<Start>,
     },
     /// Stop a run.
@@ -90,7 +90,7 @@
         /// Its run.
         run: Run,
     },
-    /// Let a task work at a share of its speed.
+    /// Let a task run at a fraction of its speed.
     Pace {
         /// The worker.
         number: WorkerNumber,
@@ -98,66 +98,67 @@
         task: TaskName,
         /// Its run.
         run: Run,
-        /// The share, in hundredths.
+        /// The fraction, in percent.
         percent: u32,
     },
-    /// Do nothing more.
+    /// Stop the dispatcher.
     End,
 }
 
-/// What a carrier saw.
+/// What a dispatcher observed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// A look was answered.
+    /// A poll was answered.
     #[serde(rename = "Seen")]
     Polled {
         /// The worker.
         number: WorkerNumber,
-        /// When the look was sent.
+        /// When the poll was sent.
         sent: OffsetMicros,
-        /// When the answer had come.
+        /// When the response was received.
         at: OffsetMicros,
-        /// The latest end of a lease that this carrier has asked for there.
+        /// The latest end of a lease that this dispatcher has requested there.
         lease_until: WorkerMs,
-        /// The answer; ends that were told before are left out.
+        /// The response, without the ends that were reported before.
         seen: PollResponse,
     },
-    /// A look had no answer.
+    /// A poll was not answered.
     #[serde(rename = "Missed")]
     PollFailed {
         /// The worker.
         number: WorkerNumber,
-        /// The latest end of a lease that this carrier has asked for there; it asks for no more until
-        /// the worker answers.
+        /// The latest end of a lease that this dispatcher has requested there; it requests no more until the worker
+        /// answers.
         lease_until: WorkerMs,
     },
-    /// A worker refuses this token: it has seen a higher one.
+    /// A worker refuses the fencing token: it has seen a higher one.
     Fenced {
         /// The worker.
         number: WorkerNumber,
         /// The token that is too low.
         token: Token,
     },
-    /// A worker with another id answers at the worker's address.
+    /// A worker with another id answers at the address of this one.
     OtherId {
         /// The worker.
         number: WorkerNumber,
     },
-    /// A later life of the worker answers; this one is over.
+    /// Another incarnation of the worker answers; this one has ended.
     #[serde(rename = "OtherLife")]
     OtherIncarnation {
         /// The worker.
         number: WorkerNumber,
-        /// When the later life began.
+        /// Birth time of the other incarnation.
         born: BirthMs,
     },
-    /// A start was answered by a clock that this life cannot have: it may have got a longer lease than was meant.
+    /// A start was answered with a clock that this incarnation cannot have: the worker may have got a longer lease than
+    /// intended.
     #[serde(rename = "OffClock")]
     ClockMismatch {
         /// The worker.
         number: WorkerNumber,
     },
-    /// A start was taken.
+    /// A worker accepted a start.
     Started {
         /// The worker.
         number: WorkerNumber,
@@ -168,7 +169,7 @@
         /// When that was known.
         at: OffsetMicros,
     },
-    /// A start was not taken and never will be.
+    /// A start was not accepted, and will not be later.
     NotStarted {
         /// The worker.
         number: WorkerNumber,
@@ -176,10 +177,10 @@
         task: TaskName,
         /// Its run.
         run: Run,
-        /// Why, if the worker said so.
+        /// Why, if the worker gave a reason.
         why: Option<Refusal>,
     },
-    /// A start had no answer, and a look did not show the run.
+    /// A start was not answered, and a poll did not show the run.
     #[serde(rename = "Unanswered")]
     StartUnanswered {
         /// The worker.
@@ -189,7 +190,7 @@
         /// Its run.
         run: Run,
     },
-    /// A stop was taken, or the worker will not run it in any case.
+    /// A worker accepted a stop, or will not run the task in any case.
     Stopped {
         /// The worker.
         number: WorkerNumber,
--- a/lib/src/batch/dispatch/order.rs
+++ b/lib/src/batch/dispatch/order.rs
@@ -1,4 +1,4 @@
-//! Orders to workers, and what their answers mean.
+//! Sends orders to workers, and interprets their answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,23 +21,23 @@
 use crate::batch::worker::table::WorkerNumber;
 use crate::transport::clock;
 
-/// How long a start may take in all: the longest patience with a worker, and a look.
+/// Time limit of a start: it allows for the longest answer timeout and a poll.
 const START_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long another order may take; answers come in about 2 ms.
+/// Time limit of other orders; answers come in about 2 ms.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after an order that failed.
+/// Pause after a failed order.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// A run is named by its task and its number.
+/// A task and the number of its run.
 type RunName = (TaskName, Run);
 
-/// Starts tasks of one job, each by itself.
-pub(super) fn start(carrier: &Arc<Dispatcher>, spec: String, starts: Vec<Start>) {
+/// Starts tasks of one job, each independently.
+pub(super) fn start(dispatcher: &Arc<Dispatcher>, spec: String, starts: Vec<Start>) {
     let spec: Arc<str> = spec.into();
     for start in starts {
-        let (carrier, spec) = (carrier.clone(), spec.clone());
-        let shared = carrier.clone();
-        carrier.spawn(async move {
+        let (dispatcher, spec) = (dispatcher.clone(), spec.clone());
+        let shared = dispatcher.clone();
+        dispatcher.spawn(async move {
             let event = start_one(&shared, &spec, start).await;
             if let Some(event) = event {
                 shared.emit(event);
@@ -46,67 +46,71 @@
     }
 }
 
-/// Starts a task; returns what became of that, or nothing if a look has told it.
-async fn start_one(carrier: &Dispatcher, spec: &str, start: Start) -> Option<Event> {
+/// Starts a task; returns the outcome, or `None` if a poll has reported it.
+async fn start_one(dispatcher: &Dispatcher, spec: &str, start: Start) -> Option<Event> {
     let Start { number, task, run, checkpoint, ticket } = start;
-    let refused = |why| Some(Event::NotStarted { number, task, run, why });
-    let charge = carrier.session(number);
-    let Some(charge) = charge.filter(|_| carrier.lease.is_valid()) else { return refused(None) };
-    let Some(lease_until) = charge.state().grant_lease(clock::now()) else { return refused(None) };
+    let not_started = |why| Some(Event::NotStarted { number, task, run, why });
+    let session = dispatcher.session(number);
+    let Some(session) = session.filter(|_| dispatcher.lease.is_valid()) else {
+        return not_started(None);
+    };
+    let Some(lease_until) = session.state().grant_lease(clock::now()) else {
+        return not_started(None);
+    };
     let message = worker::Start {
         task,
         run,
         spec,
         lease_until,
-        token: charge.token,
+        token: session.token,
         checkpoint: &checkpoint,
         ticket: &ticket,
     };
-    let error = match send_start(carrier, number, &charge, &message).await {
+    let error = match send_start(dispatcher, number, &session, &message).await {
         StartOutcome::Accepted(clock) => {
-            check_clock(carrier, number, &charge, clock);
-            let at = carrier.offset_micros(clock::now());
+            check_clock(dispatcher, number, &session, clock);
+            let at = dispatcher.offset_micros(clock::now());
             return Some(Event::Started { number, task, run, at });
         }
         StartOutcome::ObservedByPoll => return None,
         StartOutcome::Unanswered => {
-            log_start_rejected(&charge, (task, run), false, &"no answer");
+            log_start_rejected(&session, (task, run), false, &"no answer");
             return Some(Event::StartUnanswered { number, task, run });
         }
         StartOutcome::Failed(error) => error,
     };
     let why = Refusal::of(&error);
     if let CallError::Refused { body, .. } = &error {
-        // A lease is also taken from a start that is refused.
-        check_clock(carrier, number, &charge, worker::clock_of(body).unwrap_or(0));
+        // A worker accepts the lease also of a start that it refuses.
+        check_clock(dispatcher, number, &session, worker::clock_of(body).unwrap_or(0));
     }
-    carrier.context.counters.count(&format!("batch.start.refused.{why:?}"));
-    log_start_rejected(&charge, (task, run), error.is_certain(), &error);
+    dispatcher.context.counters.count(&format!("batch.start.refused.{why:?}"));
+    log_start_rejected(&session, (task, run), error.is_certain(), &error);
     if why == Some(Refusal::Fenced) {
-        carrier.emit(Event::Fenced { number, token: charge.token });
+        dispatcher.emit(Event::Fenced { number, token: session.token });
     }
     if error.is_certain() {
-        refused(why)
+        not_started(why)
     } else {
         Some(Event::StartUnanswered { number, task, run })
     }
 }
 
-/// Tells if a clock that an answer shows is not that of this life; 0 if it shows none.
+/// Reports a clock in an answer that cannot be that of this incarnation. `clock` is 0 if the answer has none.
 fn check_clock(
-    carrier: &Dispatcher,
+    dispatcher: &Dispatcher,
     number: WorkerNumber,
-    charge: &WorkerSession,
+    session: &WorkerSession,
     clock: WorkerMs,
 ) {
-    if clock > 0 && charge.state().is_clock_mismatch(clock, clock::now()) {
-        carrier.context.counters.count("batch.worker.off-clock");
-        carrier.emit(Event::ClockMismatch { number });
+    if clock > 0 && session.state().is_clock_mismatch(clock, clock::now()) {
+        dispatcher.context.counters.count("batch.worker.off-clock");
+        dispatcher.emit(Event::ClockMismatch { number });
     }
 }
 
 fn log_start_rejected(
-    charge: &WorkerSession,
+    session: &WorkerSession,
     (task, run): RunName,
     certain: bool,
     why: &dyn std::fmt::Display,
@@ -114,117 +118,117 @@
     log::info!(
         task = task.to_string().as_str(),
         run,
-        token = charge.token,
-        worker:% = charge.peer.incarnation,
+        token = session.token,
+        worker:% = session.peer.incarnation,
         certain;
-        "start not taken: {why}"
+        "start not accepted: {why}"
     );
 }
 
-/// What became of a start.
+/// The outcome of a start.
 enum StartOutcome {
-    /// It was taken; the worker's clock.
+    /// The worker accepted it; the clock in the answer, or 0.
     Accepted(WorkerMs),
-    /// A look has shown the run, or its end.
+    /// It was not answered, but a poll showed the run or its end.
     ObservedByPoll,
-    /// It was refused, or its connection failed.
+    /// The worker refused it, or the connection failed.
     Failed(CallError),
-    /// There is no answer, and a look did not show it.
+    /// It was not answered, and no poll showed the run.
     Unanswered,
 }
 
-/// Sends a start. If there is no answer for a while, a look tells whether the run is there.
+/// Sends a start. If it is not answered within the answer timeout, a poll checks whether the worker has the run.
 async fn send_start(
-    carrier: &Dispatcher,
+    dispatcher: &Dispatcher,
     number: WorkerNumber,
-    charge: &WorkerSession,
+    session: &WorkerSession,
     start: &worker::Start<'_>,
 ) -> StartOutcome {
-    let patience = charge.state().answer_timeout;
-    let begun = clock::now();
-    let sent = carrier.context.workers.start(&charge.peer, start, START_TIMEOUT);
+    let answer_timeout = session.state().answer_timeout;
+    let sent_at = clock::now();
+    let sent = dispatcher.context.workers.start(&session.peer, start, START_TIMEOUT);
     let mut sent = std::pin::pin!(sent);
-    if let Ok(answer) = timeout(patience, &mut sent).await {
-        charge.state().record_answer(clock::since(begun));
+    if let Ok(answer) = timeout(answer_timeout, &mut sent).await {
+        session.state().record_answer(clock::since(sent_at));
         return answer.map_or_else(StartOutcome::Failed, StartOutcome::Accepted);
     }
-    carrier.context.counters.count("batch.start.no-answer");
-    let asked = clock::now();
-    let seen = poll_now(carrier, number, charge).await;
-    // Where this node itself is late, the look was as late as the answer to the start is.
-    if let Ok(answer) = timeout(clock::since(asked), &mut sent).await {
-        charge.state().record_answer(clock::since(begun));
+    dispatcher.context.counters.count("batch.start.no-answer");
+    let polled_at = clock::now();
+    let response = poll_now(dispatcher, number, session).await;
+    // If this node itself is delayed, the answer to the start is as late as the response to the poll.
+    if let Ok(answer) = timeout(clock::since(polled_at), &mut sent).await {
+        session.state().record_answer(clock::since(sent_at));
         return answer.map_or_else(StartOutcome::Failed, StartOutcome::Accepted);
     }
-    charge.state().record_timeout();
-    match seen.is_some_and(|seen| has_run(&seen, (start.task, start.run))) {
+    session.state().record_timeout();
+    match response.is_some_and(|response| has_run(&response, (start.task, start.run))) {
         true => StartOutcome::ObservedByPoll,
         false => StartOutcome::Unanswered,
     }
 }
 
-fn has_run(seen: &PollResponse, run: RunName) -> bool {
-    seen.running.iter().any(|told| (told.task, told.run) == run)
-        || seen.ended.iter().any(|end| (end.task, end.run) == run)
+fn has_run(response: &PollResponse, run: RunName) -> bool {
+    response.running.iter().any(|running| (running.task, running.run) == run)
+        || response.ended.iter().any(|end| (end.task, end.run) == run)
 }
 
-/// Stops a run, again and again until the worker has taken it or is looked after no more.
-pub(super) fn stop(carrier: &Arc<Dispatcher>, number: WorkerNumber, run: RunName) {
-    let Some(charge) = carrier.session(number) else { return };
-    let shared = carrier.clone();
-    let over = charge.cancellation.clone();
-    carrier.spawn(async move {
-        over.run_until_cancelled(stop_one(&shared, number, &charge, run)).await;
+/// Stops a run; retries until the worker has accepted the stop or is removed from the dispatcher.
+pub(super) fn stop(dispatcher: &Arc<Dispatcher>, number: WorkerNumber, run: RunName) {
+    let Some(session) = dispatcher.session(number) else { return };
+    let shared = dispatcher.clone();
+    let cancellation = session.cancellation.clone();
+    dispatcher.spawn(async move {
+        cancellation.run_until_cancelled(stop_one(&shared, number, &session, run)).await;
     });
 }
 
 async fn stop_one(
-    carrier: &Dispatcher,
+    dispatcher: &Dispatcher,
     number: WorkerNumber,
-    charge: &WorkerSession,
+    session: &WorkerSession,
     (task, run): RunName,
 ) {
     loop {
-        let sent = carrier
+        let sent = dispatcher
             .context
             .workers
-            .stop(&charge.peer, task, run, charge.token, ORDER_TIMEOUT)
+            .stop(&session.peer, task, run, session.token, ORDER_TIMEOUT)
             .await;
-        let at = carrier.offset_micros(clock::now());
+        let at = dispatcher.offset_micros(clock::now());
         let stopped = Event::Stopped { number, task, run, at };
         match sent {
             Ok(()) => {
-                carrier.emit(stopped);
-                poll_now(carrier, number, charge).await;
+                dispatcher.emit(stopped);
+                poll_now(dispatcher, number, session).await;
                 return;
             }
             Err(error) => match Refusal::of(&error) {
                 Some(Refusal::Fenced) => {
-                    return carrier.emit(Event::Fenced { number, token: charge.token });
+                    return dispatcher.emit(Event::Fenced { number, token: session.token });
                 }
-                Some(Refusal::OtherLife) => return carrier.emit(Event::OtherId { number }),
+                Some(Refusal::OtherLife) => return dispatcher.emit(Event::OtherId { number }),
                 Some(Refusal::Unhealthy) | None => {}
-                // Refused for good: the worker knows of the run or of a later one.
-                Some(_) => return carrier.emit(stopped),
+                // Refused permanently: the worker knows the run or a later one.
+                Some(_) => return dispatcher.emit(stopped),
             },
         }
         sleep(RETRY_PAUSE).await;
     }
 }
 
-/// Lets a task work at a share of its speed.
+/// Lets a task run at a fraction of its speed.
 pub(super) fn set_pace(
-    carrier: &Arc<Dispatcher>,
+    dispatcher: &Arc<Dispatcher>,
     number: WorkerNumber,
     run: RunName,
     percent: u32,
 ) {
-    let Some(charge) = carrier.session(number) else { return };
-    let shared = carrier.clone();
-    carrier.spawn(async move {
-        let (workers, token) = (&shared.context.workers, charge.token);
-        if let Err(error) = workers.pace(&charge.peer, run, percent, token, ORDER_TIMEOUT).await {
-            log::debug!("the pace of {} was not set: {error}", run.0);
+    let Some(session) = dispatcher.session(number) else { return };
+    let shared = dispatcher.clone();
+    dispatcher.spawn(async move {
+        let (workers, token) = (&shared.context.workers, session.token);
+        if let Err(error) = workers.pace(&session.peer, run, percent, token, ORDER_TIMEOUT).await {
+            log::debug!("setting the pace of {} failed: {error}", run.0);
         }
     });
 }
--- a/lib/src/batch/dispatch/poll.rs
+++ b/lib/src/batch/dispatch/poll.rs
@@ -1,4 +1,4 @@
-//! Looks at workers: each renews a lease and hears what has ended.
+//! Polls of workers: each renews the worker lease and returns what runs and what has ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,45 +22,46 @@
 use crate::batch::worker::table::WorkerNumber;
 use crate::transport::clock;
 
-/// The same where tasks that serve stand beside tasks that take leftovers.
+/// How long a poll waits for an end on workers where services run next to best-effort tasks; on others [`POLL_WAIT`].
 const SHORT_POLL_WAIT: Duration = Duration::from_millis(600);
-/// How long a look may take beyond its wait.
+/// How long a poll may take beyond its wait.
 const POLL_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a look may take that does not wait for an end; answers come in about 2 ms.
+/// How long a poll may take that does not wait for an end; answers come in about 2 ms.
 const POLL_NOW_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest pause between looks at a worker that does not answer.
+/// Pause after a failed poll.
 const POLL_RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// How long what one look has brought waits for the store before the worker is looked at again.
+/// How long the next poll of a worker is delayed until the store has what the last one returned.
 const STORE_WAIT: Duration = Duration::from_millis(300);
-/// Time between questions whether there is a licence again.
+/// Time between checks whether the dispatch lease is valid again.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Looks at one worker again and again: renews its lease, hears what ends.
+/// Polls one worker until another incarnation or a later scheduler is found there.
 pub(super) async fn poll_worker(
-    carrier: Arc<Dispatcher>,
+    dispatcher: Arc<Dispatcher>,
     number: WorkerNumber,
-    charge: Arc<WorkerSession>,
+    session: Arc<WorkerSession>,
 ) {
     loop {
-        while !carrier.lease.is_valid() {
+        while !dispatcher.lease.is_valid() {
             sleep(LEASE_CHECK_INTERVAL).await;
         }
         let sent = clock::now();
-        let message = next_poll(&charge, sent);
-        match carrier.context.workers.poll(&charge.peer, &message, POLL_TIMEOUT).await {
-            Ok(seen) => {
-                if !report_answer(&carrier, number, &charge, sent, seen) {
+        let message = next_poll(&session, sent);
+        match dispatcher.context.workers.poll(&session.peer, &message, POLL_TIMEOUT).await {
+            Ok(response) => {
+                if !report_answer(&dispatcher, number, &session, sent, response) {
                     return;
                 }
-                // The next look extends its leases, and acknowledges the ends that it has listed.
-                await_state(&charge, &charge.extension_enabled, |state| state.extends_leases).await;
-                await_state(&charge, &charge.durable_changed, |state| {
+                // The next poll extends the lease and acknowledges the listed ends.
+                await_state(&session, &session.extension_enabled, |state| state.extends_leases)
+                    .await;
+                await_state(&session, &session.durable_changed, |state| {
                     state.reported_end <= state.durable_end
                 })
                 .await;
             }
             Err(error) => {
-                if !record_failed_poll(&carrier, number, &charge, &error) {
+                if !record_failed_poll(&dispatcher, number, &session, &error) {
                     return;
                 }
                 sleep(POLL_RETRY_PAUSE).await;
@@ -69,102 +70,110 @@
     }
 }
 
-/// Looks at a worker once, without waiting for an end, and beside the looks that do. Used to learn
-/// at once what became of an order: the next look may be 1.2 s away.
+/// Polls a worker once, without waiting for an end, concurrently with [`poll_worker`]. This shows the outcome of an
+/// order at once: the next regular poll may be 1.2 s away. `None` if the worker has never answered, if this poll is not
+/// answered, or if another incarnation answers that shows this one to have ended.
 pub(super) async fn poll_now(
-    carrier: &Dispatcher,
+    dispatcher: &Dispatcher,
     number: WorkerNumber,
-    charge: &WorkerSession,
+    session: &WorkerSession,
 ) -> Option<PollResponse> {
-    charge.state().clock?;
-    // It may go over another connection than the looks that wait, so another life may answer it: it only asks.
-    let look = Poll { token: charge.token, acknowledged_end: 0, lease_until: None, wait_ms: 0 };
+    session.state().clock?;
+    // It may use another connection than the polls that wait, so another incarnation may answer it: it extends no lease
+    // and acknowledges no end.
+    let request = Poll { token: session.token, acknowledged_end: 0, lease_until: None, wait_ms: 0 };
     let sent = clock::now();
-    match carrier.context.workers.poll(&charge.peer, &look, POLL_NOW_TIMEOUT).await {
-        Ok(seen) => report_answer(carrier, number, charge, sent, seen.clone()).then_some(seen),
-        // The looks that go on tell whether the worker is silent.
+    match dispatcher.context.workers.poll(&session.peer, &request, POLL_NOW_TIMEOUT).await {
+        Ok(response) => {
+            report_answer(dispatcher, number, session, sent, response.clone()).then_some(response)
+        }
+        // Only the regular polls decide whether the worker is unresponsive.
         Err(error) => {
-            log::debug!("worker {} does not answer at once: {error}", charge.peer.incarnation);
+            log::debug!("immediate poll of worker {} failed: {error}", session.peer.incarnation);
             None
         }
     }
 }
 
-/// Tells the scheduler of an answer; `false` if another life gave it.
+/// Reports a response to the scheduler; `false` if it shows that another incarnation runs there and this one has ended.
 fn report_answer(
-    carrier: &Dispatcher,
+    dispatcher: &Dispatcher,
     number: WorkerNumber,
-    charge: &WorkerSession,
+    session: &WorkerSession,
     sent: Instant,
-    mut seen: PollResponse,
+    mut response: PollResponse,
 ) -> bool {
     let now = clock::now();
-    // Told under the lock: of two answers the later one must be told last.
-    let mut state = charge.state();
-    if let Some(born) =
-        seen.birth_ms.filter(|_| !charge.peer.incarnation.may_have_reported(seen.birth_ms))
+    // Reported under the lock, so that two responses are reported in order.
+    let mut state = session.state();
+    if let Some(birth_ms) =
+        response.birth_ms.filter(|_| !session.peer.incarnation.may_have_reported(response.birth_ms))
     {
         if state.is_ended_by_poll(sent) {
-            carrier.context.counters.count("batch.worker.other-life");
-            log_other_incarnation(&charge.peer.incarnation, born, &state, &seen);
-            carrier.emit(Event::OtherIncarnation { number, born });
+            dispatcher.context.counters.count("batch.worker.other-life");
+            log_other_incarnation(&session.peer.incarnation, birth_ms, &state, &response);
+            dispatcher.emit(Event::OtherIncarnation { number, born: birth_ms });
             return false;
         }
-        // The next look tells.
+        // The next poll decides.
         return true;
     }
-    let (sent, at) = (carrier.offset_micros(sent), carrier.offset_micros(now));
-    if state.accept_answer(&mut seen, now) {
+    let (sent, at) = (dispatcher.offset_micros(sent), dispatcher.offset_micros(now));
+    if state.accept_answer(&mut response, now) {
         let lease_until = state.lease_until;
-        carrier.emit(Event::Polled { number, sent, at, lease_until, seen });
+        dispatcher.emit(Event::Polled { number, sent, at, lease_until, seen: response });
     }
     true
 }
 
-/// Tells that a worker has started again under its id, with what the life before had said: its clock, and the number of
-/// its last end.
-fn log_other_incarnation(life: &Incarnation, born: BirthMs, state: &State, seen: &PollResponse) {
+/// Logs that a worker has restarted under its id, with the clock and the number of the last end of both incarnations.
+fn log_other_incarnation(
+    incarnation: &Incarnation,
+    birth_ms: BirthMs,
+    state: &State,
+    response: &PollResponse,
+) {
     log::info!(
-        worker:% = life,
-        born,
-        clock = seen.clock,
+        worker:% = incarnation,
+        born = birth_ms,
+        clock = response.clock,
         clock_before = state.clock.map_or(0, |(clock, _)| clock),
-        last_end = seen.ended.iter().map(|end| end.number).max().unwrap_or(0),
+        last_end = response.ended.iter().map(|end| end.number).max().unwrap_or(0),
         last_end_before = state.reported_end;
-        "another life answers under this id"
+        "another incarnation answers under this id"
     );
 }
 
-/// Takes in that a look failed; `false` if the worker is not to be looked at again.
+/// Records a failed poll; `false` if the worker must not be polled again.
 fn record_failed_poll(
-    carrier: &Dispatcher,
+    dispatcher: &Dispatcher,
     number: WorkerNumber,
-    charge: &WorkerSession,
+    session: &WorkerSession,
     error: &CallError,
 ) -> bool {
-    carrier.context.counters.count("batch.look.failed");
+    dispatcher.context.counters.count("batch.look.failed");
     match Refusal::of(error) {
         Some(Refusal::Fenced) => {
-            carrier.emit(Event::Fenced { number, token: charge.token });
+            dispatcher.emit(Event::Fenced { number, token: session.token });
             return false;
         }
         Some(Refusal::OtherLife) => {
-            carrier.emit(Event::OtherId { number });
+            dispatcher.emit(Event::OtherId { number });
             return false;
         }
         _ => {}
     }
-    log::debug!("worker {} does not answer: {error}", charge.peer.incarnation);
-    let mut state = charge.state();
+    log::debug!("poll of worker {} failed: {error}", session.peer.incarnation);
+    let mut state = session.state();
     state.failed_polls += 1;
     let lease_until = state.lease_until;
     drop(state);
-    carrier.emit(Event::PollFailed { number, lease_until });
+    dispatcher.emit(Event::PollFailed { number, lease_until });
     true
 }
 
-fn next_poll(charge: &WorkerSession, now: Instant) -> Poll {
-    let mut state = charge.state();
+fn next_poll(session: &WorkerSession, now: Instant) -> Poll {
+    let mut state = session.state();
     let is_settled = state.extends_leases && state.reported_end == state.durable_end;
     let waits = state.clock.is_some() && state.failed_polls == 0 && is_settled;
     let wait = match (waits, state.polls_often) {
@@ -172,27 +181,28 @@
         (true, true) => SHORT_POLL_WAIT,
         (true, false) => POLL_WAIT,
     };
-    // After a look without an answer another life may be there, of whose ends nobody has heard.
-    let seen = if state.failed_polls == 0 { state.durable_end } else { 0 };
+    // After a failed poll another incarnation may answer, none of whose ends has been received.
+    let acknowledged_end = if state.failed_polls == 0 { state.durable_end } else { 0 };
     Poll {
-        token: charge.token,
-        acknowledged_end: seen,
+        token: session.token,
+        acknowledged_end,
         lease_until: state.grant_lease(now),
         wait_ms: wait.as_millis() as u64,
     }
 }
 
-/// Waits until what is known of a worker is so, for up to [`STORE_WAIT`].
-async fn await_state(charge: &WorkerSession, changed: &Notify, is_done: impl Fn(&State) -> bool) {
+/// Waits until `is_done` holds for the state of the session, for up to [`STORE_WAIT`]. `changed` is notified of
+/// changes.
+async fn await_state(session: &WorkerSession, changed: &Notify, is_done: impl Fn(&State) -> bool) {
     let done = async {
         loop {
             let change = changed.notified();
-            if is_done(&charge.state()) {
+            if is_done(&session.state()) {
                 return;
             }
             change.await;
         }
     };
-    // While the store is away, the worker is looked at all the same, to renew its lease and to hear of its ends.
+    // While the store is unavailable, the worker is polled all the same, to renew its lease and to receive its ends.
     let _ = timeout(STORE_WAIT, done).await;
 }
--- a/lib/src/batch/dispatch/remote.rs
+++ b/lib/src/batch/dispatch/remote.rs
@@ -1,5 +1,5 @@
-//! Carrying for a scheduler on another node: its commands come as requests, and what was seen goes back
-//! in reports, many events in each.
+//! Dispatches for a scheduler on another node: its commands come as requests, and events are sent back in reports,
+//! many in each.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,58 +24,58 @@
 use crate::batch::peer::Request;
 use crate::transport::clock;
 
-/// Events within this time go to the scheduler in one report. A report costs the scheduler about as
-/// much as one answer of a worker does, and tasks run for half a second and more.
+/// Events within this time are sent to the scheduler in one report. A report costs the scheduler about as much as one
+/// answer of a worker does, and tasks run for half a second and more.
 const REPORT_DELAY: Duration = Duration::from_millis(10);
-/// Longest time between two reports; each one acknowledged extends the licence.
+/// Longest time between two reports; each one that is acknowledged extends the dispatch lease.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// Most events in a report.
 const MAX_EVENTS: usize = 4_096;
 /// Pause after a report that was not acknowledged.
 const RETRY_PAUSE: Duration = Duration::from_millis(30);
-/// How long a scheduler may be out of reach before its carrier ends: well beyond the licence, so that
-/// one which comes back in time goes on with what it has.
+/// How long a scheduler may be unreachable before its dispatcher stops: well beyond the dispatch lease, so that a
+/// scheduler that is reachable again in time keeps its dispatcher.
 const SCHEDULER_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Names one share of one scheduler.
+/// Identifies the session of one scheduler with one shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Session {
-    /// The scheduler.
+    /// Fencing token of the scheduler.
     pub token: Token,
-    /// Number of the share; it rises with each one dealt out.
+    /// Number of the shard; each new shard of a scheduler gets a higher one.
     #[serde(rename = "share")]
     pub shard: u64,
 }
 
-/// What a scheduler asks of a carrier on another node.
+/// Commands of a scheduler to a dispatcher on another node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Commands {
-    /// Where the scheduler takes reports.
+    /// Where the scheduler receives reports.
     pub scheduler: SocketAddr,
-    /// The share.
+    /// Session that the message belongs to.
     pub session: Session,
     /// Number of this message, from 1.
     pub sequence: u64,
-    /// What is to be done, in this order.
+    /// The commands, to be executed in this order.
     pub commands: Vec<Command>,
 }
 
-/// What a carrier tells a scheduler on another node.
+/// Report of a dispatcher to a scheduler on another node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The share.
+    /// Session that the message belongs to.
     pub session: Session,
     /// Number of this message, from 1.
     pub sequence: u64,
     /// When it was made.
     pub made_at: OffsetMicros,
-    /// How late the carrier's own timers are, in milliseconds.
+    /// How late the timers of the dispatcher are, in milliseconds.
     pub late_ms: u64,
-    /// What was seen, in this order.
+    /// What was observed, in this order.
     pub events: Vec<Event>,
 }
 
-/// The share that a node carries for another one. There is at most one: that of the latest scheduler.
+/// The dispatcher of a node for a scheduler on another node. There is at most one: that of the latest scheduler.
 #[derive(Default)]
 pub struct RemoteDispatch {
     current: Mutex<Option<Current>>,
@@ -83,117 +83,126 @@
 
 struct Current {
     session: Session,
-    /// Number of the last message that was taken.
+    /// Number of the last message that was accepted.
     sequence: u64,
     dispatcher: Arc<Dispatcher>,
 }
 
 impl RemoteDispatch {
-    /// Takes a scheduler's message; `false` if the share is not carried here, or no longer.
+    /// Executes the commands of a scheduler's message; `false` if its shard is not, or no longer, dispatched here.
     ///
-    /// A message that comes twice is taken once. One that comes too early is refused, since what came
-    /// before it is lost; so is one of a share that has ended.
-    pub fn take_commands(&self, tools: &Context, peers: &Peers, errand: Commands) -> bool {
-        let mut current = self.current.lock().expect("no holder of the share panics");
-        if errand.sequence == 1 && current.as_ref().is_none_or(|old| old.session < errand.session) {
+    /// A duplicate message is executed once. A message is refused if one before it is missing, or if its shard has
+    /// ended.
+    pub fn take_commands(&self, context: &Context, peers: &Peers, commands: Commands) -> bool {
+        let mut current =
+            self.current.lock().expect("no thread panics while it holds the shard lock");
+        if commands.sequence == 1
+            && current.as_ref().is_none_or(|old| old.session < commands.session)
+        {
             if let Some(old) = current.take() {
                 old.dispatcher.stop();
             }
-            let carrier = start_dispatcher(tools, peers, errand.scheduler, errand.session);
-            *current = Some(Current { session: errand.session, sequence: 0, dispatcher: carrier });
+            let dispatcher = start_dispatcher(context, peers, commands.scheduler, commands.session);
+            *current = Some(Current { session: commands.session, sequence: 0, dispatcher });
         }
-        let Some(current) = current.as_mut().filter(|known| known.session == errand.session) else {
+        let Some(current) = current.as_mut().filter(|known| known.session == commands.session)
+        else {
             return false;
         };
-        if errand.sequence <= current.sequence {
+        if commands.sequence <= current.sequence {
             return true;
         }
-        if errand.sequence != current.sequence + 1 || current.dispatcher.is_stopped() {
-            // Whoever is refused gives the share to another node, so nothing more may be done here.
+        if commands.sequence != current.sequence + 1 || current.dispatcher.is_stopped() {
+            // A scheduler that is refused reassigns the shard, so this node must not act for it any more.
             current.dispatcher.stop();
             return false;
         }
-        current.sequence = errand.sequence;
-        for command in errand.commands {
+        current.sequence = commands.sequence;
+        for command in commands.commands {
             current.dispatcher.execute(command);
         }
         true
     }
 
-    /// Ends what is carried, as the node stops.
+    /// Stops the dispatcher when the node stops.
     pub fn stop(&self) {
-        if let Some(current) = &*self.current.lock().expect("no holder of the share panics") {
+        if let Some(current) =
+            &*self.current.lock().expect("no thread panics while it holds the shard lock")
+        {
             current.dispatcher.stop();
         }
     }
 }
 
 fn start_dispatcher(
-    tools: &Context,
+    context: &Context,
     peers: &Peers,
     scheduler: SocketAddr,
     session: Session,
 ) -> Arc<Dispatcher> {
-    let (carrier, events) = Dispatcher::start(tools.clone(), Lease::bounded());
+    let (dispatcher, events) = Dispatcher::start(context.clone(), Lease::bounded());
     let addr = scheduler.to_string();
-    log::info!(scheduler = addr.as_str(), token = session.token, share = session.shard; "carries a share");
-    tools.counters.count("batch.carry.begun");
-    let line = Uplink { peers: peers.clone(), scheduler, session };
-    tokio::spawn(send_reports(line, carrier.clone(), events));
-    carrier
+    log::info!(scheduler = addr.as_str(), token = session.token, share = session.shard; "dispatcher started");
+    context.counters.count("batch.carry.begun");
+    let uplink = Uplink { peers: peers.clone(), scheduler, session };
+    tokio::spawn(send_reports(uplink, dispatcher.clone(), events));
+    dispatcher
 }
 
-/// The way to the scheduler.
+/// The connection of a dispatcher to its scheduler.
 struct Uplink {
     peers: Peers,
     scheduler: SocketAddr,
     session: Session,
 }
 
-/// Tells the scheduler what was seen until it wants no more, or is out of reach for too long.
+/// Sends reports to the scheduler until it refuses one, or is unreachable for [`SCHEDULER_TIMEOUT`].
 async fn send_reports(
-    line: Uplink,
-    carrier: Arc<Dispatcher>,
+    uplink: Uplink,
+    dispatcher: Arc<Dispatcher>,
     mut events: mpsc::UnboundedReceiver<Event>,
 ) {
     let mut sequence = 0;
-    let mut late = Duration::ZERO;
-    while !carrier.is_stopped() {
-        // The first one says at once that the share is carried, and asks for the licence.
+    let mut timer_delay = Duration::ZERO;
+    while !dispatcher.is_stopped() {
+        // The first report is sent at once: it shows that the dispatcher is ready, and its acknowledgement extends
+        // the lease.
         let gathered = match sequence {
             0 => Vec::new(),
-            _ => gather_events(&mut events, &mut late).await,
+            _ => gather_events(&mut events, &mut timer_delay).await,
         };
         sequence += 1;
         let report = Report {
-            session: line.session,
+            session: uplink.session,
             sequence,
-            made_at: carrier.offset_micros(clock::now()),
-            late_ms: late.as_millis() as u64,
+            made_at: dispatcher.offset_micros(clock::now()),
+            late_ms: timer_delay.as_millis() as u64,
             events: gathered,
         };
-        if !deliver_report(&line, &carrier, report).await {
+        if !deliver_report(&uplink, &dispatcher, report).await {
             break;
         }
     }
-    carrier.stop();
-    log::info!(token = line.session.token, share = line.session.shard; "carries the share no more");
+    dispatcher.stop();
+    log::info!(token = uplink.session.token, share = uplink.session.shard; "dispatcher stopped");
 }
 
-/// Waits for events, for a moment more of them, or for the next heartbeat.
+/// Waits for events and then gathers more of them for [`REPORT_DELAY`]; returns none if there are none until the next
+/// heartbeat.
 async fn gather_events(
     events: &mut mpsc::UnboundedReceiver<Event>,
-    late: &mut Duration,
+    timer_delay: &mut Duration,
 ) -> Vec<Event> {
     let mut gathered = Vec::new();
-    // A heartbeat without events is a report as well.
+    // A heartbeat is a report without events.
     let _ = timeout(HEARTBEAT_INTERVAL, events.recv_many(&mut gathered, MAX_EVENTS)).await;
     if gathered.is_empty() {
         return gathered;
     }
-    let begun = clock::now();
+    let started_at = clock::now();
     sleep(REPORT_DELAY).await;
-    *late = (*late - *late / 4).max(clock::since(begun).saturating_sub(REPORT_DELAY));
+    *timer_delay = (*timer_delay - *timer_delay / 4)
+        .max(clock::since(started_at).saturating_sub(REPORT_DELAY));
     while gathered.len() < MAX_EVENTS
         && let Ok(event) = events.try_recv()
     {
@@ -202,21 +211,22 @@
     gathered
 }
 
-/// Sends a report until it is acknowledged; `false` if the share is over.
-async fn deliver_report(line: &Uplink, carrier: &Dispatcher, report: Report) -> bool {
-    let begun = clock::now();
-    while !carrier.is_stopped() && clock::since(begun) < SCHEDULER_TIMEOUT {
+/// Sends a report until it is acknowledged; `false` if the shard has ended or the scheduler is unreachable for too
+/// long.
+async fn deliver_report(uplink: &Uplink, dispatcher: &Dispatcher, report: Report) -> bool {
+    let started_at = clock::now();
+    while !dispatcher.is_stopped() && clock::since(started_at) < SCHEDULER_TIMEOUT {
         let sent = clock::now();
         let request = Request::Report(Box::new(report.clone()));
-        match line.peers.ask_once(line.scheduler, request).await {
+        match uplink.peers.ask_once(uplink.scheduler, request).await {
             Ok(Reply::Done) => {
-                carrier.lease.extend(sent);
+                dispatcher.lease.extend(sent);
                 return true;
             }
             Ok(_) => return false,
             Err(error) => {
-                carrier.context.counters.count("batch.carry.report-unanswered");
-                log::debug!("the scheduler does not take a report: {error}");
+                dispatcher.context.counters.count("batch.carry.report-unanswered");
+                log::debug!("sending a report to the scheduler failed: {error}");
                 sleep(RETRY_PAUSE).await;
             }
         }
--- a/lib/src/batch/dispatch/session.rs
+++ b/lib/src/batch/dispatch/session.rs
@@ -1,4 +1,4 @@
-//! A worker as its carrier knows it.
+//! The session of a dispatcher with one worker.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -15,74 +15,72 @@
 use crate::batch::worker::WORKER_LEASE;
 use crate::batch::worker::is_clock_discontinuous;
 
-/// Least and longest time for which a start may go without an answer before a look asks for the run.
-/// Answers come in about 2 ms; those of a node that is short of processor in up to 0.5 s.
+/// Shortest and longest time to wait for the answer to a start before a poll checks for the run. Answers come in
+/// about 2 ms; those of a node that is short of CPU in up to 0.5 s.
 const ANSWER_TIMEOUT_RANGE: (Duration, Duration) =
     (Duration::from_millis(300), Duration::from_millis(500));
-/// How many times as long as the last answer took the next one may take.
+/// Ratio of the next answer timeout to the time that the last answer took.
 const ANSWER_TIMEOUT_FACTOR: u32 = 4;
 
-/// A worker that is looked after.
+/// A worker that a dispatcher polls.
 pub(super) struct WorkerSession {
-    /// How it is called.
+    /// Incarnation and address of the worker.
     pub peer: Peer,
-    /// What orders to it carry.
+    /// Fencing token of all calls to it.
     pub token: Token,
     state: Mutex<State>,
-    /// The store knows of more of its ends.
+    /// Notified when [`State::durable_end`] changes.
     pub durable_changed: Notify,
-    /// Its leases are extended from now on.
+    /// Notified when [`State::extends_leases`] is set.
     pub extension_enabled: Notify,
-    /// It is looked after no more.
+    /// Cancelled when the worker is removed from the dispatcher.
     pub cancellation: CancellationToken,
 }
 
-/// What is known of it.
+/// What is known of the worker.
 pub(super) struct State {
-    /// Its clock, and when it was told.
+    /// The last clock that it reported, and when that was received; `None` before its first answer.
     pub clock: Option<(WorkerMs, Instant)>,
-    /// The latest end of a lease that was asked for.
+    /// The latest end of a lease that was requested, by the clock of the worker.
     pub lease_until: WorkerMs,
-    /// The highest end that was told to the scheduler.
+    /// Number of the last end of a run that was reported to the scheduler.
     pub reported_end: u64,
-    /// The highest end whose effect the store knows of.
+    /// Number of the last end whose effect is in the store.
     pub durable_end: u64,
-    /// Looks in a row without an answer.
+    /// Consecutive polls without an answer.
     pub failed_polls: u32,
-    /// Its leases are extended.
+    /// Whether polls and starts may extend its lease.
     pub extends_leases: bool,
-    /// It is to be looked at more often.
+    /// Whether it is polled more often.
     pub polls_often: bool,
-    /// How long a start may go without an answer before a look asks for the run.
+    /// How long to wait for the answer to a start before a poll checks for the run.
     pub answer_timeout: Duration,
 }
 
 impl WorkerSession {
-    pub(super) fn new(peer: Peer, durable: u64, token: Token, grants: bool) -> WorkerSession {
+    pub(super) fn new(
+        peer: Peer,
+        durable_end: u64,
+        token: Token,
+        extends_leases: bool,
+    ) -> WorkerSession {
         let state = State {
             clock: None,
             lease_until: 0,
-            reported_end: durable,
-            durable_end: durable,
+            reported_end: durable_end,
+            durable_end,
             failed_polls: 0,
-            extends_leases: grants,
+            extends_leases,
             polls_often: false,
             answer_timeout: ANSWER_TIMEOUT_RANGE.0,
         };
-        let (state, over) = (Mutex::new(state), CancellationToken::new());
-        let (durable, granting) = (Notify::new(), Notify::new());
-        WorkerSession {
-            peer,
-            token,
-            state,
-            durable_changed: durable,
-            extension_enabled: granting,
-            cancellation: over,
-        }
+        let (state, cancellation) = (Mutex::new(state), CancellationToken::new());
+        let (durable_changed, extension_enabled) = (Notify::new(), Notify::new());
+        WorkerSession { peer, token, state, durable_changed, extension_enabled, cancellation }
     }
 
     pub(super) fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder of the state panics")
+        self.state.lock().expect("no thread panics while it holds the session lock")
     }
 
     pub(super) fn set_durable_end(&self, end: u64) {
@@ -99,51 +97,55 @@
 }
 
 impl State {
-    /// End of a lease granted now; none before its leases may be extended, none until the worker has told its clock, and
-    /// none while it is silent: what it does not answer may still be carried out, and its lease would never be known to
-    /// have run out.
+    /// Grants a lease; returns its end by the clock of the worker. `None` before its lease may be extended, until it
+    /// has reported its clock, and while it is unresponsive: it may still carry out a call that it does not answer,
+    /// and the lease would then never be known to have expired.
     pub(super) fn grant_lease(&mut self, now: Instant) -> Option<WorkerMs> {
-        let (clock, told) = self.clock.filter(|_| self.extends_leases && self.failed_polls == 0)?;
-        let age = now.saturating_duration_since(told).as_millis() as WorkerMs;
+        let (clock, received_at) =
+            self.clock.filter(|_| self.extends_leases && self.failed_polls == 0)?;
+        let age = now.saturating_duration_since(received_at).as_millis() as WorkerMs;
         let until = clock + age + WORKER_LEASE.as_millis() as WorkerMs;
         self.lease_until = self.lease_until.max(until);
         Some(until)
     }
 
-    /// Takes in an answer to a look: leaves what the scheduler has not been told. `false` if it is no
-    /// newer than the last one by the worker's clock: answers on different connections overtake each
-    /// other, and the scheduler must not be told of an older state. Its ends are listed again.
-    pub(super) fn accept_answer(&mut self, seen: &mut PollResponse, now: Instant) -> bool {
+    /// Applies the response to a poll, and removes from it the ends that were reported to the scheduler before. `false`
+    /// if it is no newer than the last one by the worker's clock: responses on different connections overtake each
+    /// other, and the scheduler must not get an older state. The ends in such a response are listed again in the next
+    /// one.
+    pub(super) fn accept_answer(&mut self, response: &mut PollResponse, now: Instant) -> bool {
         self.failed_polls = 0;
-        if self.clock.is_some_and(|(last, _)| seen.clock <= last) {
+        if self.clock.is_some_and(|(last, _)| response.clock <= last) {
             return false;
         }
-        self.clock = Some((seen.clock, now));
-        seen.ended.retain(|end| end.number > self.reported_end);
-        let last = seen.ended.iter().map(|end| end.number).max();
+        self.clock = Some((response.clock, now));
+        response.ended.retain(|end| end.number > self.reported_end);
+        let last = response.ended.iter().map(|end| end.number).max();
         self.reported_end = self.reported_end.max(last.unwrap_or(0));
         true
     }
 
-    /// Whether a look that was sent at `sent` and answered by another life shows that this one is over. One that was sent
-    /// before this life last answered may have been answered by the life before.
+    /// Whether a poll that was sent at `sent` and answered by another incarnation shows that this one has ended. A poll
+    /// that was sent before the last answer of this incarnation may have been answered by an earlier one.
     pub(super) fn is_ended_by_poll(&self, sent: Instant) -> bool {
-        self.clock.is_none_or(|(_, told)| told <= sent)
+        self.clock.is_none_or(|(_, received_at)| received_at <= sent)
     }
 
-    /// Whether a clock that an answer showed is not that of this life. A steady clock never runs ahead of ours, and may
-    /// run a little slow.
+    /// Whether a clock in an answer cannot be that of this incarnation. A steady clock never runs ahead of the local
+    /// one, and may run a little slow.
     pub(super) fn is_clock_mismatch(&self, clock: WorkerMs, now: Instant) -> bool {
-        self.clock.is_some_and(|(last, told)| is_clock_discontinuous(last, clock, now - told))
+        self.clock.is_some_and(|(last, received_at)| {
+            is_clock_discontinuous(last, clock, now - received_at)
+        })
     }
 
-    /// A start was answered, after `took`. A worker that is slow to answer is given more time.
+    /// Records that a start was answered after `took`. A worker that is slow to answer gets more time.
     pub(super) fn record_answer(&mut self, took: Duration) {
-        let patience = (self.answer_timeout / 2).max(took * ANSWER_TIMEOUT_FACTOR);
-        self.answer_timeout = patience.clamp(ANSWER_TIMEOUT_RANGE.0, ANSWER_TIMEOUT_RANGE.1);
+        let answer_timeout = (self.answer_timeout / 2).max(took * ANSWER_TIMEOUT_FACTOR);
+        self.answer_timeout = answer_timeout.clamp(ANSWER_TIMEOUT_RANGE.0, ANSWER_TIMEOUT_RANGE.1);
     }
 
-    /// A start had no answer in time: it was lost, or the time was too short.
+    /// Records that a start was not answered in time: it was lost, or the timeout was too short.
     pub(super) fn record_timeout(&mut self) {
         self.answer_timeout = (self.answer_timeout * 2).min(ANSWER_TIMEOUT_RANGE.1);
     }
