--- a/lib/tests/test_suspended.rs
+++ b/lib/tests/test_suspended.rs
@@ -1,5 +1,6 @@
-//! A box that was suspended for some seconds: the steady clock stood still meanwhile, so by that clock its lead was
-//! renewed a moment ago. Each test lets the process believe that it was suspended, which moves only this clock on.
+//! A node that was suspended for some seconds. The monotonic clock of the system stands still meanwhile, so by that
+//! clock the leader lease still looks freshly renewed. Each test simulates a suspension, which advances only the
+//! clock of this process.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -17,9 +18,9 @@
 use spokelift_testutils::batch::addr;
 use spokelift_testutils::batch::entry;
 
-const AWAY: Duration = Duration::from_secs(6);
+const SUSPENDED_TIME: Duration = Duration::from_secs(6);
 
-/// The clock is that of the whole process, so one test moves it at a time.
+/// All tests share the clock of the process, so only one at a time may advance it.
 static CLOCK: Mutex<()> = Mutex::new(());
 
 fn lock() -> MutexGuard<'static, ()> {
@@ -27,62 +28,62 @@
 }
 
 #[test]
-fn the_time_away_counts() {
+fn the_suspended_time_counts() {
     let _clock = lock();
     let before = clock::now();
-    clock::pretend_suspended(AWAY);
-    assert!(clock::since(before) >= AWAY);
-    assert!(clock::now() - before < AWAY * 10, "once");
+    clock::pretend_suspended(SUSPENDED_TIME);
+    assert!(clock::since(before) >= SUSPENDED_TIME);
+    assert!(clock::now() - before < SUSPENDED_TIME * 10, "it counts once");
 }
 
 #[test]
-fn a_timer_is_set_for_what_is_left() {
+fn a_timer_is_set_for_the_remaining_time() {
     let _clock = lock();
-    let due = clock::now() + AWAY / 2;
-    clock::pretend_suspended(AWAY);
-    assert!(clock::timer(due) <= tokio::time::Instant::now(), "it is due on waking");
+    let due = clock::now() + SUSPENDED_TIME / 2;
+    clock::pretend_suspended(SUSPENDED_TIME);
+    assert!(clock::timer(due) <= tokio::time::Instant::now(), "it is due when the node wakes up");
 }
 
 #[test]
-fn a_scheduler_that_wakes_is_not_sure_of_its_lead() {
+fn a_scheduler_that_wakes_up_is_not_certain_to_be_the_leader() {
     let _clock = lock();
     let renewed_at = clock::now();
     assert!(is_sole_leader(Some(renewed_at), clock::now()));
-    clock::pretend_suspended(AWAY);
+    clock::pretend_suspended(SUSPENDED_TIME);
     assert!(!is_sole_leader(Some(renewed_at), clock::now()));
 }
 
 #[test]
-fn a_carrier_that_wakes_has_no_license() {
+fn a_dispatcher_that_wakes_up_has_no_valid_lease() {
     let _clock = lock();
-    let license = Lease::bounded();
-    license.extend(clock::now());
-    clock::pretend_suspended(AWAY);
-    assert!(!license.is_valid());
+    let lease = Lease::bounded();
+    lease.extend(clock::now());
+    clock::pretend_suspended(SUSPENDED_TIME);
+    assert!(!lease.is_valid());
 }
 
-/// A later scheduler has asked every worker that it read of, but not this one, which would take a start of the
-/// earlier one while the same task runs elsewhere.
+/// A later scheduler may have polled every worker that it knows, but not this one. This one would accept a start of the
+/// earlier scheduler while the same task runs elsewhere.
 #[test]
-fn a_scheduler_that_wakes_starts_nothing_on_a_worker_that_it_meets_then() {
+fn a_scheduler_that_wakes_up_starts_nothing_on_a_newly_discovered_worker() {
     let _clock = lock();
     let mut cell = Cell::new(10);
     cell.renewed_at = Some(clock::now());
-    clock::pretend_suspended(AWAY);
+    clock::pretend_suspended(SUSPENDED_TIME);
     cell.discover(
         Peer { incarnation: "w0".into(), addr: addr() },
         entry("m0", 4_000),
         clock::now(),
     );
-    let seen =
+    let response =
         PollResponse { clock: 1_000, running: Vec::new(), ended: Vec::new(), birth_ms: None };
-    cell.on_poll(&"w0".into(), clock::now(), clock::now(), seen);
+    cell.on_poll(&"w0".into(), clock::now(), clock::now(), response);
     let step = Step { count: 1, cpu: 1_000, ..Step::default() };
     cell.admit(1, accepted(vec![step]), None);
     cell.place_ready(clock::now(), Duration::from_secs(1));
     let started = cell.outbox.iter().filter(|order| matches!(order, Order::Start { .. })).count();
     assert_eq!(started, 0);
-    // Once the lead is renewed it is certain that there is no later one.
+    // Once the leader lease is renewed there is certainly no later scheduler.
     cell.renewed_at = Some(clock::now());
     cell.place_ready(clock::now(), Duration::from_secs(1));
     let started = cell.outbox.iter().filter(|order| matches!(order, Order::Start { .. })).count();
--- a/lib/tests/test_takeover.rs
+++ b/lib/tests/test_takeover.rs
@@ -1,9 +1,9 @@
-//! A model check of the rule for leases and takeovers: every interleaving of two drivers, one of
-//! them paused anywhere, against a box that compares fences.
+//! A model check of leases and takeovers: every interleaving of two drivers, either of which may pause anywhere,
+//! against a box that compares fencing tokens.
 //!
-//! Each driver does for one step: drive, permit, command drain, command reboot, finish. A paused
-//! driver is one whose next action comes arbitrarily late, so enumerating all interleavings covers
-//! every pause. The box reboots at most once for the step, and never once it serves again.
+//! For one step each driver does: drive, permit, command drain, command reboot, command resume, finish. The next action
+//! of a paused driver comes arbitrarily late, so all interleavings cover every pause. The box must reboot at most once
+//! for the step, and never while it serves.
 
 use std::collections::HashSet;
 
@@ -24,7 +24,7 @@
 
 const PLAN: u64 = 7;
 
-/// The box: what the workers' protocol says it remembers.
+/// The state that a box keeps by the worker protocol.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Worker {
     fence: Offset,
@@ -34,8 +34,8 @@
 }
 
 impl Worker {
-    /// Whether the command was taken; `compare` is off in the broken model.
-    fn takes(&mut self, fence: Offset, compare: bool) -> bool {
+    /// Whether the box accepts a command; `compare` is `false` in the broken model, which ignores fencing tokens.
+    fn accepts(&mut self, fence: Offset, compare: bool) -> bool {
         if compare && fence < self.fence {
             return false;
         }
@@ -44,23 +44,23 @@
     }
 }
 
-/// Where a driver is; each holds what it has seen, which may be out of date by the time it acts.
+/// The state of a driver, with what it has read, which may be outdated by the time it acts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum At {
+enum DriverState {
     Start,
     Driving { epoch: u32 },
     Permitted { epoch: u32, permit: Offset, fence: Offset },
     Drained { epoch: u32, permit: Offset, fence: Offset },
     Rebooted { epoch: u32, fence: Offset },
     Resumed { epoch: u32 },
-    Over,
+    Stopped,
 }
 
 #[derive(Clone)]
 struct World {
     fleet: Fleet,
     worker: Worker,
-    drivers: [At; 2],
+    drivers: [DriverState; 2],
     sequences: [u64; 2],
 }
 
@@ -93,15 +93,15 @@
     put(Body::Propose(plan));
     let fleet = put(Body::Confirm(PLAN));
     let worker = Worker::default();
-    World { fleet, worker, drivers: [At::Start; 2], sequences: [0; 2] }
+    World { fleet, worker, drivers: [DriverState::Start; 2], sequences: [0; 2] }
 }
 
 impl World {
-    fn append(&mut self, who: usize, body: Body) -> Option<Offset> {
-        self.sequences[who] += 1;
-        let sequence = self.sequences[who];
-        let records = vec![Record { id: u128::from(sequence) + 1000 * (who as u128 + 1), body }];
-        let batch = Batch { writer: who as u16, incarnation: 1, sequence, records };
+    fn append(&mut self, driver: usize, body: Body) -> Option<Offset> {
+        self.sequences[driver] += 1;
+        let sequence = self.sequences[driver];
+        let records = vec![Record { id: u128::from(sequence) + 1000 * (driver as u128 + 1), body }];
+        let batch = Batch { writer: driver as u16, incarnation: 1, sequence, records };
         let verdict = self.fleet.apply(self.fleet.next, &batch).remove(0).1;
         verdict.ok()
     }
@@ -110,92 +110,95 @@
         &self.fleet.plans[&PLAN].steps[0].target
     }
 
-    /// The product's fence: above every earlier epoch and change that the driver has seen.
+    /// The fencing token as the product computes it: above every earlier epoch and change that the driver has read.
     fn fence(&self) -> Offset {
         let version = self.fleet.boxes[self.target()].version;
         version.max(self.fleet.plans[&PLAN].driver.fence)
     }
 
-    /// One action of one driver. A driver that is refused stops, as the product's does.
-    fn act(&mut self, who: usize, compare: bool) {
+    /// Performs the next action of a driver. A driver that is refused stops, as in the product.
+    fn act(&mut self, driver: usize, compare: bool) {
         let claim = |epoch| Claim { plan: PLAN, epoch, step: 0 };
-        self.drivers[who] = match self.drivers[who] {
-            At::Start => {
+        self.drivers[driver] = match self.drivers[driver] {
+            DriverState::Start => {
                 let epoch = self.fleet.plans[&PLAN].driver.epoch + 1;
-                let drive = Body::Drive { plan: PLAN, holder: who as u16, epoch };
-                match self.append(who, drive) {
-                    Some(_) => At::Driving { epoch },
-                    None => At::Over,
+                let drive = Body::Drive { plan: PLAN, holder: driver as u16, epoch };
+                match self.append(driver, drive) {
+                    Some(_) => DriverState::Driving { epoch },
+                    None => DriverState::Stopped,
                 }
             }
-            At::Driving { epoch } => {
-                let begun = self.fleet.plans[&PLAN].steps[0].progress.permit();
-                let permit = begun.or_else(|| self.append(who, Body::Permit(claim(epoch))));
+            DriverState::Driving { epoch } => {
+                let earlier_permit = self.fleet.plans[&PLAN].steps[0].progress.permit();
+                let permit =
+                    earlier_permit.or_else(|| self.append(driver, Body::Permit(claim(epoch))));
                 let current = self.fleet.plans[&PLAN].driver.epoch == epoch;
                 match permit {
-                    Some(permit) if current => At::Permitted { epoch, permit, fence: self.fence() },
-                    _ => At::Over,
+                    Some(permit) if current => {
+                        DriverState::Permitted { epoch, permit, fence: self.fence() }
+                    }
+                    _ => DriverState::Stopped,
                 }
             }
-            At::Permitted { epoch, permit, fence } => {
-                if self.worker.takes(fence, compare) {
+            DriverState::Permitted { epoch, permit, fence } => {
+                if self.worker.accepts(fence, compare) {
                     self.worker.draining = true;
-                    At::Drained { epoch, permit, fence }
+                    DriverState::Drained { epoch, permit, fence }
                 } else {
-                    At::Over
+                    DriverState::Stopped
                 }
             }
-            At::Drained { epoch, permit, fence } => {
-                if self.worker.takes(fence, compare) {
+            DriverState::Drained { epoch, permit, fence } => {
+                if self.worker.accepts(fence, compare) {
                     if self.worker.rebooted_for != Some(permit) || !compare {
                         assert!(self.worker.draining, "a box that serves was rebooted");
                         self.worker.rebooted_for = Some(permit);
                         self.worker.reboots += 1;
                     }
-                    At::Rebooted { epoch, fence }
+                    DriverState::Rebooted { epoch, fence }
                 } else {
-                    At::Over
+                    DriverState::Stopped
                 }
             }
-            At::Rebooted { epoch, fence } => {
-                if self.worker.takes(fence, compare) {
+            DriverState::Rebooted { epoch, fence } => {
+                if self.worker.accepts(fence, compare) {
                     self.worker.draining = false;
-                    At::Resumed { epoch }
+                    DriverState::Resumed { epoch }
                 } else {
-                    At::Over
+                    DriverState::Stopped
                 }
             }
-            At::Resumed { epoch } => {
-                self.append(who, Body::Finish(claim(epoch), Outcome::Done));
-                At::Over
+            DriverState::Resumed { epoch } => {
+                self.append(driver, Body::Finish(claim(epoch), Outcome::Done));
+                DriverState::Stopped
             }
-            At::Over => At::Over,
+            DriverState::Stopped => DriverState::Stopped,
         };
         assert!(self.worker.reboots <= 1, "the box was rebooted twice for one step");
     }
 
-    fn key(&self) -> (Vec<u8>, Worker, [At; 2]) {
+    fn key(&self) -> (Vec<u8>, Worker, [DriverState; 2]) {
         (snapshot::encode(&self.fleet), self.worker.clone(), self.drivers)
     }
 }
 
-/// Visits every interleaving; returns how many distinct states there are.
+/// Visits every interleaving; returns the number of distinct states.
 fn explore(compare: bool) -> usize {
-    let mut seen = HashSet::new();
+    let mut visited = HashSet::new();
     let mut stack = vec![start()];
     while let Some(world) = stack.pop() {
-        if !seen.insert(world.key()) {
+        if !visited.insert(world.key()) {
             continue;
         }
-        for who in [0, 1] {
-            if world.drivers[who] != At::Over {
+        for driver in [0, 1] {
+            if world.drivers[driver] != DriverState::Stopped {
                 let mut next = world.clone();
-                next.act(who, compare);
+                next.act(driver, compare);
                 stack.push(next);
             }
         }
     }
-    seen.len()
+    visited.len()
 }
 
 #[test]
@@ -205,7 +208,7 @@
 }
 
 #[test]
-fn the_check_finds_the_fault_when_fences_are_not_compared() {
+fn the_check_fails_if_fencing_tokens_are_not_compared() {
     let found = std::panic::catch_unwind(|| explore(false));
-    assert!(found.is_err(), "a model without fences must fail");
+    assert!(found.is_err(), "a model that ignores fencing tokens must fail");
 }
--- a/testutils/tests/test_budget.rs
+++ b/testutils/tests/test_budget.rs
@@ -1,11 +1,8 @@
-//! How the ledger judges a pool's budget while a box moves in.
+//! How the ledger counts the budget of a pool while a box moves in.
 //!
-//! What happened: the trial counted one budget breach in about 125 runs. Pool `outreach` may have two boxes out; two of its
-//! own were told to drain, and a third was on its way in from another pool: it had been told to drain there, had its new
-//! jobs, and had not been told to serve yet. Nothing of `outreach` was out beyond the two: a box that has never served
-//! there cannot be missed.
-//! Shown by the trial's line `budget breach at 4636 ms: box-025 is told to drain, outreach may have 2 out: box-001 told
-//! Some(208) ms ago ..., box-025 ..., box-029 ...`, where box-001 is one of the two that the plan moved to `outreach`.
+//! Guards against a false budget breach: a pool may have two boxes out, two of its own are draining, and a third one is
+//! moving in from another pool. It was drained there and has its new jobs, but has not been told to serve yet. A box
+//! that has never served in the pool is not out of it.
 
 use spokelift_lib::state::id::BoxId;
 use spokelift_lib::state::id::ServiceKey;
@@ -31,7 +28,7 @@
 }
 
 #[test]
-fn a_box_that_moves_in_is_not_missed_before_it_serves() {
+fn a_box_that_moves_in_does_not_count_as_out_before_it_serves() {
     let (ledger, [one, _, moving]) = ledger();
     ledger.draining(&moving);
     ledger.jobs(&moving, &[]);
@@ -41,7 +38,7 @@
 }
 
 #[test]
-fn a_box_that_has_moved_in_is_missed_once_it_served() {
+fn a_box_that_has_moved_in_counts_as_out_once_it_has_served() {
     let (ledger, [one, _, moving]) = ledger();
     ledger.draining(&moving);
     ledger.jobs(&moving, &[]);
@@ -53,7 +50,7 @@
 }
 
 #[test]
-fn a_box_that_gets_its_first_jobs_counts_at_once() {
+fn a_box_with_its_first_jobs_counts_at_once() {
     let (ledger, [one, _, moving]) = ledger();
     ledger.jobs(&moving, &[]);
     ledger.jobs(&moving, &[job("second")]);
--- a/testutils/tests/test_dispatch.rs
+++ b/testutils/tests/test_dispatch.rs
@@ -1,5 +1,4 @@
-//! Carrying out what a scheduler decides: what carriers tell, what they may do, and what becomes of the
-//! workers of one that is lost.
+//! Dispatchers: what they report, when they may act, and how the workers of a lost one are reassigned.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -45,71 +44,86 @@
     "127.0.0.1:1".parse().unwrap()
 }
 
-fn tools() -> Context {
+fn context() -> Context {
     let workers = Caller::new(Dialer::new(Duration::from_secs(1)));
     Context { workers, counters: Counters::new(None).unwrap() }
 }
 
-/// A worker that gives these answers to looks, one after another, and none after the last.
+/// Starts a worker that gives these answers to polls, one after another, and none after the last. Returns also the
+/// paths of all requests to it.
 async fn worker(answers: &[String]) -> (Peer, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let peer = Peer { incarnation: "w1".into(), addr: listener.local_addr().unwrap() };
     let answers: VecDeque<String> = answers.iter().cloned().collect();
     let answers = Arc::new(Mutex::new(answers));
-    let asked: Arc<Mutex<Vec<String>>> = Arc::default();
-    let seen = asked.clone();
+    let paths: Arc<Mutex<Vec<String>>> = Arc::default();
+    let requested = paths.clone();
     tokio::spawn(async move {
-        // Kept as long as it serves.
+        // The sender must live as long as the server.
         let (_stop, stopped) = watch::channel(false);
         serve(listener, stopped, move |request: hyper::Request<hyper::body::Incoming>| {
             let path = request.uri().path().to_owned();
-            let is_look = path == "/api/hold";
-            seen.lock().unwrap().push(path);
-            let answer = if is_look { answers.lock().unwrap().pop_front() } else { None };
+            let is_poll = path == "/api/hold";
+            requested.lock().unwrap().push(path);
+            let answer = if is_poll { answers.lock().unwrap().pop_front() } else { None };
             async move {
                 match answer {
                     Some(text) => hyper::Response::new(full(text)),
-                    None if is_look => std::future::pending().await,
+                    None if is_poll => std::future::pending().await,
                     None => hyper::Response::new(full(r#"{"clockMs":1}"#)),
                 }
             }
         })
         .await;
     });
-    (peer, asked)
+    (peer, paths)
 }
 
-fn look(clock: u64, ended: &str) -> String {
+fn poll(clock: u64, ended: &str) -> String {
     format!(r#"{{"clockMs":{clock},"running":[],"ended":{ended}}}"#)
 }
 
 async fn next(events: &mut UnboundedReceiver<Event>) -> Event {
-    timeout(WAIT, events.recv()).await.expect("an event comes").expect("the carrier lives")
+    timeout(WAIT, events.recv()).await.expect("an event comes").expect("the dispatcher is running")
 }
 
-/// A task that had ended was run again: of two answers with the same time of the worker's clock the
-/// scheduler takes the first, so the end in the second one was passed over; the carrier took it for
-/// told and left it out of all later answers, in which the run was then missing.
+/// Guards against running an ended task again. Of two responses with the same worker clock the scheduler gets only the
+/// first. If the dispatcher then counted the end in the second one as reported, it would leave it out of all later
+/// responses, and the run would just be missing there.
 #[tokio::test]
-async fn an_end_in_an_answer_that_is_passed_over_is_told_with_the_next_one() {
-    let answers = [look(100, "[]"), look(100, DONE), look(101, DONE)];
+async fn an_end_in_a_skipped_response_is_reported_with_the_next_one() {
+    let answers = [poll(100, "[]"), poll(100, DONE), poll(101, DONE)];
     let (peer, _) = worker(&answers).await;
-    let (carrier, mut events) = Dispatcher::start(tools(), Lease::unbounded());
-    carrier.execute(Command::AddWorker { number: 1, peer, durable: 0, token: TOKEN, grants: true });
-    assert_matches!(next(&mut events).await, Event::Polled { seen, .. } if seen.clock == 100 && seen.ended.is_empty());
-    assert_matches!(next(&mut events).await, Event::Polled { seen, .. } => {
-        assert_eq!((seen.clock, seen.ended.len()), (101, 1));
+    let (dispatcher, mut events) = Dispatcher::start(context(), Lease::unbounded());
+    dispatcher.execute(Command::AddWorker {
+        number: 1,
+        peer,
+        durable: 0,
+        token: TOKEN,
+        grants: true,
+    });
+    assert_matches!(next(&mut events).await, Event::Polled { seen: response, .. } => {
+        assert_eq!((response.clock, response.ended.len()), (100, 0));
+    });
+    assert_matches!(next(&mut events).await, Event::Polled { seen: response, .. } => {
+        assert_eq!((response.clock, response.ended.len()), (101, 1));
     });
 }
 
 #[tokio::test]
-async fn an_end_is_told_once() {
-    let answers = [look(100, DONE), look(500, DONE), look(900, DONE)];
+async fn an_end_is_reported_once() {
+    let answers = [poll(100, DONE), poll(500, DONE), poll(900, DONE)];
     let (peer, _) = worker(&answers).await;
-    let (carrier, mut events) = Dispatcher::start(tools(), Lease::unbounded());
-    carrier.execute(Command::AddWorker { number: 1, peer, durable: 0, token: TOKEN, grants: true });
-    assert_matches!(next(&mut events).await, Event::Polled { seen, .. } if seen.ended.len() == 1);
-    assert_matches!(next(&mut events).await, Event::Polled { seen, .. } if seen.ended.is_empty());
+    let (dispatcher, mut events) = Dispatcher::start(context(), Lease::unbounded());
+    dispatcher.execute(Command::AddWorker {
+        number: 1,
+        peer,
+        durable: 0,
+        token: TOKEN,
+        grants: true,
+    });
+    assert_matches!(next(&mut events).await, Event::Polled { seen: response, .. } if response.ended.len() == 1);
+    assert_matches!(next(&mut events).await, Event::Polled { seen: response, .. } if response.ended.is_empty());
 }
 
 fn start(number: u64) -> Command {
@@ -120,171 +134,182 @@
 }
 
 #[tokio::test]
-async fn without_a_licence_nothing_is_started_and_no_lease_is_extended() {
-    let (peer, asked) = worker(&[look(100, "[]")]).await;
-    let (carrier, mut events) = Dispatcher::start(tools(), Lease::bounded());
-    carrier.execute(Command::AddWorker { number: 1, peer, durable: 0, token: TOKEN, grants: true });
-    carrier.execute(start(1));
+async fn without_a_dispatch_lease_nothing_is_started_and_no_worker_lease_is_extended() {
+    let (peer, paths) = worker(&[poll(100, "[]")]).await;
+    let (dispatcher, mut events) = Dispatcher::start(context(), Lease::bounded());
+    dispatcher.execute(Command::AddWorker {
+        number: 1,
+        peer,
+        durable: 0,
+        token: TOKEN,
+        grants: true,
+    });
+    dispatcher.execute(start(1));
     assert_matches!(next(&mut events).await, Event::NotStarted { number: 1, why: None, .. });
-    assert_eq!(*asked.lock().unwrap(), Vec::<String>::new());
-    carrier.lease.extend(clock::now());
+    assert_eq!(*paths.lock().unwrap(), Vec::<String>::new());
+    dispatcher.lease.extend(clock::now());
     assert_matches!(next(&mut events).await, Event::Polled { lease_until: 0, .. });
-    carrier.execute(start(1));
+    dispatcher.execute(start(1));
     assert_matches!(next(&mut events).await, Event::Started { number: 1, .. });
     let is_start = |path: &&String| *path == "/api/run-start";
-    assert_eq!(asked.lock().unwrap().iter().filter(is_start).count(), 1);
+    assert_eq!(paths.lock().unwrap().iter().filter(is_start).count(), 1);
 }
 
 #[tokio::test]
-async fn nothing_is_started_on_a_worker_that_has_not_answered_this_carrier() {
-    let (peer, asked) = worker(&[]).await;
-    let (carrier, mut events) = Dispatcher::start(tools(), Lease::unbounded());
-    carrier.execute(start(1));
+async fn nothing_is_started_on_a_worker_that_has_not_answered_this_dispatcher() {
+    let (peer, paths) = worker(&[]).await;
+    let (dispatcher, mut events) = Dispatcher::start(context(), Lease::unbounded());
+    dispatcher.execute(start(1));
     assert_matches!(next(&mut events).await, Event::NotStarted { .. });
-    carrier.execute(Command::AddWorker { number: 1, peer, durable: 0, token: TOKEN, grants: true });
-    carrier.execute(start(1));
+    dispatcher.execute(Command::AddWorker {
+        number: 1,
+        peer,
+        durable: 0,
+        token: TOKEN,
+        grants: true,
+    });
+    dispatcher.execute(start(1));
     assert_matches!(next(&mut events).await, Event::NotStarted { .. });
-    assert!(!asked.lock().unwrap().iter().any(|path| path == "/api/run-start"));
+    assert!(!paths.lock().unwrap().iter().any(|path| path == "/api/run-start"));
 }
 
-fn errand(token: u64, share: u64, sequence: u64) -> Commands {
-    let session = Session { token, shard: share };
+fn commands(token: u64, shard: u64, sequence: u64) -> Commands {
+    let session = Session { token, shard };
     let commands = vec![start(sequence)];
     Commands { scheduler: addr(), session, sequence, commands }
 }
 
 #[tokio::test]
-async fn messages_to_a_carrier_count_once_and_in_their_order() {
-    let (carried, tools, peers) = (RemoteDispatch::default(), tools(), Peers::default());
-    let not_started = |tools: &Context| tools.counters.totals().get("batch.carry.begun").copied();
-    // What does not begin a share is refused.
-    assert!(!carried.take_commands(&tools, &peers, errand(TOKEN, 1, 2)));
-    assert!(carried.take_commands(&tools, &peers, errand(TOKEN, 1, 1)));
+async fn messages_to_a_dispatcher_are_executed_once_and_in_order() {
+    let (remote, context, peers) = (RemoteDispatch::default(), context(), Peers::default());
+    let started_dispatchers =
+        |context: &Context| context.counters.totals().get("batch.carry.begun").copied();
+    // A message that does not start a shard is refused.
+    assert!(!remote.take_commands(&context, &peers, commands(TOKEN, 1, 2)));
+    assert!(remote.take_commands(&context, &peers, commands(TOKEN, 1, 1)));
     assert!(
-        carried.take_commands(&tools, &peers, errand(TOKEN, 1, 1)),
-        "a message that comes twice"
+        remote.take_commands(&context, &peers, commands(TOKEN, 1, 1)),
+        "a duplicate message is acknowledged"
     );
-    assert!(carried.take_commands(&tools, &peers, errand(TOKEN, 1, 2)));
-    assert_eq!(not_started(&tools), Some(1));
-    // The share of an earlier scheduler is refused, and that of a later one takes its place.
-    assert!(!carried.take_commands(&tools, &peers, errand(TOKEN - 1, 9, 1)));
-    assert!(carried.take_commands(&tools, &peers, errand(TOKEN + 1, 1, 1)));
-    assert!(!carried.take_commands(&tools, &peers, errand(TOKEN, 1, 3)));
-    assert_eq!(not_started(&tools), Some(2));
-    // What comes before a message that is lost cannot be known, so the share ends.
-    assert!(!carried.take_commands(&tools, &peers, errand(TOKEN + 1, 1, 3)));
-    assert!(!carried.take_commands(&tools, &peers, errand(TOKEN + 1, 1, 2)));
+    assert!(remote.take_commands(&context, &peers, commands(TOKEN, 1, 2)));
+    assert_eq!(started_dispatchers(&context), Some(1));
+    // The shard of an earlier scheduler is refused; that of a later one replaces the current shard.
+    assert!(!remote.take_commands(&context, &peers, commands(TOKEN - 1, 9, 1)));
+    assert!(remote.take_commands(&context, &peers, commands(TOKEN + 1, 1, 1)));
+    assert!(!remote.take_commands(&context, &peers, commands(TOKEN, 1, 3)));
+    assert_eq!(started_dispatchers(&context), Some(2));
+    // The shard ends if a message is missing: its commands are unknown.
+    assert!(!remote.take_commands(&context, &peers, commands(TOKEN + 1, 1, 3)));
+    assert!(!remote.take_commands(&context, &peers, commands(TOKEN + 1, 1, 2)));
 }
 
-fn shares() -> Shards {
-    let (own, _) = Dispatcher::start(tools(), Lease::unbounded());
+fn shards() -> Shards {
+    let (own, _) = Dispatcher::start(context(), Lease::unbounded());
     Shards::new(TOKEN, own)
 }
 
-fn report(share: u64, sequence: u64, late_ms: u64) -> Report {
-    let session = Session { token: TOKEN, shard: share };
+fn report(shard: u64, sequence: u64, late_ms: u64) -> Report {
+    let session = Session { token: TOKEN, shard };
     Report { session, sequence, made_at: 1_000, late_ms, events: Vec::new() }
 }
 
-fn take_command(number: u64) -> Command {
+fn add_worker(number: u64) -> Command {
     let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
     Command::AddWorker { number, peer, durable: 0, token: TOKEN, grants: true }
 }
 
 #[tokio::test]
-async fn workers_go_to_nodes_that_carry_by_their_processor() {
-    let (shares, now) = (shares(), clock::now());
-    let (weak, _) = shares.start(addr(), 100, now);
-    let (strong, _) = shares.start("127.0.0.1:2".parse().unwrap(), 400, now);
-    shares.assign(1, take_command(1));
-    assert_eq!(shares.in_shard(OWN_SHARD, [1].into_iter()).len(), 1, "nobody else carries yet");
-    for share in [weak, strong] {
-        assert_matches!(shares.take_report(report(share, 1, 0), now), ReportOutcome::New(_));
+async fn workers_are_assigned_to_ready_nodes_in_proportion_to_their_cpu() {
+    let (shards, now) = (shards(), clock::now());
+    let (weak, _) = shards.start(addr(), 100, now);
+    let (strong, _) = shards.start("127.0.0.1:2".parse().unwrap(), 400, now);
+    shards.assign(1, add_worker(1));
+    assert_eq!(shards.in_shard(OWN_SHARD, [1].into_iter()).len(), 1, "no other node is ready yet");
+    for shard in [weak, strong] {
+        assert_matches!(shards.take_report(report(shard, 1, 0), now), ReportOutcome::New(_));
     }
     for number in 2..52 {
-        shares.assign(number, take_command(number));
+        shards.assign(number, add_worker(number));
     }
-    assert_eq!(shares.in_shard(weak, 2..52).len(), 10);
-    assert_eq!(shares.in_shard(strong, 2..52).len(), 40);
-    let sizes: Vec<usize> = shares.view().iter().map(|share| share.workers).collect();
+    assert_eq!(shards.in_shard(weak, 2..52).len(), 10);
+    assert_eq!(shards.in_shard(strong, 2..52).len(), 40);
+    let sizes: Vec<usize> = shards.view().iter().map(|shard| shard.workers).collect();
     assert_eq!(sizes, [1, 10, 40]);
-    let crowded = shares.find_overload().unwrap();
-    assert_eq!((crowded.shard, crowded.workers, crowded.excess), (OWN_SHARD, vec![1], 1));
+    let overload = shards.find_overload().unwrap();
+    assert_eq!((overload.shard, overload.workers, overload.excess), (OWN_SHARD, vec![1], 1));
 }
 
-/// For 8 s nothing was started for a service with 900 free workers: the scheduler passed a hundred workers
-/// from a share that had a few too many to others, which then had too many, and so on without end. A worker
-/// of an earlier scheduler that did not answer was passed on each time, and counted each time as one that
-/// might run something for another lease.
+/// Guards against moving workers between shards without end. If more workers move from an overloaded shard than it has
+/// in excess, the other shards are overloaded in turn. Each time, an unresponsive worker of an earlier scheduler counts
+/// as one that may run tasks for another lease: with 900 free workers nothing was started for a service for 8 s.
 #[tokio::test]
-async fn a_share_with_too_many_workers_gives_away_no_more_than_those() {
-    let (shares, now) = (shares(), clock::now());
-    let (one, _) = shares.start(addr(), 100, now);
-    let (two, _) = shares.start("127.0.0.1:2".parse().unwrap(), 100, now);
-    for share in [one, two] {
-        assert_matches!(shares.take_report(report(share, 1, 0), now), ReportOutcome::New(_));
+async fn an_overloaded_shard_gives_away_no_more_than_its_excess() {
+    let (shards, now) = (shards(), clock::now());
+    let (first, _) = shards.start(addr(), 100, now);
+    let (second, _) = shards.start("127.0.0.1:2".parse().unwrap(), 100, now);
+    for shard in [first, second] {
+        assert_matches!(shards.take_report(report(shard, 1, 0), now), ReportOutcome::New(_));
     }
     for number in 0..120 {
-        shares.assign(number, take_command(number));
+        shards.assign(number, add_worker(number));
     }
-    assert!(shares.find_overload().is_none());
-    for number in shares.in_shard(two, 0..120).into_iter().take(40) {
-        shares.release(number);
+    assert!(shards.find_overload().is_none());
+    for number in shards.in_shard(second, 0..120).into_iter().take(40) {
+        shards.release(number);
     }
-    let crowded = shares.find_overload().unwrap();
-    assert_eq!((crowded.shard, crowded.workers.len(), crowded.excess), (one, 60, 20));
-    shares.remove_workers(one, &crowded.workers[..crowded.excess], now);
-    for number in &crowded.workers[..crowded.excess] {
-        shares.assign(*number, take_command(*number));
+    let overload = shards.find_overload().unwrap();
+    assert_eq!((overload.shard, overload.workers.len(), overload.excess), (first, 60, 20));
+    shards.remove_workers(first, &overload.workers[..overload.excess], now);
+    for number in &overload.workers[..overload.excess] {
+        shards.assign(*number, add_worker(*number));
     }
-    assert!(shares.find_overload().is_none());
+    assert!(shards.find_overload().is_none());
 }
 
 #[tokio::test]
-async fn reports_count_once_and_in_their_order() {
-    let (shares, now) = (shares(), clock::now());
-    let (share, _) = shares.start(addr(), 100, now);
-    assert_matches!(shares.take_report(report(share, 1, 0), now), ReportOutcome::New(_));
-    assert_matches!(shares.take_report(report(share, 1, 0), now), ReportOutcome::Duplicate);
-    assert_matches!(shares.take_report(report(share, 3, 0), now), ReportOutcome::Stale);
-    assert_matches!(shares.take_report(report(share, 2, 0), now), ReportOutcome::New(_));
-    assert_matches!(shares.take_report(report(share + 1, 1, 0), now), ReportOutcome::Stale);
-    let of_other =
-        Report { session: Session { token: TOKEN + 1, shard: share }, ..report(share, 3, 0) };
-    assert_matches!(shares.take_report(of_other, now), ReportOutcome::Stale);
+async fn reports_are_accepted_once_and_in_order() {
+    let (shards, now) = (shards(), clock::now());
+    let (shard, _) = shards.start(addr(), 100, now);
+    assert_matches!(shards.take_report(report(shard, 1, 0), now), ReportOutcome::New(_));
+    assert_matches!(shards.take_report(report(shard, 1, 0), now), ReportOutcome::Duplicate);
+    assert_matches!(shards.take_report(report(shard, 3, 0), now), ReportOutcome::Stale);
+    assert_matches!(shards.take_report(report(shard, 2, 0), now), ReportOutcome::New(_));
+    assert_matches!(shards.take_report(report(shard + 1, 1, 0), now), ReportOutcome::Stale);
+    let of_other = Report { session: Session { token: TOKEN + 1, shard }, ..report(shard, 3, 0) };
+    assert_matches!(shards.take_report(of_other, now), ReportOutcome::Stale);
 }
 
 #[tokio::test]
-async fn a_silent_or_late_carrier_is_lost_unless_this_node_was_late() {
-    let (shares, now) = (shares(), clock::now());
-    let (share, _) = shares.start(addr(), 100, now);
-    assert_eq!(shares.find_lost(now + Duration::from_millis(400)), []);
-    assert_eq!(shares.find_lost(now + Duration::from_millis(600)), [(share, Lost::Silent)]);
-    assert_matches!(shares.take_report(report(share, 1, 0), now), ReportOutcome::New(_));
+async fn an_unresponsive_or_late_dispatcher_is_lost_unless_this_node_was_delayed() {
+    let (shards, now) = (shards(), clock::now());
+    let (shard, _) = shards.start(addr(), 100, now);
+    assert_eq!(shards.find_lost(now + Duration::from_millis(400)), []);
+    assert_eq!(shards.find_lost(now + Duration::from_millis(600)), [(shard, Lost::Silent)]);
+    assert_matches!(shards.take_report(report(shard, 1, 0), now), ReportOutcome::New(_));
     let later = now + Duration::from_millis(800);
-    assert_eq!(shares.find_lost(later), [(share, Lost::Silent)]);
-    shares.discount_own_delay(Duration::from_millis(300));
-    assert_eq!(shares.find_lost(later), []);
+    assert_eq!(shards.find_lost(later), [(shard, Lost::Silent)]);
+    shards.discount_own_delay(Duration::from_millis(300));
+    assert_eq!(shards.find_lost(later), []);
     for sequence in 2..6 {
-        assert_eq!(shares.find_lost(later), []);
+        assert_eq!(shards.find_lost(later), []);
         assert_matches!(
-            shares.take_report(report(share, sequence, 400), later),
+            shards.take_report(report(shard, sequence, 400), later),
             ReportOutcome::New(_)
         );
     }
-    assert_eq!(shares.find_lost(later), [(share, Lost::Late)]);
+    assert_eq!(shards.find_lost(later), [(shard, Lost::Late)]);
 }
 
 #[tokio::test]
-async fn what_a_lost_carrier_may_still_do_is_bounded_by_its_last_acknowledgement() {
-    let (shares, now) = (shares(), clock::now());
-    let (share, _) = shares.start(addr(), 100, now);
+async fn the_dispatch_lease_of_a_lost_dispatcher_counts_from_its_last_acknowledgement() {
+    let (shards, now) = (shards(), clock::now());
+    let (shard, _) = shards.start(addr(), 100, now);
     let acked = now + Duration::from_millis(100);
-    assert_matches!(shares.take_report(report(share, 1, 0), acked), ReportOutcome::New(_));
-    shares.assign(7, take_command(7));
-    let (workers, last) = shares.reclaim(share, now + Duration::from_secs(9)).unwrap();
-    assert_eq!((workers, last), (vec![7], acked + DISPATCH_LEASE));
-    assert_matches!(shares.take_report(report(share, 2, 0), now), ReportOutcome::Stale);
-    assert!(shares.reclaim(share, now).is_none());
-    assert!(!shares.is_assigned(7));
+    assert_matches!(shards.take_report(report(shard, 1, 0), acked), ReportOutcome::New(_));
+    shards.assign(7, add_worker(7));
+    let (workers, lease_end) = shards.reclaim(shard, now + Duration::from_secs(9)).unwrap();
+    assert_eq!((workers, lease_end), (vec![7], acked + DISPATCH_LEASE));
+    assert_matches!(shards.take_report(report(shard, 2, 0), now), ReportOutcome::Stale);
+    assert!(shards.reclaim(shard, now).is_none());
+    assert!(!shards.is_assigned(7));
 }
--- a/testutils/tests/test_idle.rs
+++ b/testutils/tests/test_idle.rs
@@ -1,9 +1,8 @@
-//! Accepted connections without a request, and with half a one.
+//! Accepted connections that are idle, and those on which only part of a request head arrives.
 //!
-//! What callers saw: now and then a request had no answer although no daemon was killed. The daemon closed
-//! connections that had been idle for 10 s, and a request that was sent just then was lost: 37 of 400
-//! that were sent within 20 ms of it. It had that limit for idle connections only because the library has
-//! one limit for these and for heads that come slowly.
+//! Guards against lost requests: if the daemon closes an idle connection, a request that is sent at that moment gets no
+//! answer (37 of 400 requests that were sent within 20 ms of a close after 10 s). The HTTP library has one timeout for
+//! idle connections and for slow request heads, so that a limit for heads also closes idle connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,10 +23,10 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// Longer than a head may take.
-const LONG: Duration = Duration::from_millis(10_500);
-/// Bound of a wait for something that should come soon.
-const SOON: Duration = Duration::from_secs(30);
+/// Longer than a request head may take.
+const IDLE_TIME: Duration = Duration::from_millis(10_500);
+/// Time limit of waits for something that should happen soon.
+const TIME_LIMIT: Duration = Duration::from_secs(30);
 
 async fn start() -> (SocketAddr, watch::Sender<bool>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -38,12 +37,12 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_was_idle_for_long_is_still_served() {
+async fn a_long_idle_connection_is_still_served() {
     let (addr, _stop) = start().await;
     let stream = TcpStream::connect(addr).await.unwrap();
     let (mut sender, connection) = http1::handshake::<_, Body>(TokioIo::new(stream)).await.unwrap();
     tokio::spawn(connection);
-    for pause in [LONG, Duration::ZERO] {
+    for pause in [IDLE_TIME, Duration::ZERO] {
         let request = Request::builder().uri("/").header("host", "test").body(full("")).unwrap();
         let answer = sender.send_request(request).await.unwrap();
         assert_eq!(answer.into_body().collect().await.unwrap().to_bytes(), "done");
@@ -51,21 +50,21 @@
     }
 }
 
-/// Whether the server closes a connection on which half a head was sent.
-async fn is_cut(mut stream: TcpStream) -> bool {
+/// Whether the server closes a connection on which part of a request head was sent.
+async fn is_closed(mut stream: TcpStream) -> bool {
     stream.write_all(b"GET / HTTP/1.1\r\nhost: te").await.unwrap();
     let mut rest = Vec::new();
-    timeout(SOON, stream.read_to_end(&mut rest)).await.is_ok()
+    timeout(TIME_LIMIT, stream.read_to_end(&mut rest)).await.is_ok()
 }
 
 #[tokio::test]
-async fn half_a_head_is_waited_for_in_bounds() {
+async fn the_wait_for_the_rest_of_a_head_is_bounded() {
     let (addr, _stop) = start().await;
-    assert!(is_cut(TcpStream::connect(addr).await.unwrap()).await);
+    assert!(is_closed(TcpStream::connect(addr).await.unwrap()).await);
 }
 
 #[tokio::test]
-async fn half_a_head_does_not_hold_up_a_stop() {
+async fn an_incomplete_head_does_not_delay_a_stop() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let (stop, stopped) = watch::channel(false);
@@ -74,5 +73,5 @@
     stream.write_all(b"GET / HTTP/1.1\r\nhost: te").await.unwrap();
     sleep(Duration::from_millis(100)).await;
     stop.send_replace(true);
-    timeout(SOON, server).await.expect("the server ends").unwrap();
+    timeout(TIME_LIMIT, server).await.expect("the server stops in time").unwrap();
 }
