--- a/lib/src/batch/dispatch/poll.rs
+++ b/lib/src/batch/dispatch/poll.rs
@@ -30,7 +30,7 @@
 const POLL_NOW_TIMEOUT: Duration = Duration::from_millis(300);
 /// Pause after a failed poll.
 const POLL_RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// How long the next poll of a worker is delayed until the store has what the last one returned.
+/// Longest delay of the next poll of a worker while the store does not have what the last one returned.
 const STORE_WAIT: Duration = Duration::from_millis(300);
 /// Time between checks whether the dispatch lease is valid again.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
--- a/lib/src/batch/scheduler.rs
+++ b/lib/src/batch/scheduler.rs
@@ -173,7 +173,7 @@
         self.flush_wake.notify_one();
     }
 
-    /// Waits for up to half a second for all changes to reach the store.
+    /// Waits up to `SETTLE_TIMEOUT` for all changes to reach the store.
     pub async fn await_flush(&self) {
         self.flush_wake.notify_one();
         let mut flushed = self.flush_count.subscribe();
