--- a/lib/src/batch.rs
+++ b/lib/src/batch.rs
@@ -1,8 +1,9 @@
 //! Batch work on the users' platform: jobs of tasks, leased to workers by one scheduler at a time.
 //!
-//! Every node takes jobs from clients and writes them to the platform's store ([`intake`]). One
-//! node at a time holds the lead ([`lead`]) and runs the scheduler ([`scheduler`]), whose state is
-//! a [`cell`]: jobs, workers and what runs where. See `docs/design/on-the-platform.md`.
+//! Every node accepts jobs from clients ([`client_api`]) and writes them to the platform's store
+//! ([`commit`]). One node at a time holds the leader lease ([`leader`]) and runs the scheduler
+//! ([`scheduler`]), whose state is a [`cell`]: jobs, workers and what runs where. See
+//! `docs/design/on-the-platform.md`.
 
 pub mod admit;
 pub mod advice;
--- a/lib/src/batch/leader.rs
+++ b/lib/src/batch/leader.rs
@@ -1,10 +1,10 @@
-//! Who schedules: one node at a time, by a record in the store.
+//! Leader election: one node at a time schedules, by a lease in the store.
 //!
-//! The holder of the lead renews its record by appends that hold only if nobody else has appended
-//! since. Another node may claim the lead once it has heard nothing for [`TAKEOVER_TIMEOUT`], or at once if
-//! the holder has given it up. The offset of the claim is the number that workers compare, so a
-//! holder that was paused or cut off and comes back is refused by every worker that has heard from
-//! its successor.
+//! The leader renews its lease by appends that succeed only if nobody else has appended since.
+//! Another node may claim the lease once it has read no renewal for [`TAKEOVER_TIMEOUT`], or at
+//! once if the leader has released it. The fencing token that workers compare is derived from the
+//! offset of the claim, so a leader that comes back after a pause or a partition is refused by
+//! every worker that has been called by its successor.
 
 mod view;
 
@@ -27,81 +27,77 @@
 use crate::batch::scheduler::Scheduler;
 use crate::transport::clock;
 
-/// Topic with the one record of the lead.
+/// Topic with the record of the leader lease.
 const TOPIC: &str = "keyed.lead";
-/// Its key.
+/// Key of the record of the leader lease.
 const KEY: &str = "lead";
-/// Time between renewals. Each costs a call to the store and a read by each node.
+/// Time between renewals. Each renewal costs one call to the store and a read by each node.
 const RENEW_INTERVAL: Duration = Duration::from_millis(600);
-/// Silence of the holder after which another node claims the lead: three renewals and a half.
+/// Time without a renewal after which another node claims the lease: three and a half renewals.
 pub const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(2_100);
-/// How long a read waits for news; shorter than [`TAKEOVER_TIMEOUT`] so that silence is seen in time.
+/// Long-poll time of a read of the topic; shorter than [`TAKEOVER_TIMEOUT`] so that missing
+/// renewals are noticed in time.
 const LONG_POLL: Duration = Duration::from_millis(500);
-/// Time between looks at a lead that is free and left to others for now.
+/// Time between checks of a free lease that is left to other nodes until the claim delay is over.
 const CLAIM_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a call to the store may take; a slow store takes about 250 ms.
+/// Timeout of a call to the store; a slow store takes about 250 ms.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// Pause after a call that failed.
+/// Delay after a failed call to the store.
 const RETRY_DELAY: Duration = Duration::from_millis(120);
 
-/// The record of the lead.
+/// The leader lease, as it is written to the store.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct LeaderLease {
-    /// Name of the holder's node.
+    /// Name of the leader's node.
     pub node: String,
-    /// The holder's life; a node that starts again is another holder.
+    /// Incarnation of the leader's node; a node that restarts is another leader.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Where the holder answers other nodes.
+    /// Address at which the leader answers other nodes.
     pub addr: SocketAddr,
-    /// The holder has given up the lead.
+    /// Whether the leader has released the lease.
     pub released: bool,
-    /// How often the holder has renewed it.
+    /// Number of renewals by this leader.
     pub renewals: u32,
-    /// Boxes that the next holder has to leave alone at first.
+    /// Boxes that the next leader must not order at first.
     #[serde(rename = "resting")]
     pub held_boxes: HeldBoxes,
 }
 
 impl LeaderLease {
-    /// A claim or a renewal: if nothing more is heard, nobody knows what the holder has ordered.
+    /// A claim or a renewal. It holds all boxes: if nothing follows it, nobody knows which boxes
+    /// this leader has ordered.
     fn held_by(node: &Node, renewals: u32) -> LeaderLease {
         let settings = &node.settings;
         let addr = settings.peer_addr();
-        let (node, life) = (settings.node.clone(), node.incarnation);
-        LeaderLease {
-            node,
-            incarnation: life,
-            addr,
-            released: false,
-            renewals,
-            held_boxes: HeldBoxes::All,
-        }
+        let (node, incarnation) = (settings.node.clone(), node.incarnation);
+        let held_boxes = HeldBoxes::All;
+        LeaderLease { node, incarnation, addr, released: false, renewals, held_boxes }
     }
 
-    /// The holder gives it up.
-    fn released_by(node: &Node, resting: HeldBoxes) -> LeaderLease {
-        LeaderLease { released: true, held_boxes: resting, ..LeaderLease::held_by(node, 0) }
+    /// A release by the leader.
+    fn released_by(node: &Node, held_boxes: HeldBoxes) -> LeaderLease {
+        LeaderLease { released: true, held_boxes, ..LeaderLease::held_by(node, 0) }
     }
 
     fn to_record(&self) -> Record {
-        let value = postcard::to_stdvec(self).expect("a lead can be written by postcard");
+        let value = postcard::to_stdvec(self).expect("a leader lease can be encoded by postcard");
         Record::set(KEY, value)
     }
 }
 
-/// Follows the lead, claims it when it is free, and schedules while holding it.
+/// Follows the leader lease, claims it when it is free, and schedules while this node holds it.
 pub async fn run(node: Arc<Node>) {
     let mut view = View::new();
     loop {
         if let Err(error) = follow(&node, &mut view).await {
             node.counters.count("batch.lead.follow-failed");
-            log::debug!("the lead cannot be followed: {error}");
+            log::debug!("cannot read the leader lease: {error}");
             view.is_interrupted = true;
             sleep(RETRY_DELAY).await;
             continue;
         }
-        node.set_leader_lease(view.lease.clone().filter(|lead| !lead.released));
+        node.set_leader_lease(view.lease.clone().filter(|lease| !lease.released));
         if view.is_own(&node) {
             run_scheduler(&node, &mut view).await;
         } else if !view.is_claimable(&node) {
@@ -128,7 +124,7 @@
         }
         view.topic_end = Some(newest.end);
         view.last_contact = clock::now();
-        // A claim of an earlier scheduler of this life cannot be told from a renewal here.
+        // A claim by an earlier scheduler of this incarnation looks like a renewal here.
         if view.is_own(node) {
             view.lease = None;
         }
@@ -153,86 +149,89 @@
     }
 }
 
-/// Appends a claim. Whether it holds is seen by reading on: the first record after the end is the
-/// one that counts, also if the answer is lost.
+/// Appends a claim. Whether it succeeded shows when the topic is read on: the first record after
+/// the known end wins, also if the answer to this append is lost.
 async fn claim_lease(node: &Node, view: &mut View) {
     let Some(end) = view.topic_end else { return };
     let record = LeaderLease::held_by(node, 0).to_record();
     let claimed = node.append(TOPIC, &[record], &Guard::At(end), CALL_TIMEOUT).await;
-    log::info!(at = end, ok = claimed.is_ok(); "claims the lead");
+    log::info!(at = end, ok = claimed.is_ok(); "sent a claim for the leader lease");
     if claimed.is_err() {
         sleep(RETRY_DELAY).await;
     }
 }
 
-/// Schedules until the lead is lost or given up.
+/// Schedules until the lease is lost or released.
 async fn run_scheduler(node: &Arc<Node>, view: &mut View) {
     let token: Token = view.lease_offset + 1;
-    log::info!(token; "holds the lead");
+    log::info!(token; "became leader");
     node.counters.count("batch.lead.held");
-    let turn = OrderWindow::new(node.settings.turn_gap, view.held_boxes(node), clock::now());
-    let scheduler = Scheduler::start(node.clone(), token, turn, view.was_released());
+    let order_window =
+        OrderWindow::new(node.settings.turn_gap, view.held_boxes(node), clock::now());
+    let scheduler = Scheduler::start(node.clone(), token, order_window, view.was_released());
     let why = renew_until_lost(node, view, &scheduler).await;
     scheduler.stop();
     node.set_scheduler(None);
-    log::info!(token, why; "no longer holds the lead");
+    log::info!(token, why; "no longer leader");
     if view.is_own(node) {
         view.clear_own_lease();
     }
 }
 
-/// Renews the lead; returns why that ended.
+/// Renews the lease until it is lost or released; returns why it ended.
 async fn renew_until_lost(
     node: &Arc<Node>,
     view: &mut View,
     scheduler: &Arc<Scheduler>,
 ) -> &'static str {
     let mut renewals = 0;
-    // When the renewal under way was first tried.
-    let mut tried_at = None;
+    // When the current renewal was first sent.
+    let mut first_sent_at = None;
     loop {
         if node.is_stopping() {
             scheduler.await_flush().await;
-            // Whoever follows relies on that nothing is started after the release.
+            // The next leader relies on nothing being started after the release.
             scheduler.stop_with_dispatchers().await;
             release_lease(node, view, scheduler.order_window.close(clock::now())).await;
-            return "the node stops";
+            return "the node is stopping";
         }
         if scheduler.is_fenced() {
-            return "a worker or the store has heard of a newer holder";
+            return "fenced: a worker or the store knows a newer leader";
         }
-        let Some(end) = view.topic_end else { return "the end of the topic is not known" };
+        let Some(end) = view.topic_end else { return "the end of the lease topic is unknown" };
         let sent = clock::now();
-        let first_sent = *tried_at.get_or_insert(sent);
+        let first_sent = *first_sent_at.get_or_insert(sent);
         let record = LeaderLease::held_by(node, renewals + 1).to_record();
         match node.append(TOPIC, &[record], &Guard::At(end), CALL_TIMEOUT).await {
             Ok(appended) => {
                 view.topic_end = Some(appended.end);
                 renewals += 1;
-                tried_at = None;
+                first_sent_at = None;
                 scheduler.record_renewal(sent);
                 node.sleep_until_stopping(RENEW_INTERVAL.saturating_sub(clock::since(sent))).await;
             }
             Err(error) => {
                 node.counters.count("batch.lead.renew-failed");
                 if has_other_leader(node, view, end).await {
-                    return "another node holds it";
+                    return "another node holds the lease";
                 }
                 if view.has_renewal(renewals + 1) {
-                    // It was done, perhaps by the first try; only its answer was lost.
+                    // The append succeeded, maybe on an earlier attempt; only its answer was lost.
+                    // The time of the first attempt is the only safe one.
                     renewals += 1;
-                    tried_at = None;
+                    first_sent_at = None;
                     scheduler.record_renewal(first_sent);
                     continue;
                 }
-                log::debug!("the lead cannot be renewed: {error}");
+                log::debug!("cannot renew the leader lease: {error}");
                 sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Reads what came after `end`; a renewal of this node whose answer was lost is among it too.
+/// Reads the records after `end` and returns whether another node holds the lease. The records may
+/// include a renewal of this node whose answer was lost.
 async fn has_other_leader(node: &Node, view: &mut View, end: Offset) -> bool {
     match node.read_topic(TOPIC, end, Duration::ZERO, CALL_TIMEOUT).await {
         Ok(page) => {
@@ -240,17 +239,17 @@
             !view.is_own(node)
         }
         Err(error) => {
-            log::debug!("the lead cannot be read: {error}");
+            log::debug!("cannot read the leader lease: {error}");
             false
         }
     }
 }
 
-async fn release_lease(node: &Node, view: &View, resting: HeldBoxes) {
+async fn release_lease(node: &Node, view: &View, held_boxes: HeldBoxes) {
     let Some(end) = view.topic_end else { return };
-    let record = LeaderLease::released_by(node, resting).to_record();
+    let record = LeaderLease::released_by(node, held_boxes).to_record();
     if let Err(error) = node.append(TOPIC, &[record], &Guard::At(end), CALL_TIMEOUT).await {
-        // The others then wait for the silence.
-        log::warn!("the lead cannot be given up: {error}");
+        // The other nodes then wait for the takeover timeout.
+        log::warn!("cannot release the leader lease: {error}");
     }
 }
--- a/lib/src/batch/leader/view.rs
+++ b/lib/src/batch/leader/view.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the lead, and when it may claim it.
+//! What a node knows of the leader lease, and when it may claim it.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -15,35 +15,36 @@
 use crate::batch::order_window::HeldBoxes;
 use crate::transport::clock;
 
-/// The claim of each node waits up to this much longer, so that few collide.
+/// Largest random delay of a node's claim, so that few claims collide.
 const CLAIM_JITTER: Duration = Duration::from_millis(250);
-/// How much later a weak node claims a free lead than a strong one. The holder does the work of the
-/// whole site, and one with a tenth of a core cannot keep up with hundreds of workers.
+/// Additional claim delay of a node that is not a preferred leader. The leader schedules for the
+/// whole site, and a node with a tenth of a core cannot keep up with hundreds of workers.
 const LOW_CPU_CLAIM_DELAY: Duration = Duration::from_millis(700);
-/// How long the first lead of a site stays free, until the nodes know of each other.
+/// Claim delay of the first leader lease of a site, until the nodes know of each other.
 const FIRST_CLAIM_DELAY: Duration = Duration::from_millis(600);
 
-/// What a node knows of the lead.
+/// What a node knows of the leader lease.
 pub(super) struct View {
-    /// End of the topic, if it has been read.
+    /// Offset after the last record read; `None` until the topic has been read.
     pub(super) topic_end: Option<Offset>,
+    /// The last record read; `None` if there is none, or after this node's own lease has ended.
     pub(super) lease: Option<LeaderLease>,
-    /// The last record of the holder before that in `lead`.
+    /// The last record of the leader before the one in `lease`.
     previous_lease: Option<LeaderLease>,
-    /// Offset of the record in `lead`.
+    /// Offset of the record in `lease`.
     pub(super) lease_offset: Offset,
-    /// When something was last heard of the holder, or when the store last came back.
+    /// When a record was last read, or when the store was last reachable again after a failure.
     pub(super) last_contact: Instant,
-    /// Since when the lead is known to be free.
+    /// Since when the lease is known to be free.
     pub(super) free_since: Option<Instant>,
-    /// The last call to the store failed.
+    /// Whether the last read of the topic failed.
     pub(super) is_interrupted: bool,
-    /// How much longer than others this node waits before a claim.
+    /// Additional random wait of this node before a claim.
     claim_jitter: Duration,
 }
 
 impl View {
-    /// With nothing known yet.
+    /// A view before the topic has been read.
     pub(super) fn new() -> View {
         View {
             topic_end: None,
@@ -57,35 +58,36 @@
         }
     }
 
-    /// This node's own turn is over.
+    /// Forgets this node's own lease after it has ended.
     pub(super) fn clear_own_lease(&mut self) {
         self.lease = None;
-        // It says nothing of the turn that has just ended.
+        // It says nothing of the order window that has just ended.
         self.previous_lease = None;
         self.last_contact = clock::now();
     }
 
-    /// Whether this life of this node holds the lead.
+    /// Whether this incarnation of this node holds the lease.
     pub(super) fn is_own(&self, node: &Node) -> bool {
         self.lease
             .as_ref()
-            .is_some_and(|lead| lead.incarnation == node.incarnation && !lead.released)
+            .is_some_and(|lease| lease.incarnation == node.incarnation && !lease.released)
     }
 
-    /// Whether the last record read is that renewal, or a later one, of its holder.
+    /// Whether the last record read is the renewal with this number, or a later one.
     pub(super) fn has_renewal(&self, number: u32) -> bool {
-        self.lease.as_ref().is_some_and(|lead| lead.renewals >= number)
+        self.lease.as_ref().is_some_and(|lease| lease.renewals >= number)
     }
 
-    /// Whether this node may claim the lead, now or after [`View::reserve`].
+    /// Whether this node may claim the lease, now or after [`View::claim_delay`].
     pub(super) fn is_claimable(&self, node: &Node) -> bool {
         match &self.lease {
             None => true,
-            Some(lead) if lead.released => true,
-            // This node held it in an earlier life. A weak one leaves it to the strong ones, which
-            // must wait for the silence.
-            Some(lead)
-                if lead.node == node.settings.node && node.is_preferred_leader() != Some(false) =>
+            Some(lease) if lease.released => true,
+            // An earlier incarnation of this node held it. A node that is not a preferred leader
+            // leaves it to the preferred ones, which must wait for the takeover timeout.
+            Some(lease)
+                if lease.node == node.settings.node
+                    && node.is_preferred_leader() != Some(false) =>
             {
                 true
             }
@@ -93,7 +95,7 @@
         }
     }
 
-    /// How long this node leaves a free lead to others.
+    /// How long this node leaves a free lease to others.
     pub(super) fn claim_delay(&self, node: &Node) -> Duration {
         let first = if self.lease.is_none() { FIRST_CLAIM_DELAY } else { Duration::ZERO };
         match node.is_preferred_leader() {
@@ -102,26 +104,27 @@
         }
     }
 
-    /// Takes in a record of the lead.
+    /// Applies a record of the leader lease.
     pub(super) fn apply_record(&mut self, record: &Record, offset: Offset) {
         let Some(value) = &record.value else { return };
         match postcard::from_bytes(value) {
-            Ok(lead) => self.set_lease(lead, offset),
-            Err(error) => log::error!("the record of the lead does not decode: {error}"),
+            Ok(lease) => self.set_lease(lease, offset),
+            Err(error) => log::error!("cannot decode the leader lease: {error}"),
         }
         self.last_contact = clock::now();
     }
 
-    fn set_lease(&mut self, lead: LeaderLease, offset: Offset) {
-        if self.lease.as_ref().is_some_and(|last| last.incarnation != lead.incarnation) {
+    fn set_lease(&mut self, lease: LeaderLease, offset: Offset) {
+        if self.lease.as_ref().is_some_and(|last| last.incarnation != lease.incarnation) {
             self.previous_lease = self.lease.take();
         }
-        self.lease = Some(lead);
+        self.lease = Some(lease);
         self.lease_offset = offset;
     }
 
-    /// Whether the last turn was this node's own, in an earlier life, and so long that the one
-    /// before it is far enough away.
+    /// Whether the previous leader was an earlier incarnation of this node and held the lease for
+    /// longer than the platform's gap between the orders of two nodes. Then no other node's orders
+    /// are recent enough to matter.
     fn continues_own_order_window(&self, node: &Node) -> bool {
         let gap = node.settings.turn_gap;
         self.previous_lease.as_ref().is_some_and(|previous| {
@@ -129,23 +132,23 @@
         })
     }
 
-    /// Boxes that the holder before that in `lead` may have ordered last.
+    /// Boxes that the leader before the one in `lease` may have ordered recently.
     pub(super) fn held_boxes(&self, node: &Node) -> HeldBoxes {
         match &self.previous_lease {
             _ if self.continues_own_order_window(node) => HeldBoxes::Only(HashSet::new()),
             Some(previous) => previous.held_boxes.clone(),
-            // The claim is the first record of the topic: nobody has ordered anything.
+            // The claim is the first record of the topic, so no box has been ordered.
             None if self.lease_offset == 0 => HeldBoxes::Only(HashSet::new()),
             None => HeldBoxes::All,
         }
     }
 
-    /// Whether the holder before that in `lead` gave it up.
+    /// Whether the leader before the one in `lease` released it.
     pub(super) fn was_released(&self) -> bool {
         self.previous_lease.as_ref().is_some_and(|previous| previous.released)
     }
 
-    /// Takes in what was read from `from` on.
+    /// Applies a page of records that starts at offset `from`.
     pub(super) fn apply_page(&mut self, from: Offset, page: &Page) {
         for (offset, record) in (from..).zip(&page.records) {
             self.apply_record(record, offset);
