--- a/lib/src/batch/node.rs
+++ b/lib/src/batch/node.rs
@@ -1,4 +1,4 @@
-//! A node on the platform: what its tasks share, and how it starts and stops.
+//! A node on the platform: the state that its tasks share, and how it starts and stops.
 
 mod answer;
 mod config;
@@ -56,33 +56,34 @@
 use crate::transport::dial::full;
 use crate::transport::serve::serve;
 
-/// Time between looks whether this node was suspended.
+/// Time between checks whether this node was suspended.
 const SUSPENSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a connection may take to be made; halls are about 1 ms apart.
+/// Timeout for opening a connection; halls are about 1 ms apart.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long the answer to a job waits for the holder of the lead to say whose its id is; usually that takes 3 ms.
+/// How long the answer to a submission waits for the leader to check whether the job's id is in
+/// use; the check usually takes 3 ms.
 const ID_CHECK_TIMEOUT: Duration = Duration::from_millis(150);
-/// How long a node goes on serving after SIGTERM. The platform asks each second whether it is
-/// ready, and stops sending new connections after two misses.
+/// How long a node keeps serving after SIGTERM. The platform probes readiness once a second and
+/// stops sending new connections after two failed probes.
 const STOP_DELAY: Duration = Duration::from_millis(2_600);
 
-/// What the tasks of a node share.
+/// The state that the tasks of a node share.
 pub struct Node {
-    /// The settings of the platform.
+    /// The settings that the platform gives.
     pub settings: Settings,
-    /// What is set beside them.
+    /// This program's own settings.
     pub options: NodeSettings,
-    /// Random number of this life of the node.
+    /// Random number drawn each time the node starts.
     pub incarnation: u64,
     /// The platform's store.
     pub store: Store,
-    /// What is known of this node's own way to the store.
+    /// State of this node's direct route to the store.
     pub store_route: Route,
     /// Jobs that wait to be written to the store.
     pub commit_queue: commit::Queue,
-    /// What calls workers.
+    /// Client of the workers.
     pub workers: Caller,
-    /// The platform's interface for machines.
+    /// Client of the platform's interface for machines, if there is one.
     pub machines: Option<Machines>,
     /// Whether that interface answers.
     pub machines_availability: Availability,
@@ -90,15 +91,15 @@
     pub dialer: Dialer,
     /// Connections to the other nodes.
     pub peers: Peers,
-    /// Where the other nodes are.
+    /// Addresses of the other nodes.
     pub directory: Directory,
-    /// Workers that are carried for a scheduler on another node.
+    /// Dispatches to workers for a scheduler on another node.
     pub remote_dispatch: RemoteDispatch,
-    /// What is known of this node's questions for newer configurations.
+    /// Exchange of configuration versions with other nodes.
     pub gossip: Gossip,
     /// Counters.
     pub counters: Counters,
-    /// How long answers to clients, waits of tasks and writes of jobs take.
+    /// Latencies of answers to clients, waits of tasks and writes of jobs.
     pub latencies: Latencies,
     config: Mutex<Option<InForce>>,
     waves: Mutex<BTreeMap<u64, Wave>>,
@@ -108,7 +109,7 @@
 }
 
 impl Node {
-    /// A node with nothing known yet.
+    /// A node that has no configuration and knows no leader and no other nodes yet.
     pub fn new(settings: Settings, options: NodeSettings, counters: Counters) -> Arc<Node> {
         let watch = count_connections(&settings, counters.clone());
         let dialer = Dialer::new(CONNECT_TIMEOUT).watched(watch);
@@ -137,17 +138,17 @@
         })
     }
 
-    /// What carrying out orders about workers takes.
+    /// The clients and counters that a dispatcher needs.
     pub fn dispatch_context(&self) -> Context {
         Context { workers: self.workers.clone(), counters: self.counters.clone() }
     }
 
-    /// The waves asked for.
+    /// The maintenance waves that operators have requested.
     pub fn waves(&self) -> Vec<Wave> {
         self.waves.lock().expect("no holder of the waves panics").values().cloned().collect()
     }
 
-    /// Takes in a wave.
+    /// Adds a maintenance wave; a wave with a known number changes nothing.
     pub fn add_wave(&self, wave: Wave) {
         let mut waves = self.waves.lock().expect("no holder of the waves panics");
         waves.entry(wave.number).or_insert_with(|| {
@@ -156,29 +157,29 @@
                 machines = wave.machines.len(),
                 max_down = wave.max_down,
                 duration_s = wave.duration.as_secs();
-                "wave asked for"
+                "maintenance wave requested"
             );
             wave
         });
     }
 
-    /// Takes in who holds the lead.
-    pub fn set_leader_lease(&self, lead: Option<LeaderLease>) {
-        *self.leader_lease.lock().expect("no holder of the lead panics") = lead;
+    /// Sets the current leader lease; `None` if it is released.
+    pub fn set_leader_lease(&self, lease: Option<LeaderLease>) {
+        *self.leader_lease.lock().expect("no holder of the leader lease panics") = lease;
     }
 
-    /// Whether no other node is much stronger; `None` until the others are known.
+    /// Whether no other node has much more CPU than this one; `None` until the others are known.
     pub fn is_preferred_leader(&self) -> Option<bool> {
         self.directory.is_preferred_leader(self.settings.cpu)
     }
 
-    /// Address of the holder of the lead, if it is another node.
+    /// Address of the leader, if it is another node.
     pub fn remote_leader(&self) -> Option<SocketAddr> {
-        let lead = self.leader_lease.lock().expect("no holder of the lead panics");
-        lead.as_ref().filter(|lead| lead.incarnation != self.incarnation).map(|lead| lead.addr)
+        let lease = self.leader_lease.lock().expect("no holder of the leader lease panics");
+        lease.as_ref().filter(|lease| lease.incarnation != self.incarnation).map(|lease| lease.addr)
     }
 
-    /// The scheduler, while this node holds the lead and has read the store.
+    /// The scheduler, while this node is the leader and has read the store.
     pub fn scheduler(&self) -> Option<Arc<Scheduler>> {
         self.scheduler.lock().expect("no holder of the scheduler panics").clone()
     }
@@ -188,19 +189,20 @@
         *self.scheduler.lock().expect("no holder of the scheduler panics") = scheduler;
     }
 
-    /// Whether the node has been told to stop.
+    /// Whether the node is stopping.
     pub fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
 
-    /// Waits for `time`, or less if the node is told to stop.
+    /// Sleeps for `time`, or until the node is stopping.
     pub async fn sleep_until_stopping(&self, time: Duration) {
         let mut stopping = self.stopping.subscribe();
-        // Either outcome ends the wait.
+        // The timeout and the stop both end the sleep.
         let _ = timeout(time, stopping.wait_for(|stopping| *stopping)).await;
     }
 
-    /// Asks the holder of the lead, which may be this node.
+    /// Sends a request to the leader, which may be this node; `None` if there is no leader or it
+    /// does not answer.
     pub async fn ask_leader(&self, request: peer::Request) -> Option<Reply> {
         if let Some(scheduler) = self.scheduler() {
             return Some(scheduler.answer(request).await);
@@ -210,19 +212,19 @@
             Ok(reply) => Some(reply),
             Err(error) => {
                 self.counters.count("batch.peer.no-answer");
-                log::debug!("the holder of the lead at {addr} does not answer: {error}");
+                log::debug!("the leader at {addr} does not answer: {error}");
                 None
             }
         }
     }
 
-    /// Takes in how a call about boxes ended.
-    pub fn record_machines_result<T>(&self, done: &Result<T, CallError>) {
-        self.machines_availability.record_result("machines", &self.counters, done);
+    /// Records the result of a call to the interface for machines.
+    pub fn record_machines_result<T>(&self, result: &Result<T, CallError>) {
+        self.machines_availability.record_result("machines", &self.counters, result);
     }
 
-    /// Tells the holder of the lead of a job in the store. If that fails, the holder finds it when
-    /// it next reads the store.
+    /// Reports a job that the store has taken to the leader. If that fails, the leader finds the
+    /// job when it next reads the store.
     pub fn report_submitted(&self, id: JobId, accepted: Accepted) {
         let request = peer::Request::Submitted(id, Box::new(accepted));
         if let Some(scheduler) = self.scheduler() {
@@ -232,13 +234,14 @@
         }
     }
 
-    /// The same for a job of an account; whether its id is that of another account's job, as far as the holder
-    /// says so at once.
+    /// Reports a job of an account like [`Node::report_submitted`], and returns whether its id is in
+    /// use by another account's job. `false` also if the leader does not answer within
+    /// [`ID_CHECK_TIMEOUT`].
     pub async fn is_id_in_use(self: &Arc<Self>, id: JobId, accepted: Accepted) -> bool {
         let (node, request) = (self.clone(), peer::Request::Submitted(id, Box::new(accepted)));
-        // Goes on beyond the time, so that the holder is told again if a connection ends.
-        let told = tokio::spawn(async move { node.ask_leader(request).await });
-        matches!(timeout(ID_CHECK_TIMEOUT, told).await, Ok(Ok(Some(Reply::IdInUse))))
+        // The task outlives the timeout, so that the report is sent again if a connection ends.
+        let reply = tokio::spawn(async move { node.ask_leader(request).await });
+        matches!(timeout(ID_CHECK_TIMEOUT, reply).await, Ok(Ok(Some(Reply::IdInUse))))
     }
 }
 
@@ -246,7 +249,7 @@
 ///
 /// # Errors
 ///
-/// [`StartError`] if it cannot listen.
+/// [`StartError`] if it cannot register its metrics or listen.
 pub async fn run(
     settings: Settings,
     options: NodeSettings,
@@ -259,7 +262,7 @@
     let readiness = listen("readiness", settings.readiness_addr).await?;
     let metrics = listen("metrics", metrics_addr).await?;
     let peers = listen("peers", peer_addr).await?;
-    log::info!(node = settings.node.as_str(), hall = settings.hall.as_str(); "starts");
+    log::info!(node = settings.node.as_str(), hall = settings.hall.as_str(); "node starts");
     let node = Node::new(settings, options, counters);
     let tasks = [
         tokio::spawn(peer::serve(node.clone(), peers)),
@@ -270,18 +273,18 @@
         tokio::spawn(watch_suspension(node.clone())),
     ];
     let (close, closed) = watch::channel(false);
-    let shared = node.clone();
+    let this = node.clone();
     let clients =
-        serve(clients, closed.clone(), move |request| client_api::handle(shared.clone(), request));
-    let shared = node.clone();
+        serve(clients, closed.clone(), move |request| client_api::handle(this.clone(), request));
+    let this = node.clone();
     let probes =
-        serve(readiness, closed.clone(), move |request| answer_readiness(shared.clone(), request));
-    let shared = node.clone();
-    let views = serve(metrics, closed, move |request| handle_operator(shared.clone(), request));
+        serve(readiness, closed.clone(), move |request| answer_readiness(this.clone(), request));
+    let this = node.clone();
+    let views = serve(metrics, closed, move |request| handle_operator(this.clone(), request));
     let stopping = async {
-        // A sender that is gone is a stop as well.
+        // A dropped sender is a stop as well.
         let _ = stop.wait_for(|stop| *stop).await;
-        log::info!("stops: the platform is told first");
+        log::info!("node is stopping; readiness probes fail from now on");
         node.stopping.send_replace(true);
         node.remote_dispatch.stop();
         sleep(STOP_DELAY).await;
@@ -291,11 +294,12 @@
     for task in tasks {
         task.abort();
     }
-    log::info!("stopped");
+    log::info!("node stopped");
     Ok(())
 }
 
-/// Tells when this node was suspended: what follows from it follows from [`clock::now`], which counts that time.
+/// Logs and counts suspensions of this node. Timeouts need nothing more, since [`clock::now`]
+/// includes the time of a suspension.
 async fn watch_suspension(node: Arc<Node>) {
     let mut known = clock::suspended();
     loop {
@@ -310,10 +314,10 @@
     }
 }
 
-/// Tells the platform whether clients may be sent here.
+/// Answers the platform's readiness probe: whether clients may be sent to this node.
 async fn answer_readiness(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
-    let known = request.uri().path() == READINESS_PATH;
-    let ready = known && node.config().is_some() && !node.is_stopping();
-    let response = Response::builder().status(if ready { 200 } else { 503 });
-    response.body(full("")).expect("a status makes an answer")
+    let is_probe = request.uri().path() == READINESS_PATH;
+    let is_ready = is_probe && node.config().is_some() && !node.is_stopping();
+    let response = Response::builder().status(if is_ready { 200 } else { 503 });
+    response.body(full("")).expect("the status is valid")
 }
--- a/lib/src/batch/node/answer.rs
+++ b/lib/src/batch/node/answer.rs
@@ -7,15 +7,15 @@
 use crate::batch::peer::Request;
 
 impl Node {
-    /// Answers another node.
+    /// Answers a request of another node.
     pub async fn answer_peer(self: &Arc<Self>, request: Request) -> Reply {
         match request {
             Request::Ping => Reply::Done,
-            Request::Dispatch(errand) => {
+            Request::Dispatch(commands) => {
                 match self.remote_dispatch.take_commands(
                     &self.dispatch_context(),
                     &self.peers,
-                    *errand,
+                    *commands,
                 ) {
                     true => Reply::Done,
                     false => Reply::NotReady,
--- a/lib/src/batch/node/config.rs
+++ b/lib/src/batch/node/config.rs
@@ -11,14 +11,14 @@
 use crate::batch::node::Node;
 use crate::transport::clock;
 
-/// A configuration, and since when it has been in force here.
+/// A configuration, and since when it has been in force at this node.
 pub(super) struct InForce {
     config: Arc<Config>,
     since: Instant,
 }
 
 impl Node {
-    /// The configuration in force.
+    /// The configuration in force; `None` until one has been received.
     pub fn config(&self) -> Option<Arc<Config>> {
         self.in_force().as_ref().map(|in_force| in_force.config.clone())
     }
@@ -32,13 +32,13 @@
         self.config().map_or(0, |config| config.version)
     }
 
-    /// For how long that version has been in force here.
+    /// How long that configuration has been in force at this node; `None` if there is none.
     pub fn config_age(&self) -> Option<Duration> {
         self.in_force().as_ref().map(|in_force| clock::since(in_force.since))
     }
 
-    /// Puts a configuration in force and tells others of it, unless a newer one is; returns whether it was put in
-    /// force.
+    /// Puts a configuration in force and announces it to other nodes, unless the same or a newer
+    /// version is in force already; returns whether it was put in force.
     pub fn set_config(&self, config: Config) -> bool {
         let mut in_force = self.in_force();
         let current = in_force.as_ref().map(|in_force| in_force.config.version);
--- a/lib/src/batch/node/operator_api.rs
+++ b/lib/src/batch/node/operator_api.rs
@@ -1,4 +1,4 @@
-//! What operators see of a node, and what they may have done through it.
+//! HTTP interface of a node for operators: metrics, views of batch work and changes of jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,22 +32,22 @@
 use crate::transport::dial::Body;
 use crate::transport::dial::full;
 
-/// How long a change may take; the tool waits longer than that.
+/// Timeout of a change; the operator's tool waits longer than that.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// Largest job that is read, in bytes.
+/// Largest body of a submitted job, in bytes.
 const BODY_LIMIT_BYTES: usize = 262_144;
 
-/// Answers operators: metrics as text, views of batch work and changes of jobs as JSON.
+/// Answers a request of an operator: metrics as text, views and results of changes as JSON.
 pub(super) async fn handle_operator(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     if !path.starts_with(view::PATH) {
         return Response::new(full(metrics_text(&node)));
     }
-    let answered = match *request.method() {
+    let result = match *request.method() {
         Method::GET => show_view(&node, path).await,
         _ => change_job(&node, request).await,
     };
-    let (status, text) = match answered {
+    let (status, text) = match result {
         Ok(text) => (200, text),
         Err(error) => {
             node.counters.count(error.counter());
@@ -55,7 +55,7 @@
         }
     };
     let response = Response::builder().status(status).header("content-type", "application/json");
-    response.body(full(text)).expect("a status makes an answer")
+    response.body(full(text)).expect("the status and header are valid")
 }
 
 async fn show_view(node: &Node, path: String) -> Result<String, ApiError> {
@@ -66,22 +66,22 @@
     }
 }
 
-/// Submits or cancels a job for the site's operator.
+/// Submits or cancels a job for the operator of the site.
 async fn change_job(node: &Arc<Node>, request: Request<Incoming>) -> Result<String, ApiError> {
     let (head, body) = request.into_parts();
     check_credential(node, &head)?;
     let path = head.uri.path().strip_prefix(view::PATH).unwrap_or_default();
-    let words: Vec<&str> = path.split('/').collect();
-    let until = clock::now() + CHANGE_TIMEOUT;
-    match (&head.method, &words[..]) {
+    let segments: Vec<&str> = path.split('/').collect();
+    let deadline = clock::now() + CHANGE_TIMEOUT;
+    match (&head.method, &segments[..]) {
         (&Method::POST, ["queues", queue, "jobs", id]) => {
             let id = parse_id(id).ok_or(ApiError::Malformed)?;
             let body = read_body(body).await?;
-            submit_job(node, queue, id, &body, until).await
+            submit_job(node, queue, id, &body, deadline).await
         }
         (&Method::DELETE, ["jobs", id]) => {
             let id = parse_id(id).ok_or(ApiError::Malformed)?;
-            cancel_job(node, id, until).await
+            cancel_job(node, id, deadline).await
         }
         _ => Err(ApiError::Malformed),
     }
@@ -89,41 +89,42 @@
 
 async fn read_body(body: Incoming) -> Result<Bytes, ApiError> {
     match Limited::new(body, BODY_LIMIT_BYTES).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(ApiError::TooLarge),
         Err(_) => Err(ApiError::Malformed),
     }
 }
 
-/// Without a key of the site in the node's settings, nobody may change anything.
+/// Checks that the request carries the key of the site. Without one in the node's settings, every
+/// change is refused.
 fn check_credential(node: &Node, head: &Parts) -> Result<(), ApiError> {
     let key = node.options.site_key.ok_or(ApiError::Credential)?;
     let credential = bearer(head)?;
-    let valid = credential.account == SITE && credential.matches(&[key]);
-    if valid { Ok(()) } else { Err(ApiError::Credential) }
+    let is_valid = credential.account == SITE && credential.matches(&[key]);
+    if is_valid { Ok(()) } else { Err(ApiError::Credential) }
 }
 
 async fn submit_job(
     node: &Arc<Node>,
-    queue: &str,
+    name: &str,
     id: JobId,
     body: &[u8],
-    until: Instant,
+    deadline: Instant,
 ) -> Result<String, ApiError> {
     let config = node.config().ok_or(ApiError::Stale)?;
-    let queue = config.queues.iter().find(|known| known.name == queue);
+    let queue = config.queues.iter().find(|queue| queue.name == name);
     let queue = queue.ok_or(ApiError::NotFound { what: "queue".into() })?;
     let job = Job::decode(body);
     let job = job.map_err(|error| ApiError::Job { cause: error.to_string().into() })?;
-    match node.commit_job(id, submit::accepted_job(job, queue, &Caller::Operator), until).await {
+    match node.commit_job(id, submit::accepted_job(job, queue, &Caller::Operator), deadline).await {
         WriteOutcome::Stored => Ok(to_json(&view::Submitted { id: format!("{id:016x}") })),
         WriteOutcome::Refused(_) | WriteOutcome::IdInUse(_) => Err(ApiError::JobRefused),
         WriteOutcome::Unknown => Err(ApiError::JobUnknown { job: format!("{id:016x}").into() }),
     }
 }
 
-async fn cancel_job(node: &Node, id: JobId, until: Instant) -> Result<String, ApiError> {
-    match submit::cancel_job(node, id, Caller::Operator, until).await {
+async fn cancel_job(node: &Node, id: JobId, deadline: Instant) -> Result<String, ApiError> {
+    match submit::cancel_job(node, id, Caller::Operator, deadline).await {
         JobAnswer::State(state) => Ok(to_json(&view::Cancelled { state: Some(state) })),
         JobAnswer::CancelStored => Ok(to_json(&view::Cancelled { state: None })),
         JobAnswer::NoJob => Err(ApiError::NotFound { what: "job".into() }),
@@ -132,7 +133,7 @@
 }
 
 fn to_json<T: serde::Serialize>(value: &T) -> String {
-    serde_json::to_string(value).expect("answers can be written as JSON")
+    serde_json::to_string(value).expect("answers can be encoded as JSON")
 }
 
 fn metrics_text(node: &Node) -> String {
