--- a/lib/src/batch/availability.rs
+++ b/lib/src/batch/availability.rs
@@ -1,5 +1,5 @@
-//! Which of the platform's services answer this node: counters of what happens to connections, and a
-//! line in the log when a service no longer answers and when it answers again.
+//! Availability of the platform's services: counters of connection events, and a log line when a
+//! service stops answering and when it answers again.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,21 +14,21 @@
 use crate::transport::dial::Event;
 use crate::transport::dial::Watch;
 
-/// Whether a service of the platform answers.
+/// Availability of one of the platform's services.
 #[derive(Default)]
 pub struct Availability {
     outage: Mutex<Option<Outage>>,
 }
 
-/// Since when a service has not answered.
+/// A time in which a service does not answer.
 struct Outage {
     since: Instant,
-    /// Calls that had no answer since then.
+    /// Number of calls without an answer since then.
     failed_calls: u64,
 }
 
 impl Availability {
-    /// Takes in how a call to the service named `service` ended. A refusal is an answer.
+    /// Records the result of a call to the service named `service`. A refusal is an answer.
     ///
     /// ```
     /// # use spokelift_lib::batch::availability::Availability;
@@ -47,24 +47,24 @@
         &self,
         service: &str,
         counters: &Counters,
-        done: &Result<T, CallError>,
+        result: &Result<T, CallError>,
     ) {
-        let mut lost = self.outage.lock().expect("no holder of the state panics");
-        if let Err(error) = done {
+        let mut outage = self.outage.lock().expect("no holder of the state panics");
+        if let Err(error) = result {
             counters.count(&format!("call.{service}.{}", error.kind()));
         }
-        match done {
+        match result {
             Err(error @ (CallError::Unknown(_) | CallError::NotSent(_))) => {
-                let lost = lost.get_or_insert_with(|| {
-                    log::warn!(service; "no answer: {error}");
+                let outage = outage.get_or_insert_with(|| {
+                    log::warn!(service; "platform service does not answer: {error}");
                     Outage { since: clock::now(), failed_calls: 0 }
                 });
-                lost.failed_calls += 1;
+                outage.failed_calls += 1;
             }
             Ok(_) | Err(_) => {
-                if let Some(Outage { since, failed_calls: calls }) = lost.take() {
+                if let Some(Outage { since, failed_calls }) = outage.take() {
                     let lost_ms = clock::since(since).as_millis() as u64;
-                    log::info!(service, lost_ms, calls; "answers again");
+                    log::info!(service, lost_ms, calls = failed_calls; "platform service answers again");
                 }
             }
         }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Counts what happens to connections, by the service at their other end.
+/// Counts and logs connection events, by the service at the other end.
 pub fn count_connections(settings: &Settings, counters: Counters) -> Watch {
     let (store, machines, advice) = (settings.store, settings.machines, settings.advice);
     Arc::new(move |addr: SocketAddr, event: Event| {
@@ -91,7 +91,7 @@
             Event::Unreachable => "unreachable",
             Event::Unanswered { kept, given_up } => {
                 let addr = addr.to_string();
-                log::info!(service, addr = addr.as_str(), kept, given_up; "a request had no answer");
+                log::info!(service, addr = addr.as_str(), kept, given_up; "request without an answer");
                 counters.add(&format!("connection.{service}.given-up"), given_up as u64);
                 if kept { "unanswered.kept" } else { "unanswered.new" }
             }
