--- a/lib/src/batch/directory.rs
+++ b/lib/src/batch/directory.rs
@@ -1,6 +1,7 @@
-//! The other nodes: each writes where it is and how strong it is to the store when it starts. That
-//! is used when the store turns a node away, and to have strong nodes take the lead first; for
-//! nothing that must be right.
+//! Directory of the other nodes: each node writes its address and its CPU to the store when it
+//! starts. Used to choose peers, for relayed calls to the store among others, and to have nodes with
+//! enough CPU claim the leader lease first. Entries may be outdated, so nothing that must be correct
+//! relies on them.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -22,56 +23,57 @@
 use crate::batch::node::Node;
 use crate::transport::clock;
 
-/// Topic with the nodes, by name.
+/// Topic with the entries of the nodes, keyed by node name.
 const TOPIC: &str = "keyed.nodes";
-/// How long a call to the store may take.
+/// Timeout of a call to the store.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// Pause after a call that failed.
+/// Delay after a failed call to the store.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Times between the first reads: nodes of a site start within 0.3 s, some a little later.
+/// Delays before the first reads: most nodes of a site start within 0.3 s, some a little later.
 const INITIAL_READ_DELAYS: [Duration; 4] = [
     Duration::from_millis(0),
     Duration::from_millis(350),
     Duration::from_millis(650),
     Duration::from_millis(1_500),
 ];
-/// Time between reads after that. Nodes come and go rarely, and those that are gone cost one try.
+/// Time between reads after that. Nodes rarely start or stop, and an entry of a node that does not
+/// run any more costs one failed request.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(10);
-/// How long a node that did not answer is asked only where there are no others: a node that was
-/// killed is back within about this time.
+/// How long a node that did not answer is avoided where other nodes can be asked. A node that was
+/// killed has restarted after about this time.
 const UNRESPONSIVE_COOLDOWN: Duration = Duration::from_secs(3);
-/// Nodes that are tried for one request.
+/// Largest number of peers that are asked to relay one call.
 const MAX_RELAY_PEERS: usize = 2;
 
-/// Share of the strongest node's processor with which a node counts as strong itself.
+/// A node with at least this fraction of the largest CPU of all nodes is a preferred leader.
 const PREFERRED_CPU_FRACTION: f64 = 0.7;
 
-/// A node, as it writes itself to the store.
+/// The entry of a node in the store.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 struct Entry {
     addr: SocketAddr,
-    /// Its processor, in thousandths of a core.
+    /// CPU of the node, in thousandths of a core.
     cpu: u32,
 }
 
-/// The other nodes.
+/// The other nodes, as far as this node knows them.
 #[derive(Default)]
 pub struct Directory {
     entries: Mutex<Option<Vec<Entry>>>,
-    /// The node that last reached the store for this one.
+    /// The node that last relayed a call to the store for this one.
     preferred_relay: Mutex<Option<SocketAddr>>,
-    /// Nodes that did not answer, and when.
+    /// Nodes that did not answer, and when they were last asked.
     unresponsive: Mutex<HashMap<SocketAddr, Instant>>,
 }
 
 impl Directory {
-    /// The other nodes, with their processor in thousandths of a core.
+    /// Sets the other nodes, with their CPU in thousandths of a core.
     pub fn set_nodes(&self, nodes: impl IntoIterator<Item = (SocketAddr, u32)>) {
         let entries = nodes.into_iter().map(|(addr, cpu)| Entry { addr, cpu });
         *self.entries() = Some(entries.collect());
     }
 
-    /// Where the other nodes answer, as far as is known.
+    /// Addresses of the other nodes.
     fn addrs(&self) -> Vec<SocketAddr> {
         self.entries().iter().flatten().map(|entry| entry.addr).collect()
     }
@@ -80,60 +82,61 @@
         self.entries.lock().expect("no holder of the entries panics")
     }
 
-    /// Whether no other node is much stronger than one with so many thousandths of a core; `None`
-    /// until the others have been read.
+    /// Whether a node with this CPU, in thousandths of a core, is a preferred leader: no other node
+    /// has much more. `None` until the other nodes have been read.
     pub fn is_preferred_leader(&self, cpu: u32) -> Option<bool> {
         let entries = self.entries();
-        let strongest = entries.as_ref()?.iter().map(|entry| entry.cpu).max().unwrap_or(0);
-        Some(f64::from(cpu) >= f64::from(strongest) * PREFERRED_CPU_FRACTION)
+        let largest = entries.as_ref()?.iter().map(|entry| entry.cpu).max().unwrap_or(0);
+        Some(f64::from(cpu) >= f64::from(largest) * PREFERRED_CPU_FRACTION)
     }
 
-    /// The strongest of the other nodes, with their processor in thousandths of a core; not those that
-    /// are left out, nor such as did not answer lately.
+    /// Up to `count` of the other nodes, those with the most CPU first, with their CPU in thousandths
+    /// of a core. Excludes the given nodes and those that did not answer recently.
     pub fn peers_by_cpu(
         &self,
         count: usize,
-        without: &HashSet<SocketAddr>,
+        excluded: &HashSet<SocketAddr>,
     ) -> Vec<(SocketAddr, u32)> {
         let mut nodes: Vec<Entry> = self.entries().iter().flatten().cloned().collect();
-        nodes.retain(|node| !without.contains(&node.addr) && !self.is_unresponsive(node.addr));
+        nodes.retain(|node| !excluded.contains(&node.addr) && !self.is_unresponsive(node.addr));
         nodes.shuffle(&mut rand::rng());
         nodes.sort_by_key(|node| std::cmp::Reverse(node.cpu));
         nodes.truncate(count);
         nodes.into_iter().map(|node| (node.addr, node.cpu)).collect()
     }
 
-    /// How many of the other nodes have a lower address: a number that each node has for itself,
-    /// from 0, as far as they know of each other.
+    /// Number of other nodes with a lower address than `own`. Ranks start at 0 and are distinct if
+    /// all nodes know each other.
     pub fn rank(&self, own: SocketAddr) -> usize {
         let entries = self.entries();
         entries.iter().flatten().filter(|entry| entry.addr < own).count()
     }
 
-    /// A node has reached the store for this one.
+    /// Records that a node has relayed a call to the store.
     pub fn set_preferred_relay(&self, addr: SocketAddr) {
         *self.preferred_relay.lock().expect("no holder of the address panics") = Some(addr);
     }
 
-    /// A node has not answered.
+    /// Records that a node did not answer.
     pub fn mark_unresponsive(&self, addr: SocketAddr) {
-        let mut shunned = self.unresponsive.lock().expect("no holder of the addresses panics");
-        shunned.retain(|_, since| clock::since(*since) < UNRESPONSIVE_COOLDOWN);
-        shunned.insert(addr, clock::now());
+        let mut unresponsive = self.unresponsive.lock().expect("no holder of the addresses panics");
+        unresponsive.retain(|_, since| clock::since(*since) < UNRESPONSIVE_COOLDOWN);
+        unresponsive.insert(addr, clock::now());
     }
 
     fn is_unresponsive(&self, addr: SocketAddr) -> bool {
-        let shunned = self.unresponsive.lock().expect("no holder of the addresses panics");
-        shunned.get(&addr).is_some_and(|since| clock::since(*since) < UNRESPONSIVE_COOLDOWN)
+        let unresponsive = self.unresponsive.lock().expect("no holder of the addresses panics");
+        unresponsive.get(&addr).is_some_and(|since| clock::since(*since) < UNRESPONSIVE_COOLDOWN)
     }
 
-    /// The other nodes but for those that did not answer lately.
+    /// Addresses of the other nodes except those that did not answer recently.
     fn responsive_addrs(&self) -> Vec<SocketAddr> {
         self.addrs().into_iter().filter(|addr| !self.is_unresponsive(*addr)).collect()
     }
 
-    /// A few of the other nodes, not such as did not answer lately: the same ones each time, and others for each node
-    /// that asks, so that few connections are needed and all nodes are reached over some others.
+    /// Up to `count` of the other nodes, without those that did not answer recently. A node gets the
+    /// same peers each time, so that it needs few connections, and each node gets different ones, so
+    /// that every node is reached through some others.
     pub fn stable_peers(&self, own: SocketAddr, count: usize) -> Vec<SocketAddr> {
         let mut addrs = self.responsive_addrs();
         addrs.sort_by_cached_key(|addr| {
@@ -143,7 +146,7 @@
         addrs
     }
 
-    /// A few of the other nodes at random, not such as did not answer lately.
+    /// Up to `count` random other nodes, without those that did not answer recently.
     pub fn random_peers(&self, count: usize) -> Vec<SocketAddr> {
         let mut addrs = self.responsive_addrs();
         addrs.shuffle(&mut rand::rng());
@@ -151,8 +154,8 @@
         addrs
     }
 
-    /// A few of the other nodes: first the one that last was of help, then others at random, and
-    /// those that did not answer lately only where there are no others.
+    /// The nodes to ask to relay a call: first the one that last relayed one, then random others.
+    /// Nodes that did not answer recently come last.
     pub fn relay_peers(&self) -> Vec<SocketAddr> {
         let mut addrs = self.addrs();
         addrs.shuffle(&mut rand::rng());
@@ -163,23 +166,23 @@
     }
 }
 
-/// Writes this node's entry, and reads those of the others now and then.
+/// Writes this node's entry, and reads the entries of the other nodes at intervals.
 pub async fn run(node: Arc<Node>) {
     let addr = node.settings.peer_addr();
     let own = Entry { addr, cpu: node.settings.cpu };
     while let Err(error) = write_entry(&node, &own).await {
-        log::debug!("the entry of this node was not written: {error}");
+        log::debug!("cannot write the entry of this node: {error}");
         sleep(RETRY_DELAY).await;
     }
-    let mut pauses = INITIAL_READ_DELAYS.into_iter();
+    let mut delays = INITIAL_READ_DELAYS.into_iter();
     loop {
-        sleep(pauses.next().unwrap_or(REFRESH_INTERVAL)).await;
+        sleep(delays.next().unwrap_or(REFRESH_INTERVAL)).await;
         match read_entries(&node, addr).await {
             Ok(entries) => {
                 node.directory.set_nodes(entries.into_iter().map(|entry| (entry.addr, entry.cpu)));
             }
             Err(error) => {
-                log::debug!("the other nodes cannot be read: {error}");
+                log::debug!("cannot read the entries of the other nodes: {error}");
                 sleep(RETRY_DELAY).await;
             }
         }
@@ -187,7 +190,7 @@
 }
 
 async fn write_entry(node: &Node, own: &Entry) -> Result<(), CallError> {
-    let value = postcard::to_stdvec(own).expect("an entry can be written by postcard");
+    let value = postcard::to_stdvec(own).expect("an entry can be encoded by postcard");
     let record = Record::set(node.settings.node.as_str(), value);
     node.append(TOPIC, &[record], &Guard::None, CALL_TIMEOUT).await.map(drop)
 }
@@ -199,7 +202,7 @@
         let Some(value) = record.value else { continue };
         match postcard::from_bytes::<Entry>(&value) {
             Ok(entry) => entries.push(entry),
-            Err(error) => log::warn!("the entry of node {} does not decode: {error}", record.key),
+            Err(error) => log::warn!("cannot decode the entry of node {}: {error}", record.key),
         }
     }
     entries.retain(|entry| entry.addr != own);
