--- a/lib/src/batch/gossip.rs
+++ b/lib/src/batch/gossip.rs
@@ -1,8 +1,9 @@
-//! How a configuration reaches the nodes that the store does not serve.
+//! Gossip of configuration versions, for nodes that cannot reach the store.
 //!
-//! Each node reads the operator's records itself. One that the store turns away or leaves without an answer learns of a
-//! newer version from the others: whoever has put one in force tells a few nodes its number, and who has an older one
-//! fetches it from the teller, whole, and tells others in turn.
+//! Each node reads the operator's records itself. A node that the store rejects or does not answer
+//! learns of a newer version from other nodes: a node that has put a version in force announces its
+//! number to a few peers, and a peer with an older version fetches the whole configuration from the
+//! sender and announces it in turn.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,49 +21,53 @@
 use crate::batch::peer::Request;
 use crate::transport::clock;
 
-/// Nodes that are told of a new version by each node that has put it in force: with half of all cut off from the store,
-/// one in twenty of them is told by nobody else at first.
+/// Number of peers to which a node announces a new version. With half of all nodes cut off from the
+/// store, one in twenty of these gets no announcement in the first round.
 const FANOUT: usize = 3;
-/// Nodes whose configuration is fetched at once, so that one that is silent does not hold up another.
+/// Largest number of concurrent fetches, so that a sender that does not answer does not delay the
+/// fetch from another one.
 const MAX_FETCHES: usize = 2;
-/// Nodes that wait to have theirs fetched; of more, who has the oldest version is passed over.
+/// Largest number of senders to fetch from; beyond it, those with the oldest versions are dropped.
 const MAX_PENDING_SENDERS: usize = 4;
-/// How long a call that would be refused waits for a newer configuration.
+/// How long a client's request that would be refused waits for a newer configuration.
 const ASK_TIMEOUT: Duration = Duration::from_millis(150);
-/// Least time between two such questions of a node, however many calls would be refused.
+/// Smallest time between two rounds of asking peers for a newer configuration, however many requests
+/// would be refused.
 const MIN_ASK_INTERVAL: Duration = Duration::from_millis(500);
-/// Nodes that are asked each time.
+/// Number of peers asked in one round.
 const ASKED_PEERS: usize = 2;
 
-/// What a node knows of its own questions.
+/// A node's state of the gossip.
 #[derive(Default)]
 pub struct Gossip {
     asked_at: Mutex<Option<Instant>>,
     senders: Mutex<Senders>,
 }
 
-/// Nodes that have told of versions newer than the one in force here.
+/// Nodes that have announced versions newer than the one in force at this node.
 #[derive(Default)]
 struct Senders {
-    /// Tasks that fetch versions.
+    /// Number of tasks that fetch configurations.
     active_fetches: usize,
+    /// Senders to fetch from, with their versions, the oldest version first.
     pending: Vec<(Version, SocketAddr)>,
 }
 
 impl Senders {
-    /// A node has told of a version; returns whether one more task is to fetch versions.
+    /// Adds a sender of an announcement; returns whether to start one more task that fetches.
     fn add(&mut self, version: Version, from: SocketAddr) -> bool {
         self.pending.retain(|(_, addr)| *addr != from);
         self.pending.push((version, from));
         self.pending.sort_unstable();
-        let passed_over = self.pending.len().saturating_sub(MAX_PENDING_SENDERS);
-        self.pending.drain(..passed_over);
-        let may_begin = self.active_fetches < MAX_FETCHES;
-        self.active_fetches += usize::from(may_begin);
-        may_begin
+        let excess = self.pending.len().saturating_sub(MAX_PENDING_SENDERS);
+        self.pending.drain(..excess);
+        let may_start = self.active_fetches < MAX_FETCHES;
+        self.active_fetches += usize::from(may_start);
+        may_start
     }
 
-    /// Whose version is fetched next, the newest first; `None` ends the task that asks.
+    /// Removes and returns the sender with the newest version above `in_force`. `None` if there is
+    /// none; the calling task must end then and is not counted any more.
     fn next_source(&mut self, in_force: Version) -> Option<SocketAddr> {
         self.pending.retain(|(version, _)| *version > in_force);
         let next = self.pending.pop();
@@ -72,7 +77,7 @@
 }
 
 impl Node {
-    /// Tells a few nodes that a version is in force here.
+    /// Announces to a few nodes that a version is in force at this node.
     pub fn announce_version(&self, version: Version) {
         let from = self.settings.peer_addr();
         for addr in self.directory.stable_peers(from, FANOUT) {
@@ -81,7 +86,7 @@
         }
     }
 
-    /// Another node has a version in force.
+    /// Handles the announcement of a version by the node at `from`.
     pub fn on_version(self: &Arc<Self>, version: Version, from: SocketAddr) {
         if self.config_version() >= version || !self.senders().add(version, from) {
             return;
@@ -95,7 +100,7 @@
     }
 
     fn senders(&self) -> MutexGuard<'_, Senders> {
-        self.gossip.senders.lock().expect("no holder of the tellers panics")
+        self.gossip.senders.lock().expect("no holder of the senders panics")
     }
 
     fn next_sender(&self) -> Option<SocketAddr> {
@@ -103,7 +108,7 @@
         self.senders().next_source(in_force)
     }
 
-    /// Fetches the configuration of another node and puts it in force if it is newer.
+    /// Fetches the configuration of another node and puts it in force, if it is newer.
     async fn fetch_config(&self, from: SocketAddr) {
         match self.peers.ask(from, Request::Config(self.config_version())).await {
             Ok(Reply::Config(Some(config))) => {
@@ -115,31 +120,33 @@
         }
     }
 
-    /// The configuration in force here, if it is newer than a peer's.
+    /// The configuration in force at this node, if it is newer than `version`.
     pub fn config_newer_than(&self, version: Version) -> Option<Box<Config>> {
         let config = self.config().filter(|config| config.version > version)?;
         Some(Box::new(Config::clone(&config)))
     }
 
-    /// Asks a few nodes for a configuration newer than this node's, which would refuse a call; `None` if none is
-    /// known in time, or nodes were asked a moment ago.
+    /// Asks a few nodes for a configuration newer than the one in force at this node, which would
+    /// refuse a client's request. `None` if none arrives within [`ASK_TIMEOUT`], or if the last round
+    /// of asking was less than [`MIN_ASK_INTERVAL`] ago.
     pub async fn fetch_newer_config(&self) -> Option<Arc<Config>> {
         let before = self.config_version();
         if !self.try_start_asking(clock::now()) {
             return None;
         }
         self.counters.count("batch.config.asked");
-        let asks = self
+        let fetches = self
             .directory
             .random_peers(ASKED_PEERS)
             .into_iter()
             .map(|addr| self.fetch_config(addr));
-        let asked = futures_util::future::join_all(asks);
-        // Whatever came in time counts, also if one of them is silent.
-        let _ = timeout(ASK_TIMEOUT, asked).await;
+        let fetches = futures_util::future::join_all(fetches);
+        // After a timeout, a configuration from a peer that answered in time is in force all the same.
+        let _ = timeout(ASK_TIMEOUT, fetches).await;
         self.config().filter(|config| config.version > before)
     }
 
+    /// Records the start of a round of asking peers; `false` if the last one is too recent.
     fn try_start_asking(&self, now: Instant) -> bool {
         let mut asked_at = self.gossip.asked_at.lock().expect("no holder of the time panics");
         if asked_at.is_some_and(|at| now.saturating_duration_since(at) < MIN_ASK_INTERVAL) {
--- a/lib/src/batch/relay.rs
+++ b/lib/src/batch/relay.rs
@@ -1,9 +1,9 @@
-//! Reaching the platform's store: directly, or through another node while the store turns this one
-//! away.
+//! Calls to the platform's store: directly, or through another node while the store rejects this
+//! node or does not answer it.
 //!
-//! A call that is passed on may be done twice or late, like a call that is sent again. Every append
-//! bears that: it has a condition on the topic's end, the number of its producer, or says the same
-//! thing twice.
+//! A relayed call may be executed twice or late, like a retried call. Every append tolerates that:
+//! it has a condition on the end of its topic, carries a producer's sequence number, or is
+//! idempotent.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -31,66 +31,67 @@
 use crate::transport::clock;
 use crate::transport::dial::ExchangeError;
 
-/// How long one call to the store for a peer may take.
+/// Timeout of one call to the store for a peer.
 const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an append may go without an answer before a peer is asked to do it as well. The store
-/// answers within 5 ms in calm.
+/// Time without an answer to an append after which a peer is asked to make it as well. Without load,
+/// the store answers within 5 ms.
 const HEDGE_DELAY: Duration = Duration::from_millis(300);
-/// Longest time that a peer waits for news in a read, so that it answers before it is taken not to.
+/// Largest long-poll time of a read for a peer, so that the answer comes before the peer's request
+/// times out.
 const MAX_PEER_LONG_POLL: Duration = Duration::from_millis(300);
 
 /// A call to the store that a peer is to make.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
-    /// Append these records.
+    /// Appends records.
     Append {
-        /// Where.
+        /// The partition.
         partition: Partition,
         /// The records.
         records: Vec<Record>,
-        /// The condition.
+        /// The condition under which they are appended.
         guard: Guard,
     },
-    /// Read from an offset on.
+    /// Reads from an offset on.
     Read {
-        /// Where.
+        /// The partition.
         partition: Partition,
-        /// The offset.
+        /// The offset of the first record.
         from: Offset,
-        /// How long to wait for news, at most `PEER_POLL`.
+        /// How long to wait for new records, at most `MAX_PEER_LONG_POLL`.
         long_poll: Duration,
     },
-    /// Read the newest record of each key.
+    /// Reads the newest record of each key.
     Newest {
-        /// Where.
+        /// The partition.
         partition: Partition,
     },
 }
 
-/// What became of the call.
+/// The result of a relayed call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
     /// The records were appended.
     Appended(Appended),
     /// The records read.
     Page(Page),
-    /// The newest records.
+    /// The newest record of each key.
     Newest(Newest),
-    /// The store refuses what is asked, whoever asks.
+    /// The store refuses the call, whichever node makes it.
     Refused {
-        /// Status of the refusal.
+        /// HTTP status of the refusal.
         status: u16,
-        /// The reason given.
+        /// The store's reason.
         reason: String,
     },
-    /// The peer cannot reach the store either; nothing was done.
+    /// The peer cannot reach the store either; the call had no effect.
     #[serde(rename = "Away")]
     Unavailable,
-    /// It may have been done, or may be done later.
+    /// The call may have been executed, or may be executed later.
     Unknown,
 }
 
-/// What a node knows of its own way to the store.
+/// State of a node's direct route to the store.
 #[derive(Default)]
 pub struct Route {
     state: Mutex<State>,
@@ -98,29 +99,29 @@
 
 #[derive(Default)]
 struct State {
-    /// The last direct call that ended was turned away or had no answer.
+    /// Whether the last direct call that ended was rejected for this node or had no answer.
     is_unavailable: bool,
-    /// When the direct appends that are under way were sent.
+    /// When each direct append in flight was sent.
     in_flight: Vec<Instant>,
 }
 
 impl Route {
-    fn record_result<T>(&self, done: &Result<T, CallError>) {
-        let shut = done.as_ref().err().is_some_and(CallError::is_turned_away);
+    fn record_result<T>(&self, result: &Result<T, CallError>) {
+        let is_unavailable = result.as_ref().err().is_some_and(CallError::is_turned_away);
         let mut state = self.state.lock().expect("no holder of the state panics");
-        if state.is_unavailable != shut {
-            log::info!(shut; "the store's door for this node");
+        if state.is_unavailable != is_unavailable {
+            log::info!(shut = is_unavailable; "availability of the direct route to the store changed");
         }
-        state.is_unavailable = shut;
+        state.is_unavailable = is_unavailable;
     }
 
-    /// Whether the last direct call failed.
+    /// Whether the last direct call that ended was rejected for this node or had no answer.
     pub fn is_unavailable(&self) -> bool {
         self.state.lock().expect("no holder of the state panics").is_unavailable
     }
 
-    /// Whether a peer should not be helped: the store is away for this node as well, or so slow
-    /// that more writes would only make all of them later.
+    /// Whether this node should not relay calls: it cannot reach the store either, or the store is so
+    /// slow that more appends would only delay all of them.
     fn is_unfit_to_relay(&self) -> bool {
         let state = self.state.lock().expect("no holder of the state panics");
         state.is_unavailable
@@ -133,13 +134,14 @@
 
     fn finish_append(&self, sent: Instant) {
         let mut state = self.state.lock().expect("no holder of the state panics");
-        if let Some(place) = state.in_flight.iter().position(|other| *other == sent) {
-            state.in_flight.swap_remove(place);
+        if let Some(index) = state.in_flight.iter().position(|other| *other == sent) {
+            state.in_flight.swap_remove(index);
         }
     }
 }
 
-/// Takes an append out of those under way, also where nobody waits for its answer any more.
+/// Removes an append from those in flight when dropped, also if its future is dropped before the
+/// answer.
 struct InFlightAppend<'a>(&'a Route, Instant);
 
 impl Drop for InFlightAppend<'_> {
@@ -149,12 +151,12 @@
 }
 
 impl Node {
-    /// Appends records to a partition of the store, the first one where only a topic is named, if
-    /// need be through another node.
+    /// Appends records to a partition of the store, or to the first one if only a topic is named. A
+    /// peer relays the append if the direct route is unavailable or slow.
     ///
     /// # Errors
     ///
-    /// As of [`Store::append`]; it is certain that nothing was done only if no try was left without
+    /// As of [`Store::append`]. Without a condition, the error is certain only if every attempt had
     /// an answer.
     pub async fn append(
         &self,
@@ -169,12 +171,12 @@
             records: records.to_vec(),
             guard: guard.clone(),
         };
-        let mut known = true;
+        let mut is_known = true;
         if self.store_route.is_unavailable() {
             match self.relay(call()).await {
                 Some(Answer::Appended(appended)) => return Ok(appended),
                 Some(Answer::Unavailable | Answer::Refused { .. }) => {}
-                _ => known = false,
+                _ => is_known = false,
             }
         }
         let direct = self.append_directly(&partition, records, guard, wait);
@@ -182,15 +184,15 @@
         let mut failed = match timeout(HEDGE_DELAY, &mut direct).await {
             Ok(Ok(appended)) => return Ok(appended),
             Ok(Err(error)) if !error.is_turned_away() => {
-                return Err(append_error(error, guard, known));
+                return Err(append_error(error, guard, is_known));
             }
             Ok(Err(error)) => Some(error),
             Err(_) => None,
         };
         let mut relayed = std::pin::pin!(self.relay(call()));
-        // A slow store may answer the first try before the second one, which it refuses then.
+        // A slow store may execute the direct append first and then refuse the relayed one.
         let relayed = tokio::select! {
-            done = &mut direct, if failed.is_none() => match done {
+            result = &mut direct, if failed.is_none() => match result {
                 Ok(appended) => return Ok(appended),
                 Err(error) => {
                     failed = Some(error);
@@ -199,17 +201,18 @@
             },
             relayed = &mut relayed => relayed,
         };
-        known &= matches!(relayed, Some(Answer::Unavailable | Answer::Refused { .. }));
+        is_known &= matches!(relayed, Some(Answer::Unavailable | Answer::Refused { .. }));
         match (relayed, failed) {
             (Some(Answer::Appended(appended)), _) => Ok(appended),
             (Some(Answer::Refused { status, reason }), Some(error)) => {
-                known &= error.is_certain();
+                is_known &= error.is_certain();
                 let error = CallError::Refused { status, reason, body: Bytes::new() };
-                Err(append_error(error, guard, known))
+                Err(append_error(error, guard, is_known))
             }
-            (_, Some(error)) => Err(append_error(error, guard, known)),
-            // The peer may have been refused since the first try is done and its answer on the way.
-            (_, None) => direct.await.map_err(|error| append_error(error, guard, known)),
+            (_, Some(error)) => Err(append_error(error, guard, is_known)),
+            // The relayed append may have been refused because the direct one has been executed and
+            // its answer is still on the way.
+            (_, None) => direct.await.map_err(|error| append_error(error, guard, is_known)),
         }
     }
 
@@ -222,18 +225,20 @@
     ) -> Result<Appended, CallError> {
         let sent = clock::now();
         self.store_route.start_append(sent);
-        let _under_way = InFlightAppend(&self.store_route, sent);
-        let done = self.store.append(partition, records, guard, wait).await;
-        self.store_route.record_result(&done);
-        done
+        let _in_flight = InFlightAppend(&self.store_route, sent);
+        let result = self.store.append(partition, records, guard, wait).await;
+        self.store_route.record_result(&result);
+        result
     }
 
-    /// Reads a partition, through another node if the store turns this one away. Then it may wait for news less
-    /// long than asked, as the store's own answer is only to show that this node is served again.
+    /// Reads a partition, through another node while the direct route is unavailable. The read then
+    /// may wait for new records for less than `long_poll`: the direct read does not wait, since it
+    /// only shows whether the route is available again, and a peer waits for a limited time.
     ///
     /// # Errors
     ///
-    /// That of the store, if no other node can read either.
+    /// The error of the direct read, if no other node can read either; the store's refusal, if a
+    /// relayed read is refused.
     pub async fn read_topic(
         &self,
         partition: impl Into<Partition>,
@@ -242,8 +247,9 @@
         wait: Duration,
     ) -> Result<Page, CallError> {
         let partition = partition.into();
-        let own_poll = if self.store_route.is_unavailable() { Duration::ZERO } else { long_poll };
-        let direct = self.store.read(&partition, from, own_poll, wait);
+        let direct_poll =
+            if self.store_route.is_unavailable() { Duration::ZERO } else { long_poll };
+        let direct = self.store.read(&partition, from, direct_poll, wait);
         let call = Call::Read { partition: partition.clone(), from, long_poll };
         self.read_or_relay(direct, call, |answer| match answer {
             Answer::Page(page) => Some(page),
@@ -252,11 +258,12 @@
         .await
     }
 
-    /// Reads the newest records of a partition, through another node if the store turns this one away.
+    /// Reads the newest record of each key of a partition, through another node while the direct
+    /// route is unavailable.
     ///
     /// # Errors
     ///
-    /// That of the store, if no other node can read either.
+    /// As of [`Node::read_topic`].
     pub async fn read_newest(
         &self,
         partition: impl Into<Partition>,
@@ -272,52 +279,52 @@
         .await
     }
 
-    /// Reads from the store; while its door is shut, through a peer at the same time, since a store that says nothing
-    /// would hold up each read for its whole time.
+    /// Reads from the store. While the direct route is unavailable, a peer reads at the same time,
+    /// since a store that does not answer would delay each read by its whole timeout.
     async fn read_or_relay<T>(
         &self,
         direct: impl Future<Output = Result<T, CallError>>,
         call: Call,
-        take: impl Fn(Answer) -> Option<T>,
+        extract: impl Fn(Answer) -> Option<T>,
     ) -> Result<T, CallError> {
-        let is_shut = self.store_route.is_unavailable();
+        let is_unavailable = self.store_route.is_unavailable();
         let direct = async {
-            let done = direct.await;
-            self.store_route.record_result(&done);
-            done
+            let result = direct.await;
+            self.store_route.record_result(&result);
+            result
         };
-        let relayed = async { self.relayed_read(self.relay(call).await, take) };
+        let relayed = async { self.relayed_read(self.relay(call).await, extract) };
         let (mut direct, mut relayed) = (std::pin::pin!(direct), std::pin::pin!(relayed));
-        let done = tokio::select! {
-            done = &mut direct => done,
-            relayed = &mut relayed, if is_shut => match relayed {
-                Some(done) => return done,
+        let result = tokio::select! {
+            result = &mut direct => result,
+            relayed = &mut relayed, if is_unavailable => match relayed {
+                Some(result) => return result,
                 None => return direct.await,
             },
         };
-        match done {
+        match result {
             Err(error) if error.is_turned_away() => relayed.await.unwrap_or(Err(error)),
-            done => done,
+            result => result,
         }
     }
 
-    /// What a peer read, or why the store refuses it; `None` if the peers could not ask it.
+    /// The result of a relayed read, or the store's refusal; `None` if no peer could reach the store.
     fn relayed_read<T>(
         &self,
         answer: Option<Answer>,
-        take: impl Fn(Answer) -> Option<T>,
+        extract: impl Fn(Answer) -> Option<T>,
     ) -> Option<Result<T, CallError>> {
         let answer = answer?;
         if let Answer::Refused { status, reason } = answer {
             return Some(Err(CallError::Refused { status, reason, body: Bytes::new() }));
         }
-        let read = take(answer)?;
+        let read = extract(answer)?;
         self.counters.count("batch.store.read-through-peer");
         Some(Ok(read))
     }
 
-    /// Has one of a few peers make a call; `None` if none answered, so that it is not known.
-    /// [`Answer::Away`] if none of them can.
+    /// Has one of a few peers make a call. [`Answer::Unavailable`] if it is certain that none of them
+    /// made it; `None` if one of them may have made it without an answer.
     async fn relay(&self, call: Call) -> Option<Answer> {
         let mut is_known = true;
         for addr in self.directory.relay_peers() {
@@ -333,13 +340,15 @@
                     self.directory.set_preferred_relay(addr);
                     return Some(answer);
                 }
-                Ok(reply) => log::warn!("{addr} answers a call to the store by {reply:?}"),
+                Ok(reply) => {
+                    log::warn!("unexpected answer of {addr} to a call to the store: {reply:?}")
+                }
             }
         }
         is_known.then_some(Answer::Unavailable)
     }
 
-    /// Makes a call to the store for a peer.
+    /// Makes a call to the store for a peer, only by the direct route.
     pub async fn relay_for_peer(&self, call: Call) -> Answer {
         if self.store_route.is_unfit_to_relay() {
             return Answer::Unavailable;
@@ -353,11 +362,12 @@
     }
 }
 
-/// The error of an append of which another try may still be done. What a condition says holds
-/// whatever becomes of the other try.
-fn append_error(error: CallError, guard: &Guard, others_known: bool) -> CallError {
+/// The error of an append of which another attempt may still be executed, if the outcomes of the
+/// other attempts are not all known. With a condition, the error stays as it is: what it says of the
+/// condition holds whatever becomes of the other attempts.
+fn append_error(error: CallError, guard: &Guard, are_others_known: bool) -> CallError {
     match guard {
-        Guard::None if !others_known => CallError::Unknown(ExchangeError::Timeout),
+        Guard::None if !are_others_known => CallError::Unknown(ExchangeError::Timeout),
         _ => error,
     }
 }
