--- a/lib/src/batch/client_api.rs
+++ b/lib/src/batch/client_api.rs
@@ -1,4 +1,4 @@
-//! Serves clients: takes jobs into the store, and asks the holder of the lead about them.
+//! HTTP interface for clients: writes submitted jobs to the store, and asks the leader about jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,17 +36,17 @@
 use crate::transport::dial::Body;
 use crate::transport::dial::full;
 
-/// How long a client waits that does not say so.
+/// Deadline of a request that names none.
 const DEFAULT_DEADLINE: Duration = Duration::from_millis(3_000);
-/// Share of the client's time after which it gets an answer, whatever it is.
+/// Fraction of the client's deadline within which it gets an answer, whatever the answer is.
 const ANSWER_FRACTION: f64 = 0.6;
-/// When a client should come back that nobody could answer; a change of the lead takes about two
-/// seconds.
+/// Delay after which a client should retry a request that could not be answered; a change of leader
+/// takes about two seconds.
 const RETRY_DELAY: Duration = Duration::from_millis(1_000);
-/// Largest body where the configuration sets no limit, in bytes.
+/// Largest body of a request, in bytes, if the configuration sets no limit.
 const DEFAULT_BODY_LIMIT_BYTES: usize = 262_144;
 
-/// Answers a client.
+/// Answers a request of a client, logs it and records its latency.
 pub async fn handle(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     let started = clock::now();
     let method = request.method().clone();
@@ -56,7 +56,7 @@
     let took_ms = clock::since(started).as_millis() as u64;
     node.latencies.record(&format!("batch.client.{method}"), clock::since(started));
     node.counters.count(&format!("batch.client.{method}.{status}"));
-    log::info!(method = method.as_str(), path = path.as_str(), status, took_ms; "client");
+    log::info!(method = method.as_str(), path = path.as_str(), status, took_ms; "client request");
     response
 }
 
@@ -77,16 +77,16 @@
         Err(refusal) => return refuse(node, &config, &head, &refusal),
     };
     let deadline = ingress::deadline(&head.headers).unwrap_or(DEFAULT_DEADLINE);
-    let until = started + deadline.mul_f64(ANSWER_FRACTION);
+    let answer_by = started + deadline.mul_f64(ANSWER_FRACTION);
     if rest.is_empty() && head.method == Method::GET {
-        return count_pending(node, queue.name.clone(), caller, until).await;
+        return count_pending(node, queue.name.clone(), caller, answer_by).await;
     }
     let Some(id) = parse_id(rest.trim_start_matches('/')) else {
         return empty_response(404);
     };
     match head.method {
-        Method::GET => get_job(node, id, caller, until).await,
-        Method::DELETE => cancel_job(node, id, caller, until).await,
+        Method::GET => get_job(node, id, caller, answer_by).await,
+        Method::DELETE => cancel_job(node, id, caller, answer_by).await,
         Method::POST => {
             let limit = match config.limits.body_bytes {
                 0 => DEFAULT_BODY_LIMIT_BYTES,
@@ -97,29 +97,29 @@
             let job = match Job::decode(&body.to_bytes()) {
                 Ok(job) => job,
                 Err(error) => {
-                    log::info!(job = format!("{id:016x}").as_str(); "job cannot be taken: {error}");
+                    log::info!(job = format!("{id:016x}").as_str(); "cannot decode the job: {error}");
                     return empty_response(400);
                 }
             };
             if let Err(error) = config.check_quota(&caller, &job) {
                 node.counters.count("batch.submit.refused.too-wide");
-                log::info!(job = format!("{id:016x}").as_str(); "job is not taken: {error}");
+                log::info!(job = format!("{id:016x}").as_str(); "job refused by the quota of its account: {error}");
                 return retry_later(429, RETRY_DELAY);
             }
             write_response(
-                node.commit_job(id, submit::accepted_job(job, &queue, &caller), until).await,
+                node.commit_job(id, submit::accepted_job(job, &queue, &caller), answer_by).await,
             )
         }
         _ => empty_response(405),
     }
 }
 
-/// Refuses a call that no queue takes from this caller, before its body is read.
+/// Refuses a request that no queue accepts from this caller, before its body is read.
 fn refuse(node: &Node, config: &Config, head: &Parts, refusal: &Refusal) -> Response<Body> {
     let (why, version) = (refusal.to_string(), config.version);
     let path = head.uri.path();
     node.counters.count(&format!("batch.client.refused.{}", refusal.name()));
-    log::info!(path, why = why.as_str(), version; "client refused");
+    log::info!(path, why = why.as_str(), version; "client request refused");
     match refusal {
         Refusal::NoQueue => empty_response(404),
         Refusal::Credential(_) => {
@@ -132,25 +132,25 @@
 
 fn empty_response(code: u16) -> Response<Body> {
     let response = Response::builder().status(code);
-    response.body(full(Bytes::new())).expect("a status makes an answer")
+    response.body(full(Bytes::new())).expect("the status is valid")
 }
 
-/// Refuses for now. The time to come back is spread in proportion to the wait, so that those who
-/// were refused together do not return together.
-fn retry_later(code: u16, wait: Duration) -> Response<Body> {
+/// Refuses a request and asks the client to retry. The delay has a random part in proportion to its
+/// length, so that clients that were refused together do not retry together.
+fn retry_later(code: u16, delay: Duration) -> Response<Body> {
     let mut response = empty_response(code);
-    let spread = wait.mul_f64(rand::random());
-    let seconds = (wait + spread).as_secs_f64().ceil().max(1.0) as u64;
+    let jitter = delay.mul_f64(rand::random());
+    let seconds = (delay + jitter).as_secs_f64().ceil().max(1.0) as u64;
     response.headers_mut().insert(RETRY_AFTER, seconds.into());
     response
 }
 
 fn json_response(body: Vec<u8>) -> Response<Body> {
     let response = Response::builder().header("content-type", "application/json");
-    response.body(full(body)).expect("a body makes an answer")
+    response.body(full(body)).expect("the header is valid")
 }
 
-/// The rest of the body stays unread, so the client must not use the connection again.
+/// Refuses a body that is too large. The rest of the body is not read, so the connection closes.
 fn body_too_large() -> Response<Body> {
     let mut response = empty_response(413);
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -160,21 +160,21 @@
 fn write_response(outcome: WriteOutcome) -> Response<Body> {
     match outcome {
         WriteOutcome::Stored => empty_response(200),
-        WriteOutcome::Refused(wait) | WriteOutcome::IdInUse(wait) => retry_later(503, wait),
+        WriteOutcome::Refused(delay) | WriteOutcome::IdInUse(delay) => retry_later(503, delay),
         WriteOutcome::Unknown => empty_response(504),
     }
 }
 
-async fn get_job(node: &Node, id: JobId, caller: Caller, until: Instant) -> Response<Body> {
-    match submit::get_job_state(node, id, caller, until).await {
+async fn get_job(node: &Node, id: JobId, caller: Caller, answer_by: Instant) -> Response<Body> {
+    match submit::get_job_state(node, id, caller, answer_by).await {
         JobAnswer::State(state) => json_response(ingress::job_answer(state)),
         JobAnswer::NoJob => empty_response(410),
         JobAnswer::CancelStored | JobAnswer::NoAnswer => retry_later(503, RETRY_DELAY),
     }
 }
 
-async fn cancel_job(node: &Node, id: JobId, caller: Caller, until: Instant) -> Response<Body> {
-    match submit::cancel_job(node, id, caller, until).await {
+async fn cancel_job(node: &Node, id: JobId, caller: Caller, answer_by: Instant) -> Response<Body> {
+    match submit::cancel_job(node, id, caller, answer_by).await {
         JobAnswer::State(_) | JobAnswer::CancelStored => empty_response(200),
         JobAnswer::NoJob => empty_response(410),
         JobAnswer::NoAnswer => retry_later(503, RETRY_DELAY),
@@ -185,9 +185,9 @@
     node: &Node,
     queue: String,
     caller: Caller,
-    until: Instant,
+    answer_by: Instant,
 ) -> Response<Body> {
-    match submit::ask_leader_until(node, &peer::Request::Pending(queue, caller), until).await {
+    match submit::ask_leader_until(node, &peer::Request::Pending(queue, caller), answer_by).await {
         Some(Reply::Pending(pending)) => json_response(ingress::queue_answer(pending)),
         _ => retry_later(503, RETRY_DELAY),
     }
--- a/lib/src/batch/operator.rs
+++ b/lib/src/batch/operator.rs
@@ -1,4 +1,4 @@
-//! Follows what the operator writes: the configuration and the waves.
+//! Follows the records that the operator writes: the configuration and the maintenance waves.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use crate::batch::config::Config;
 use crate::batch::node::Node;
 
-/// How long a read waits for news. A connection that died silently is found out by then, and a
-/// configuration must be in force within 2 s.
+/// Long-poll time of a read. It bounds how long a connection that no longer delivers data goes
+/// unnoticed, and a configuration must be in force within 2 s.
 const LONG_POLL: Duration = Duration::from_millis(1_200);
-/// How long a call may take beyond that.
+/// Timeout of a call, in addition to its long-poll time.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// Pause after a call that failed.
+/// Delay after a failed call to the store.
 const RETRY_DELAY: Duration = Duration::from_millis(120);
 
 /// Follows the operator's records until the process ends.
@@ -31,7 +31,7 @@
             Ok(next) => from = Some(next),
             Err(error) => {
                 node.counters.count("batch.operator.follow-failed");
-                log::debug!("the operator's records cannot be followed: {error}");
+                log::debug!("cannot read the operator's records: {error}");
                 if error.status() == Some(410) {
                     from = None;
                 }
@@ -41,6 +41,8 @@
     }
 }
 
+/// Applies the records from `from` on, or the newest ones if it is `None`; returns the offset after
+/// them.
 async fn follow(node: &Node, from: Option<Offset>) -> Result<Offset, CallError> {
     let Some(from) = from else {
         let newest = node.read_newest(OPERATOR_TOPIC, CALL_TIMEOUT).await?;
@@ -65,13 +67,15 @@
             }
             Err(error) => {
                 node.counters.count("batch.operator.config-unreadable");
-                log::error!("a configuration does not decode, the last one stays: {error}");
+                log::error!(
+                    "cannot decode the configuration; the last one stays in force: {error}"
+                );
             }
         }
     } else if wave::is_wave(&record.key) {
         match Wave::decode(value) {
             Ok(wave) => node.add_wave(wave),
-            Err(error) => log::error!("the wave {} does not decode: {error}", record.key),
+            Err(error) => log::error!("cannot decode the maintenance wave {}: {error}", record.key),
         }
     }
 }
--- a/lib/src/batch/submit.rs
+++ b/lib/src/batch/submit.rs
@@ -1,4 +1,4 @@
-//! What becomes of a job that is handed in, asked for or cancelled, at any node.
+//! Submission, state queries and cancellation of jobs at any node, for clients and operators.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,25 +20,25 @@
 use crate::batch::record::Accepted;
 use crate::transport::clock;
 
-/// How long the write of a wish to cancel may take.
+/// Timeout of writing a cancel request to the store.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Pause between tries.
+/// Delay before the leader is asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// What the holder of the lead said of a job.
+/// The result of a state query or a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobAnswer {
-    /// Its state.
+    /// The state of the job.
     State(JobState),
-    /// A wish to cancel it is kept; its state was not told.
+    /// The cancel request was written to the store; the state of the job is unknown.
     CancelStored,
     /// There is no such job.
     NoJob,
-    /// Nobody who knows could be asked in time.
+    /// The leader did not answer in time; a cancel request was not written either.
     NoAnswer,
 }
 
-/// A job as accepted now from a caller, with what its queue says of it.
+/// A job as accepted now from a caller, with the settings of its queue.
 pub fn accepted_job(job: Job, queue: &config::Queue, caller: &Caller) -> Accepted {
     Accepted {
         job,
@@ -54,36 +54,37 @@
     }
 }
 
-/// Asks the holder of the lead until it answers or time is up.
+/// Sends a request to the leader until it answers; `None` if it does not by `deadline`.
 pub async fn ask_leader_until(
     node: &Node,
     request: &peer::Request,
-    until: Instant,
+    deadline: Instant,
 ) -> Option<Reply> {
     loop {
         match node.ask_leader(request.clone()).await {
             Some(Reply::NotReady) | None => {}
-            answered => return answered,
+            reply => return reply,
         }
-        if clock::now() + RETRY_DELAY >= until {
+        if clock::now() + RETRY_DELAY >= deadline {
             return None;
         }
         sleep(RETRY_DELAY).await;
     }
 }
 
-/// Asks how far a job of the caller's is.
-pub async fn get_job_state(node: &Node, id: JobId, caller: Caller, until: Instant) -> JobAnswer {
-    match ask_leader_until(node, &peer::Request::State(id, caller), until).await {
+/// Returns the state of a job of the caller.
+pub async fn get_job_state(node: &Node, id: JobId, caller: Caller, deadline: Instant) -> JobAnswer {
+    match ask_leader_until(node, &peer::Request::State(id, caller), deadline).await {
         Some(Reply::State(Some(state))) => JobAnswer::State(state),
         Some(Reply::State(None)) => JobAnswer::NoJob,
         _ => JobAnswer::NoAnswer,
     }
 }
 
-/// Cancels a job of the caller's. If nobody who knows it can be asked, the wish is kept in the store.
-pub async fn cancel_job(node: &Node, id: JobId, caller: Caller, until: Instant) -> JobAnswer {
-    match ask_leader_until(node, &peer::Request::Cancel(id, caller.clone()), until).await {
+/// Cancels a job of the caller. If the leader does not answer, the cancel request is written to the
+/// store instead.
+pub async fn cancel_job(node: &Node, id: JobId, caller: Caller, deadline: Instant) -> JobAnswer {
+    match ask_leader_until(node, &peer::Request::Cancel(id, caller.clone()), deadline).await {
         Some(Reply::State(Some(state))) => JobAnswer::State(state),
         Some(Reply::State(None)) => JobAnswer::NoJob,
         _ => {
@@ -92,7 +93,7 @@
                 Ok(_) => JobAnswer::CancelStored,
                 Err(error) => {
                     let job = format!("{id:016x}");
-                    log::info!(job = job.as_str(); "cancel not written: {error}");
+                    log::info!(job = job.as_str(); "cancel request not written: {error}");
                     JobAnswer::NoAnswer
                 }
             }
