--- a/lib/tests/test_account_load.rs
+++ b/lib/tests/test_account_load.rs
@@ -1,14 +1,17 @@
-//! Accounts that share a service: what the modest ones get beside one that sends three times what there is.
+//! Fairness between accounts that share a service, while one of them submits three times as many
+//! jobs as the workers can run.
 //!
-//! The order of what waits knew no accounts, only by when each job should be done, so one account's flood took the
-//! turns of all others: of 475 jobs of nineteen modest accounts all were done in time without the flood, and 46 with it.
+//! Guards against an order of waiting jobs that considers only their deadlines: then the jobs of the
+//! overloading account delay those of all others. Of 475 jobs of nineteen modest accounts, all finish
+//! in time without the overload and 46 with it.
 
 use spokelift_testutils::batch::play::Served;
 use spokelift_testutils::batch::play::play_accounts;
 use spokelift_testutils::batch::play::play_beside_nobody;
 
+/// Number of modest accounts.
 const MODEST: usize = 19;
-/// Jobs a second of a modest account; together a quarter of what the workers bear.
+/// Jobs a second of a modest account; together they use a quarter of the workers' capacity.
 const MODEST_PER_S: f64 = 0.25;
 /// Jobs a second of the greedy account.
 const GREEDY_PER_S: f64 = 58.0;
@@ -26,29 +29,29 @@
             modest.in_time += account.in_time;
         }
     }
-    println!("greedy {greedy_per_s} a second: {greedy:?}, the others {modest:?}");
+    println!("greedy at {greedy_per_s} jobs a second: {greedy:?}, modest: {modest:?}");
     (modest, greedy)
 }
 
 #[test]
-fn a_greedy_account_takes_nothing_from_modest_ones() {
+fn a_greedy_account_does_not_delay_modest_ones() {
     let (alone, _) = play_all(0.0);
-    let (beside, greedy) = play_all(GREEDY_PER_S);
-    assert_eq!(alone.jobs, beside.jobs);
+    let (loaded, greedy) = play_all(GREEDY_PER_S);
+    assert_eq!(alone.jobs, loaded.jobs);
     assert!(
-        beside.in_time * 100 >= alone.in_time * 97,
-        "{alone:?} alone, {beside:?} beside {greedy:?}"
+        loaded.in_time * 100 >= alone.in_time * 97,
+        "{alone:?} alone, {loaded:?} with the greedy account's {greedy:?}"
     );
 }
 
-/// The same where the flood is of no account: it counts as one.
+/// Jobs without an account are treated like those of one account.
 #[test]
-fn a_flood_of_nobody_takes_nothing_from_accounts() {
+fn an_overload_without_an_account_does_not_delay_accounts() {
     let mut rates = vec![MODEST_PER_S; MODEST];
     rates.push(GREEDY_PER_S);
     let served = play_beside_nobody(&rates, 1);
-    let (modest, nobody) = (&served[..MODEST], served[MODEST]);
+    let (modest, unowned) = (&served[..MODEST], served[MODEST]);
     let jobs: u32 = modest.iter().map(|account| account.jobs).sum();
     let in_time: u32 = modest.iter().map(|account| account.in_time).sum();
-    assert!(in_time * 100 >= jobs * 97, "{in_time} of {jobs} beside {nobody:?}");
+    assert!(in_time * 100 >= jobs * 97, "{in_time} of {jobs} in time with {unowned:?}");
 }
--- a/lib/tests/test_accounts.rs
+++ b/lib/tests/test_accounts.rs
@@ -1,4 +1,4 @@
-//! Who a call is from, and which jobs are theirs, without a network.
+//! Authentication of callers, and access of accounts to jobs, without a network.
 
 use assert_matches::assert_matches;
 use hyper::Request;
@@ -27,9 +27,9 @@
 const MALFORMED: Refusal = Refusal::Credential(CredentialError::Malformed);
 const UNKNOWN: Refusal = Refusal::Credential(CredentialError::Unknown);
 
-/// Queue `q` asks for a key, `open` does not, `silent` does not say.
+/// Queue `q` requires a key, `open` does not, and `unset` does not say.
 fn config(accounts: Value) -> Config {
-    let queues = [("q", Some(false)), ("open", Some(true)), ("silent", None)];
+    let queues = [("q", Some(false)), ("open", Some(true)), ("unset", None)];
     Config::decode(&published(1, &queues, accounts)).unwrap()
 }
 
@@ -49,43 +49,43 @@
     admit(config, &call("/q/", credentials)).map(|admitted| admitted.caller)
 }
 
-fn of(account: &str) -> Caller {
+fn account_caller(account: &str) -> Caller {
     Caller::Account(account.into())
 }
 
 #[test]
-fn a_key_names_its_account() {
+fn a_key_identifies_its_account() {
     let config = config(json!([account("a", &["k1", "k2"]), account("b", &["k3"])]));
-    assert_eq!(caller(&config, &[b"Bearer k1"]), Ok(of("a")));
-    assert_eq!(caller(&config, &[b"bearer  k2 "]), Ok(of("a")));
-    assert_eq!(caller(&config, &[b"BEARER k3"]), Ok(of("b")));
+    assert_eq!(caller(&config, &[b"Bearer k1"]), Ok(account_caller("a")));
+    assert_eq!(caller(&config, &[b"bearer  k2 "]), Ok(account_caller("a")));
+    assert_eq!(caller(&config, &[b"BEARER k3"]), Ok(account_caller("b")));
     assert_eq!(caller(&config, &[]), Err(MISSING));
     assert_eq!(caller(&config, &[b"Bearer k4"]), Err(UNKNOWN));
     assert_eq!(caller(&config, &[b"Bearer K1"]), Err(UNKNOWN));
     let long = [b"Bearer ".as_slice(), &[b'k'; 16_384]].concat();
-    for odd in [b"Bearer".as_slice(), b"Bearer ", b"Basic k1", b"k1", b"Bearer \xff", &long] {
-        assert_eq!(caller(&config, &[odd]), Err(MALFORMED));
+    for malformed in [b"Bearer".as_slice(), b"Bearer ", b"Basic k1", b"k1", b"Bearer \xff", &long] {
+        assert_eq!(caller(&config, &[malformed]), Err(MALFORMED));
     }
     assert_eq!(caller(&config, &[b"Bearer k1", b"Bearer k1"]), Err(MALFORMED));
 }
 
 #[test]
-fn only_queues_that_say_so_are_open_where_there_are_accounts() {
+fn with_accounts_only_queues_marked_open_need_no_key() {
     let with = config(json!([account("a", &["k1"])]));
-    let at = |config: &Config, path: &str| {
+    let admit_at = |config: &Config, path: &str| {
         admit(config, &call(path, &[])).map(|admitted| admitted.caller)
     };
-    assert_matches!(at(&with, "/open/7"), Ok(Caller::Anyone { queue }) if queue == "open");
-    assert_eq!(at(&with, "/silent/7"), Err(MISSING));
+    assert_matches!(admit_at(&with, "/open/7"), Ok(Caller::Anyone { queue }) if queue == "open");
+    assert_eq!(admit_at(&with, "/unset/7"), Err(MISSING));
     let without = config(Value::Null);
-    assert_matches!(at(&without, "/silent/7"), Ok(Caller::Anyone { .. }));
-    assert_eq!(at(&without, "/q/7"), Err(MISSING), "it asks for a key and there is none");
-    assert_eq!(at(&config(json!([])), "/silent/7"), Err(MISSING));
-    assert_eq!(at(&with, "/nowhere/7"), Err(Refusal::NoQueue));
+    assert_matches!(admit_at(&without, "/unset/7"), Ok(Caller::Anyone { .. }));
+    assert_eq!(admit_at(&without, "/q/7"), Err(MISSING), "it asks for a key and there is none");
+    assert_eq!(admit_at(&config(json!([])), "/unset/7"), Err(MISSING));
+    assert_eq!(admit_at(&with, "/nowhere/7"), Err(Refusal::NoQueue));
 }
 
 #[test]
-fn odd_accounts_give_nobody_the_jobs_of_another() {
+fn invalid_accounts_give_no_access_to_jobs_of_another() {
     let config = config(json!([
         account("a", &["k1", "shared", ""]),
         account("b", &["shared", "k2"]),
@@ -93,15 +93,15 @@
         { "name": "bare" },
     ]));
     assert_eq!(caller(&config, &[b"Bearer shared"]), Err(UNKNOWN));
-    assert_eq!(caller(&config, &[b"Bearer k3"]), Ok(of("a")));
-    assert_eq!(caller(&config, &[b"Bearer k1"]), Ok(of("a")));
-    let bound = config.accounts()["a"].maximum;
-    assert_eq!((bound.cpu, bound.memory_mb, bound.gpu), (50, 7, 0));
+    assert_eq!(caller(&config, &[b"Bearer k3"]), Ok(account_caller("a")));
+    assert_eq!(caller(&config, &[b"Bearer k1"]), Ok(account_caller("a")));
+    let quota = config.accounts()["a"].maximum;
+    assert_eq!((quota.cpu, quota.memory_mb, quota.gpu), (50, 7, 0));
     assert_eq!(config.accounts()["a"].keys, 2);
     assert_eq!(config.accounts()["bare"].keys, 0);
     let many: Vec<String> = (0..100_000).map(|number| format!("key-{number}")).collect();
     let config = self::config(json!([{ "name": "many", "apiKeys": many }]));
-    assert_eq!(caller(&config, &[b"Bearer key-99999"]), Ok(of("many")));
+    assert_eq!(caller(&config, &[b"Bearer key-99999"]), Ok(account_caller("many")));
     for broken in [json!({ "cpu": -1 }), json!({ "cpu": "much" })] {
         let text = published(2, &[], json!([{ "name": "a", "maximum": broken }]));
         assert!(Config::decode(&text).is_err());
@@ -109,13 +109,13 @@
 }
 
 #[test]
-fn keys_stand_nowhere() {
+fn keys_are_neither_printed_nor_sent() {
     let config = config(json!([account("a", &["s3cret"])]));
     assert!(!format!("{config:?}").contains("s3cret"));
-    let passed_on = postcard::to_stdvec(&config).unwrap();
-    assert!(!passed_on.windows(6).any(|text| text == b"s3cret"));
-    let received: Config = postcard::from_bytes(&passed_on).unwrap();
-    assert_eq!(caller(&received, &[b"Bearer s3cret"]), Ok(of("a")));
+    let sent = postcard::to_stdvec(&config).unwrap();
+    assert!(!sent.windows(6).any(|text| text == b"s3cret"));
+    let received: Config = postcard::from_bytes(&sent).unwrap();
+    assert_eq!(caller(&received, &[b"Bearer s3cret"]), Ok(account_caller("a")));
 }
 
 fn job(account: Option<&str>) -> Accepted {
@@ -124,24 +124,24 @@
 }
 
 #[test]
-fn nobody_sees_counts_or_cancels_the_jobs_of_others() {
+fn no_caller_sees_counts_or_cancels_jobs_of_another_account() {
     let mut cell = Cell::new(7);
     cell.admit(1, job(Some("a")), None);
     cell.admit(2, job(None), None);
     let anyone = Caller::Anyone { queue: "open".to_owned() };
-    for stranger in [of("b"), anyone.clone()] {
-        assert_eq!(cell.job_state_for(1, &stranger), None);
-        assert_eq!(cell.cancel_for(1, &stranger), None);
-        assert_eq!(cell.count_pending("q", &stranger), 1);
-        assert_eq!(cell.job_state_for(2, &stranger), Some(JobState::Pending), "it is nobody's");
+    for other in [account_caller("b"), anyone.clone()] {
+        assert_eq!(cell.job_state_for(1, &other), None);
+        assert_eq!(cell.cancel_for(1, &other), None);
+        assert_eq!(cell.count_pending("q", &other), 1);
+        assert_eq!(cell.job_state_for(2, &other), Some(JobState::Pending), "no account owns it");
     }
-    assert_eq!(cell.job_state_for(1, &of("a")), Some(JobState::Pending));
-    assert_eq!(cell.count_pending("q", &of("a")), 2);
-    assert_eq!(cell.cancel_for(1, &of("a")), Some(JobState::Canceled));
+    assert_eq!(cell.job_state_for(1, &account_caller("a")), Some(JobState::Pending));
+    assert_eq!(cell.count_pending("q", &account_caller("a")), 2);
+    assert_eq!(cell.cancel_for(1, &account_caller("a")), Some(JobState::Canceled));
 }
 
 #[test]
-fn a_job_under_the_id_of_another_accounts_is_let_go_of() {
+fn a_job_whose_id_is_in_use_by_another_account_is_forgotten() {
     let mut cell = Cell::new(7);
     assert!(cell.admit(1, job(Some("a")), None));
     assert!(!cell.admit(1, job(Some("b")), None));
@@ -151,25 +151,26 @@
     cell.record_kept(key("a"), 3);
     cell.record_kept(key("b"), 3);
     assert_eq!(cell.take_id_conflicts(), [(key("b"), 3)].into());
-    // Its record took no other's place in the store, and neither does that which drops it.
+    // Jobs of different accounts have different keys in the store, so neither the record of the
+    // rejected job nor the one that forgets it replaces the other account's record.
     let keys = ["a", "b"].map(|account| record::accepted(1, &job(Some(account))).key);
     assert_ne!(keys[0], keys[1]);
     assert_eq!(record::forget_job(&key("b")).key, keys[1]);
 }
 
 #[test]
-fn records_of_a_job_tell_whose_it_is() {
+fn records_of_a_job_name_its_account() {
     let owned = job(Some("a"));
     let read = JobRecord::decode(&record::accepted(9, &owned)).unwrap();
     assert_eq!(read, JobRecord::Accepted(9, Box::new(owned)));
-    let wish = record::cancel(9, &of("a"));
-    assert_eq!(JobRecord::decode(&wish).unwrap(), JobRecord::Cancel(9, of("a")));
+    let cancel = record::cancel(9, &account_caller("a"));
+    assert_eq!(JobRecord::decode(&cancel).unwrap(), JobRecord::Cancel(9, account_caller("a")));
 }
 
 #[test]
-fn records_of_before_accounts_are_read() {
+fn records_without_an_account_are_decoded() {
     #[derive(Serialize)]
-    struct Before<'a>(
+    struct WithoutAccount<'a>(
         &'a spokelift_platform::job::Job,
         &'a str,
         &'a str,
@@ -180,14 +181,14 @@
         u32,
         std::time::Duration,
     );
-    let now = job(None);
+    let job = job(None);
     let Accepted {
         priority, max_attempts, needs_advice, objective_ms, stretch_percent, at, ..
-    } = now;
-    let before = Before(
-        &now.job,
-        &now.queue,
-        &now.service,
+    } = job;
+    let old = WithoutAccount(
+        &job.job,
+        &job.queue,
+        &job.service,
         priority,
         max_attempts,
         needs_advice,
@@ -195,9 +196,9 @@
         stretch_percent,
         at,
     );
-    let kept = Record::set("0000000000000009", postcard::to_stdvec(&before).unwrap());
-    let read = JobRecord::decode(&kept).unwrap();
-    assert_eq!(read, JobRecord::Accepted(9, Box::new(now)));
-    let wish = Record::set("cancel/0000000000000009", postcard::to_stdvec(&true).unwrap());
-    assert_eq!(JobRecord::decode(&wish).unwrap(), JobRecord::Cancel(9, Caller::Operator));
+    let record = Record::set("0000000000000009", postcard::to_stdvec(&old).unwrap());
+    let read = JobRecord::decode(&record).unwrap();
+    assert_eq!(read, JobRecord::Accepted(9, Box::new(job)));
+    let cancel = Record::set("cancel/0000000000000009", postcard::to_stdvec(&true).unwrap());
+    assert_eq!(JobRecord::decode(&cancel).unwrap(), JobRecord::Cancel(9, Caller::Operator));
 }
--- a/lib/tests/test_commit.rs
+++ b/lib/tests/test_commit.rs
@@ -1,4 +1,4 @@
-//! What is known of the pace at which jobs are written, and what clients are told by it.
+//! Health of the store as seen by the appends of jobs, and the delays that clients get from it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,48 +8,48 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// The pace after appends that took a second each, or failed after one.
+/// The health after appends that succeeded or failed after a second each.
 fn after(start: Instant, appends: &[bool]) -> StoreHealth {
-    let mut pace = StoreHealth::default();
-    for (number, is_done) in appends.iter().enumerate() {
-        pace.start_append(start + SECOND * number as u32);
-        pace.finish_append(start + SECOND * (number as u32 + 1), *is_done);
+    let mut health = StoreHealth::default();
+    for (number, has_succeeded) in appends.iter().enumerate() {
+        health.start_append(start + SECOND * number as u32);
+        health.finish_append(start + SECOND * (number as u32 + 1), *has_succeeded);
     }
-    pace
+    health
 }
 
 #[test]
-fn a_job_waits_for_the_append_under_way_and_its_own() {
+fn a_job_waits_for_the_append_in_flight_and_its_own() {
     let start = clock::now();
-    let mut pace = after(start, &[true]);
-    assert_eq!(pace.expected_wait(start + SECOND), SECOND);
-    pace.start_append(start + SECOND);
-    assert_eq!(pace.expected_wait(start + SECOND), SECOND * 2);
-    assert_eq!(pace.expected_wait(start + SECOND.mul_f64(1.5)), SECOND.mul_f64(1.5));
+    let mut health = after(start, &[true]);
+    assert_eq!(health.expected_wait(start + SECOND), SECOND);
+    health.start_append(start + SECOND);
+    assert_eq!(health.expected_wait(start + SECOND), SECOND * 2);
+    assert_eq!(health.expected_wait(start + SECOND.mul_f64(1.5)), SECOND.mul_f64(1.5));
 }
 
 #[test]
-fn a_pace_that_is_old_or_failed_refuses_nobody() {
+fn an_old_or_failed_append_predicts_no_wait() {
     let start = clock::now();
     assert_eq!(after(start, &[true]).expected_wait(start + SECOND * 3), Duration::ZERO);
     assert_eq!(after(start, &[true, false]).expected_wait(start + SECOND * 2), Duration::ZERO);
 }
 
 #[test]
-fn an_outage_lasts_from_its_first_failure_to_the_next_append_that_is_done() {
+fn an_outage_lasts_from_its_first_failure_to_the_next_successful_append() {
     let start = clock::now();
     assert_eq!(after(start, &[true]).outage_duration(start + SECOND), None);
-    let pace = after(start, &[true, false, false]);
-    assert_eq!(pace.outage_duration(start + SECOND * 3), Some(SECOND));
+    let health = after(start, &[true, false, false]);
+    assert_eq!(health.outage_duration(start + SECOND * 3), Some(SECOND));
     assert_eq!(after(start, &[false, true]).outage_duration(start + SECOND * 2), None);
 }
 
 #[test]
-fn clients_come_back_after_about_as_long_as_the_store_has_been_away() {
+fn clients_retry_after_about_the_length_of_the_outage() {
     let start = clock::now();
-    let pace = after(start, &[false]);
-    let come_back = |seconds: f64| pace.retry_after(start + SECOND + SECOND.mul_f64(seconds));
-    assert_eq!(come_back(0.1), Duration::from_millis(800));
-    assert_eq!(come_back(2.0), SECOND * 2);
-    assert_eq!(come_back(60.0), Duration::from_millis(2_500));
+    let health = after(start, &[false]);
+    let retry_after_s = |seconds: f64| health.retry_after(start + SECOND + SECOND.mul_f64(seconds));
+    assert_eq!(retry_after_s(0.1), Duration::from_millis(800));
+    assert_eq!(retry_after_s(2.0), SECOND * 2);
+    assert_eq!(retry_after_s(60.0), Duration::from_millis(2_500));
 }
--- a/testutils/tests/test_forks.rs
+++ b/testutils/tests/test_forks.rs
@@ -1,8 +1,9 @@
-//! A port that was chosen for a daemon is free when the daemon wants it, although others are being started.
+//! A port that was chosen for a daemon is free when the daemon listens on it, although other
+//! processes are being started.
 //!
-//! Two of six runs of eleven tests side by side had a daemon that could not listen on its own port: a process
-//! that had just been forked for another test still held it. The tests went on with one daemon less, and one that
-//! asked that daemon had no answer.
+//! Guards against a process that was just forked for another test and still has the probing listener
+//! of the port open: the daemon cannot listen on its port, and requests to it fail. Without the
+//! guard, this happens in two of six runs of eleven parallel tests.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -14,20 +15,21 @@
 
 use spokelift_testutils::ports;
 
-/// Choices made; 90 to 96 of 3,000 were taken with processes started freely beside them.
+/// Number of chosen port pairs. If processes are started without the lock on forks, 90 to 96 of
+/// 3,000 are in use.
 const CHOICES: u32 = 3_000;
-/// Threads that start processes meanwhile.
+/// Threads that start processes at the same time.
 const STARTERS: usize = 4;
 
 #[test]
 fn a_chosen_port_is_free_while_other_processes_are_started() {
     let ip = IpAddr::V4(Ipv4Addr::new(127, 201, 0, 1));
-    let over = AtomicBool::new(false);
+    let is_over = AtomicBool::new(false);
     let program = std::env::current_exe().unwrap();
     let taken = std::thread::scope(|scope| {
         for _ in 0..STARTERS {
             scope.spawn(|| {
-                while !over.load(Ordering::Relaxed) {
+                while !is_over.load(Ordering::Relaxed) {
                     let mut command = Command::new(&program);
                     command.arg("--list").stdout(Stdio::null());
                     let status = ports::spawn(&mut command).unwrap().wait().unwrap();
@@ -40,7 +42,7 @@
             [front, readiness].iter().any(|addr| TcpListener::bind(addr).is_err())
         });
         let taken = taken.count();
-        over.store(true, Ordering::Relaxed);
+        is_over.store(true, Ordering::Relaxed);
         taken
     });
     assert_eq!(taken, 0);
--- a/testutils/tests/test_mutated.rs
+++ b/testutils/tests/test_mutated.rs
@@ -1,5 +1,6 @@
-//! What other writers may leave in the store: good bytes with parts missing, of another type, huge, nested, cut or
-//! flipped. Each is decoded into something sound or refused with a typed error, and what is decoded can be taken in.
+//! Decoding of what other writers may leave in the store: valid bytes with parts missing, of another
+//! type, huge, nested, truncated or flipped. Each is decoded into a valid value or refused with a
+//! typed error, and a decoded value can be applied.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -40,19 +41,19 @@
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::addr;
 
-/// Cases for each decoder here; `PROPTEST_CASES` runs more by hand.
+/// Number of cases for each decoder, unless `PROPTEST_CASES` is set.
 const CASES: u32 = 256;
 
 fn cases() -> ProptestConfig {
-    let given = std::env::var("PROPTEST_CASES").is_ok();
+    let is_set = std::env::var("PROPTEST_CASES").is_ok();
     ProptestConfig {
-        cases: if given { ProptestConfig::default().cases } else { CASES },
+        cases: if is_set { ProptestConfig::default().cases } else { CASES },
         ..ProptestConfig::default()
     }
 }
 
-/// A value of some other type or size.
-fn other() -> impl Strategy<Value = Value> {
+/// A value of any type or size.
+fn any_value() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
         any::<bool>().prop_map(Value::from),
@@ -72,7 +73,7 @@
     })
 }
 
-/// What is done to good JSON.
+/// A mutation of valid JSON; each index selects a place in the value or a byte.
 #[derive(Clone, Debug)]
 enum Mutation {
     Drop(usize),
@@ -84,13 +85,13 @@
 fn mutation() -> impl Strategy<Value = Mutation> {
     prop_oneof![
         any::<usize>().prop_map(Mutation::Drop),
-        (any::<usize>(), other()).prop_map(|(at, value)| Mutation::Replace(at, value)),
+        (any::<usize>(), any_value()).prop_map(|(at, value)| Mutation::Replace(at, value)),
         any::<usize>().prop_map(Mutation::Cut),
         (any::<usize>(), any::<u8>()).prop_map(|(at, bits)| Mutation::Flip(at, bits)),
     ]
 }
 
-/// Every place in a value, as a JSON pointer.
+/// Collects the JSON pointers of every place in a value.
 fn places(value: &Value, at: &str, found: &mut Vec<String>) {
     found.push(at.to_owned());
     match value {
@@ -112,8 +113,8 @@
     found[choice % found.len()].clone()
 }
 
-fn mutated(good: &Value, mutations: &[Mutation]) -> Vec<u8> {
-    let mut value = good.clone();
+fn mutated(valid: &Value, mutations: &[Mutation]) -> Vec<u8> {
+    let mut value = valid.clone();
     let mut bytes = None;
     for mutation in mutations {
         match mutation {
@@ -131,8 +132,8 @@
                 }
             }
             Mutation::Cut(_) | Mutation::Flip(..) => {
-                let whole = bytes.get_or_insert_with(|| value.to_string().into_bytes());
-                mutate_bytes(whole, mutation);
+                let bytes = bytes.get_or_insert_with(|| value.to_string().into_bytes());
+                mutate_bytes(bytes, mutation);
             }
         }
     }
@@ -199,7 +200,7 @@
         done: vec![(0, 0, vec![5])],
         failed: vec![((1, 0, 2), vec![3, 4])],
     };
-    let known = StoredWorker {
+    let worker = StoredWorker {
         addr: addr(),
         service: "work".to_owned(),
         machine: Some("m-1".to_owned()),
@@ -210,29 +211,29 @@
         record::accepted(7, &accepted(small)),
         record::progress(7, &progress),
         record::crashes(7, &vec![((0, 0, 1), vec![crash])]),
-        record::worker(&"w1".into(), &known),
+        record::worker(&"w1".into(), &worker),
         record::wave(3, &["m-1".to_owned()]),
         record::ordered(&["m-1".to_owned()].into()),
     ]
 }
 
-/// Takes in whatever a record says, as a scheduler does that begins.
-fn take_in(record: &Record) {
+/// Applies a record like a scheduler that starts.
+fn apply(record: &Record) {
     let mut cell = Cell::new(10);
-    let good = accepted(serde_json::from_value(job()).unwrap());
-    cell.admit(7, good, Some(&Progress::default()));
+    let valid = accepted(serde_json::from_value(job()).unwrap());
+    cell.admit(7, valid, Some(&Progress::default()));
     if let Ok(JobRecord::Accepted(id, job)) = JobRecord::decode(record) {
         cell.admit(id, *job, None);
     }
     match ProgressRecord::decode(record) {
         Ok(ProgressRecord::Progress(id, progress)) => {
-            let good = accepted(serde_json::from_value(job()).unwrap());
-            cell.admit(id ^ 1, good, Some(&progress));
+            let valid = accepted(serde_json::from_value(job()).unwrap());
+            cell.admit(id ^ 1, valid, Some(&progress));
         }
         Ok(ProgressRecord::Crashes(_, crashes)) => {
             cell.restore_crashes(&HashMap::from([(7, crashes)]));
         }
-        Ok(ProgressRecord::Worker(id, known)) => cell.restore_worker(id, known, clock::now()),
+        Ok(ProgressRecord::Worker(id, worker)) => cell.restore_worker(id, worker, clock::now()),
         _ => {}
     }
     cell.open_due_repetitions(Duration::from_secs(1));
@@ -254,30 +255,30 @@
     }
 
     #[test]
-    fn what_operators_write_is_decoded_or_refused(mutations in prop::collection::vec(mutation(), 1..4)) {
+    fn operator_records_are_decoded_or_refused(mutations in prop::collection::vec(mutation(), 1..4)) {
         let _ = Config::decode(&mutated(&config(), &mutations));
         let wave = json!({ "wave": 1, "machines": ["m-1"], "durationS": 20.5, "maximum": 3 });
         let _ = Wave::decode(&mutated(&wave, &mutations));
     }
 
     #[test]
-    fn jobs_are_taken_in_or_refused(mutations in prop::collection::vec(mutation(), 1..4)) {
+    fn jobs_are_applied_or_refused(mutations in prop::collection::vec(mutation(), 1..4)) {
         if let Ok(job) = Job::decode(&mutated(&job(), &mutations)) {
-            take_in(&record::accepted(8, &accepted(job)));
+            apply(&record::accepted(8, &accepted(job)));
         }
     }
 
     #[test]
-    fn records_are_taken_in_or_refused(
-        which in 0..6_usize,
+    fn records_are_applied_or_refused(
+        index in 0..6_usize,
         mutations in prop::collection::vec(mutation(), 1..6),
         key in prop::option::of(".{0,12}"),
     ) {
-        let mut record = records().swap_remove(which);
+        let mut record = records().swap_remove(index);
         let mut value = record.value.take().unwrap().to_vec();
         mutations.iter().for_each(|mutation| mutate_bytes(&mut value, mutation));
         let key = key.unwrap_or(record.key);
-        take_in(&Record::set(key, value));
+        apply(&Record::set(key, value));
     }
 
     #[test]
@@ -286,7 +287,7 @@
     }
 }
 
-/// Bytes as they are, without a length before them.
+/// Bytes that are encoded without a length prefix.
 struct Raw(Vec<u8>);
 
 impl Serialize for Raw {
@@ -297,7 +298,7 @@
     }
 }
 
-/// What the older home's platform answers, and what operators send it.
+/// Answers of the older home's platform, and intents of its operators.
 fn answers() -> Vec<Value> {
     let listed = json!({
         "name": "box-1", "addr": "127.0.0.1:1", "hall": "hall-1", "rack": "r1", "slots": 8,
@@ -318,10 +319,10 @@
 
     #[test]
     fn answers_of_the_older_home_are_decoded_or_refused(
-        which in 0..6_usize,
+        index in 0..6_usize,
         mutations in prop::collection::vec(mutation(), 1..4),
     ) {
-        let bytes = mutated(&answers()[which], &mutations);
+        let bytes = mutated(&answers()[index], &mutations);
         if let Ok(page) = serde_json::from_slice::<log::Page>(&bytes) {
             page.records.iter().for_each(|item| drop(item.bytes()));
         }
@@ -339,15 +340,15 @@
         let key = derive_key("shared");
         let beat = Beat { next: 9, busy: vec![1, 2], serving: true, ..Beat::default() };
         let frame = Frame { from: 1, incarnation: 2, sequence: 3, to: 4, echo: None, beat };
-        let good = frame.seal(&key);
-        let mut bytes = good.clone();
+        let sealed = frame.seal(&key);
+        let mut bytes = sealed.clone();
         mutations.iter().for_each(|mutation| mutate_bytes(&mut bytes, mutation));
         let opened = Frame::open(&key, &bytes);
-        prop_assert!(bytes == good || opened.is_err(), "{opened:?}");
+        prop_assert!(bytes == sealed || opened.is_err(), "{opened:?}");
     }
 
     #[test]
-    fn pieces_of_a_peer_with_the_key_are_read_or_refused(
+    fn pieces_of_a_peer_with_the_key_are_opened_or_refused(
         bytes in prop::collection::vec(any::<u8>(), 0..300),
     ) {
         let key = derive_key("shared");
--- a/testutils/tests/test_relay.rs
+++ b/testutils/tests/test_relay.rs
@@ -1,4 +1,4 @@
-//! Calls of a node that the store leaves without an answer, and that a peer can reach.
+//! Calls of a node that the store does not answer, relayed by a peer that the store answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,95 +15,98 @@
 use tokio::time::timeout;
 
 const TOPIC: &str = "keyed.progress";
-/// How long a call may wait for the store: beyond the end of the test.
-const WAIT: Duration = Duration::from_secs(600);
-/// How long a call waits that is to fail.
-const SOON: Duration = Duration::from_millis(50);
-/// How long something awaited may take.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of a call to the store that must not be reached: longer than the test.
+const LONG_TIMEOUT: Duration = Duration::from_secs(600);
+/// Timeout of a call that is expected to fail.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(50);
+/// Time limit of an expected result.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A node of a store, with its door, that knows one peer with a door of its own.
-struct Bed {
+/// A node with its own access to the store, and one peer with another access.
+struct Fixture {
     node: Arc<Node>,
     door: Door,
     store: Store,
     _peer: Arc<Node>,
 }
 
-impl Bed {
-    async fn start() -> Bed {
+impl Fixture {
+    async fn start() -> Fixture {
         let store = Store::default();
         let (door, other) = (store.door().await.unwrap(), store.door().await.unwrap());
         let listener = || TcpListener::bind(("127.0.0.1", 0));
         let node = batch::node(listener().await.unwrap(), door.addr);
         let peer = batch::node(listener().await.unwrap(), other.addr);
         node.directory.set_nodes([(peer.settings.peer_addr(), 250)]);
-        Bed { node, door, store, _peer: peer }
+        Fixture { node, door, store, _peer: peer }
     }
 
-    /// The store says nothing more to the node, which has seen that.
-    async fn fall_silent(&self) {
+    /// Makes the store stop answering the node, and waits until the node has noticed.
+    async fn stop_answers(&self) {
         self.door.set(Fault::Silent);
-        self.node.read_topic(TOPIC, 0, Duration::ZERO, SOON).await.unwrap();
+        self.node.read_topic(TOPIC, 0, Duration::ZERO, SHORT_TIMEOUT).await.unwrap();
         assert!(self.node.store_route.is_unavailable());
     }
 
     async fn append(&self, key: &str) {
         let records = [Record::set(key, "x")];
-        self.node.append(TOPIC, &records, &Guard::None, WAIT).await.unwrap();
+        self.node.append(TOPIC, &records, &Guard::None, LONG_TIMEOUT).await.unwrap();
     }
 }
 
-/// Each read waited its whole time for a store that did not answer, so that a scheduler met workers a second late.
+/// Guards against reads that wait their whole timeout for a store that does not answer: a scheduler
+/// then discovers workers a second late.
 #[tokio::test]
-async fn reads_do_not_wait_for_a_store_that_is_known_to_be_silent() {
-    let bed = Bed::start().await;
-    bed.fall_silent().await;
-    bed.append("a").await;
-    let page = bed.node.read_topic(TOPIC, 0, Duration::ZERO, WAIT);
-    let page = timeout(PATIENCE, page).await.expect("a peer reads").unwrap();
+async fn reads_do_not_wait_for_a_store_that_is_known_to_be_unavailable() {
+    let fixture = Fixture::start().await;
+    fixture.stop_answers().await;
+    fixture.append("a").await;
+    let page = fixture.node.read_topic(TOPIC, 0, Duration::ZERO, LONG_TIMEOUT);
+    let page = timeout(TEST_TIMEOUT, page).await.expect("a peer reads").unwrap();
     assert_eq!(page.records.len(), 1);
-    let newest = timeout(PATIENCE, bed.node.read_newest(TOPIC, WAIT)).await.expect("a peer reads");
+    let newest = timeout(TEST_TIMEOUT, fixture.node.read_newest(TOPIC, LONG_TIMEOUT))
+        .await
+        .expect("a peer reads");
     assert_eq!(newest.unwrap().end, 1);
 }
 
-/// News that come while a peer reads are to arrive, as from the store itself.
+/// A record that is appended while a peer long-polls arrives like from the store itself.
 #[tokio::test]
-async fn news_arrive_through_a_peer() {
-    let bed = Bed::start().await;
-    bed.fall_silent().await;
-    bed.append("a").await;
-    let news = async {
+async fn new_records_arrive_through_a_peer() {
+    let fixture = Fixture::start().await;
+    fixture.stop_answers().await;
+    fixture.append("a").await;
+    let read = async {
         loop {
-            let page = bed.node.read_topic(TOPIC, 1, WAIT, WAIT).await.unwrap();
+            let page = fixture.node.read_topic(TOPIC, 1, LONG_TIMEOUT, LONG_TIMEOUT).await.unwrap();
             if !page.records.is_empty() {
                 return page.records.len();
             }
         }
     };
     let write = async {
-        sleep(SOON).await;
-        bed.store.put(TOPIC, Record::set("b", "x"));
+        sleep(SHORT_TIMEOUT).await;
+        fixture.store.put(TOPIC, Record::set("b", "x"));
     };
-    let (news, ()) = tokio::join!(timeout(PATIENCE, news), write);
-    assert_eq!(news.expect("a peer reads"), 1);
+    let (read, ()) = tokio::join!(timeout(TEST_TIMEOUT, read), write);
+    assert_eq!(read.expect("a peer reads"), 1);
 }
 
 /// A node must not stay dependent on its peers once the store answers it.
 #[tokio::test]
 async fn the_store_is_used_again_once_it_answers() {
-    let bed = Bed::start().await;
-    bed.fall_silent().await;
-    bed.append("a").await;
-    bed.door.set(Fault::None);
-    // A peer may be faster now and then.
-    let open = async {
-        while bed.node.store_route.is_unavailable() {
-            bed.node.read_newest(TOPIC, WAIT).await.unwrap();
+    let fixture = Fixture::start().await;
+    fixture.stop_answers().await;
+    fixture.append("a").await;
+    fixture.door.set(Fault::None);
+    // A single read may be answered first by the peer.
+    let direct = async {
+        while fixture.node.store_route.is_unavailable() {
+            fixture.node.read_newest(TOPIC, LONG_TIMEOUT).await.unwrap();
         }
     };
-    timeout(PATIENCE, open).await.expect("the store answers");
-    let asked = bed.door.asked();
-    bed.append("b").await;
-    assert_eq!(bed.door.asked(), asked + 1);
+    timeout(TEST_TIMEOUT, direct).await.expect("the store answers");
+    let asked = fixture.door.asked();
+    fixture.append("b").await;
+    assert_eq!(fixture.door.asked(), asked + 1);
 }
--- a/testutils/tests/test_silent.rs
+++ b/testutils/tests/test_silent.rs
@@ -1,10 +1,10 @@
-//! Connections that go silent: nothing is reset, nothing is answered, and new connections work.
+//! Connections that stop delivering data: they are not reset, requests on them have no answer, and
+//! new connections work.
 //!
-//! What users saw: most jobs of a service came late for half a minute. Open connections had gone silent
-//! for a second; orders about boxes then rested for 27 s. Many orders at once had left as many open
-//! connections to the interface for boxes; each later call took one of them, waited out its time and
-//! gave up that one only. The evidence: 29 calls in a row without an answer, all on connections that
-//! had carried requests before, none on a new one.
+//! Guards against calls that time out one after another on such connections. Many concurrent orders
+//! leave as many idle connections to the interface for boxes. If all of them stop delivering data at
+//! once, and each later call uses one of them, times out and closes only that one, no box is ordered
+//! for 27 s (29 calls), and most jobs of a service are late.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -44,48 +44,48 @@
 use tokio_util::codec::Framed;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Connections that are open when they go silent.
-const OPEN: usize = 12;
-/// How long a call may take.
-const WAIT: Duration = Duration::from_millis(400);
-/// Time that a server takes for an answer, so that calls side by side need a connection each.
-const WORK: Duration = Duration::from_millis(100);
+/// Number of connections that are open when they stop delivering data.
+const OPEN_CONNECTIONS: usize = 12;
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time that the server takes for an answer, so that concurrent calls need a connection each.
+const ANSWER_TIME: Duration = Duration::from_millis(100);
 
-/// A server behind a proxy, which it ends with.
+/// A server behind a proxy. It stops when this is dropped.
 struct Server {
-    line: Proxy,
+    proxy: Proxy,
     _open: watch::Sender<bool>,
 }
 
 impl Server {
     async fn start() -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let line = Proxy::start(listener.local_addr().unwrap()).await.unwrap();
+        let proxy = Proxy::start(listener.local_addr().unwrap()).await.unwrap();
         let (open, closed) = watch::channel(false);
         tokio::spawn(serve(listener, closed, async |_| {
-            sleep(WORK).await;
+            sleep(ANSWER_TIME).await;
             Response::new(full("done"))
         }));
-        Server { line, _open: open }
+        Server { proxy, _open: open }
     }
 }
 
 async fn call(dialer: &Dialer, addr: SocketAddr) -> Result<Bytes, ExchangeError> {
     let request = Request::builder().uri("/").header("host", "test").body(full("")).unwrap();
-    dialer.exchange(addr, request, 1024, WAIT).await.map(Response::into_body)
+    dialer.exchange(addr, request, 1024, CALL_TIMEOUT).await.map(Response::into_body)
 }
 
-/// Opens connections, silences them, and returns how many calls, one after another, have no answer
-/// before one has.
-async fn failures_after(way: Silence) -> usize {
+/// Opens connections, stops their data, and returns how many consecutive calls have no answer before
+/// the first that has one.
+async fn failures_after(silence: Silence) -> usize {
     let server = Server::start().await;
-    let dialer = Dialer::new(WAIT);
-    let calls = (0..OPEN).map(|_| call(&dialer, server.line.addr));
+    let dialer = Dialer::new(CALL_TIMEOUT);
+    let calls = (0..OPEN_CONNECTIONS).map(|_| call(&dialer, server.proxy.addr));
     assert!(join_all(calls).await.iter().all(Result::is_ok));
-    assert_eq!(server.line.opened(), OPEN as u64);
-    server.line.silence_open(way);
-    for failed in 0..=OPEN {
-        if call(&dialer, server.line.addr).await.is_ok() {
+    assert_eq!(server.proxy.opened(), OPEN_CONNECTIONS as u64);
+    server.proxy.silence_open(silence);
+    for failed in 0..=OPEN_CONNECTIONS {
+        if call(&dialer, server.proxy.addr).await.is_ok() {
             return failed;
         }
     }
@@ -93,33 +93,33 @@
 }
 
 #[tokio::test]
-async fn one_call_without_an_answer_tells_on_all_silent_connections() {
-    for way in [Silence::Both, Silence::Requests, Silence::Answers] {
-        assert!(failures_after(way).await <= 1, "{way:?}");
+async fn one_call_without_an_answer_closes_all_silent_connections() {
+    for silence in [Silence::Both, Silence::Requests, Silence::Answers] {
+        assert!(failures_after(silence).await <= 1, "{silence:?}");
     }
 }
 
 async fn call_again(dialer: &Dialer, addr: SocketAddr) -> Result<Exchanged, ExchangeError> {
     let request = || Request::builder().uri("/").header("host", "test").body(full(""));
-    let limits = Limits { bytes: 1024, wait: WAIT * 4, held: Duration::ZERO };
+    let limits = Limits { bytes: 1024, wait: CALL_TIMEOUT * 4, held: Duration::ZERO };
     dialer.exchange_again(addr, request, limits).await
 }
 
 #[tokio::test]
 async fn a_call_that_may_be_sent_twice_is_answered_although_every_connection_is_silent() {
-    for way in [Silence::Both, Silence::Requests, Silence::Answers] {
+    for silence in [Silence::Both, Silence::Requests, Silence::Answers] {
         let server = Server::start().await;
-        let dialer = Dialer::new(WAIT);
-        let calls = (0..OPEN).map(|_| call(&dialer, server.line.addr));
+        let dialer = Dialer::new(CALL_TIMEOUT);
+        let calls = (0..OPEN_CONNECTIONS).map(|_| call(&dialer, server.proxy.addr));
         assert!(join_all(calls).await.iter().all(Result::is_ok));
         for _ in 0..3 {
-            server.line.silence_open(way);
-            let opened = server.line.opened();
-            let exchanged = call_again(&dialer, server.line.addr).await.unwrap();
-            assert!(exchanged.other_is_open, "{way:?}");
-            // The others were given up with the first, and the new one is kept.
-            assert!(!call_again(&dialer, server.line.addr).await.unwrap().other_is_open);
-            assert_eq!(server.line.opened(), opened + 1, "{way:?}");
+            server.proxy.silence_open(silence);
+            let opened = server.proxy.opened();
+            let exchanged = call_again(&dialer, server.proxy.addr).await.unwrap();
+            assert!(exchanged.other_is_open, "{silence:?}");
+            // All silent connections were closed with the first one, and the new one is kept.
+            assert!(!call_again(&dialer, server.proxy.addr).await.unwrap().other_is_open);
+            assert_eq!(server.proxy.opened(), opened + 1, "{silence:?}");
         }
     }
 }
@@ -127,33 +127,33 @@
 #[tokio::test]
 async fn an_address_that_never_answers_gets_two_connections_a_call_at_most() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let line = Proxy::start(listener.local_addr().unwrap()).await.unwrap();
-    line.set(Fault { answer: Flow::Hold, request: Flow::Hold, refuse: false });
-    let dialer = Dialer::new(WAIT);
-    let calls = (0..OPEN).map(|_| call_again(&dialer, line.addr));
+    let proxy = Proxy::start(listener.local_addr().unwrap()).await.unwrap();
+    proxy.set(Fault { answer: Flow::Hold, request: Flow::Hold, refuse: false });
+    let dialer = Dialer::new(CALL_TIMEOUT);
+    let calls = (0..OPEN_CONNECTIONS).map(|_| call_again(&dialer, proxy.addr));
     assert!(join_all(calls).await.iter().all(Result::is_err));
-    assert!(line.opened() <= 2 * OPEN as u64, "{} connections", line.opened());
+    assert!(proxy.opened() <= 2 * OPEN_CONNECTIONS as u64, "{} connections", proxy.opened());
 }
 
-/// A request that cannot be sent twice, on connections that have gone silent while they were idle:
-/// nobody could say what became of it.
+/// The outcome of a request that cannot be sent twice would be unknown on a connection that has gone
+/// silent while it was idle.
 #[tokio::test]
 async fn a_request_that_cannot_be_sent_twice_uses_no_connection_that_was_idle_for_long() {
     let server = Server::start().await;
-    let dialer = Dialer::new(WAIT);
+    let dialer = Dialer::new(CALL_TIMEOUT);
     let send = async || {
         let request = Request::builder().uri("/").header("host", "test").body(full(""));
-        let answer = dialer.send(server.line.addr, request.unwrap()).await.unwrap();
+        let answer = dialer.send(server.proxy.addr, request.unwrap()).await.unwrap();
         collect(answer.into_body(), 1024).await.unwrap()
     };
     send().await;
-    server.line.silence_open(Silence::Both);
+    server.proxy.silence_open(Silence::Both);
     sleep(Duration::from_millis(1_100)).await;
-    assert_eq!(timeout(WAIT, send()).await.unwrap(), "done");
+    assert_eq!(timeout(CALL_TIMEOUT, send()).await.unwrap(), "done");
 }
 
-/// Whether the kernel watches the end of a loopback connection with this local and remote port by
-/// keep-alive probes (timer 2 in its table of connections).
+/// Whether the kernel sends keep-alive probes for the end of a loopback connection with this local
+/// and remote port (timer 2 in its table of connections).
 fn is_probed(local: Option<u16>, remote: Option<u16>) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let has_port = |field: &str, port: Option<u16>| {
@@ -168,49 +168,50 @@
 }
 
 #[tokio::test]
-async fn connections_that_nobody_waits_on_are_probed() {
+async fn idle_connections_are_probed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let (_open, closed) = watch::channel(false);
     tokio::spawn(serve(listener, closed, async |_| Response::new(full("done"))));
-    let dialer = Dialer::new(WAIT);
+    let dialer = Dialer::new(CALL_TIMEOUT);
     assert!(call(&dialer, addr).await.is_ok());
     let ends = || (is_probed(None, Some(addr.port())), is_probed(Some(addr.port()), None));
-    // The timer of an end is another one until its last bytes are acknowledged.
+    // Until the last bytes of an end are acknowledged, its timer is the one for retransmission.
     for _ in 0..100 {
         if ends() == (true, true) {
             return;
         }
-        sleep(WORK / 2).await;
+        sleep(ANSWER_TIME / 2).await;
     }
-    panic!("of the ends that made and accepted the connection are probed: {:?}", ends());
+    panic!("probed ends (connecting, accepting): {:?}", ends());
 }
 
-/// A request that was sent twice is refused by one try. The other may be carried out all the same, so
-/// nobody may be told that it was not.
+/// Of a request that was sent twice, one attempt is refused. The other one may still be executed, so
+/// the refusal must not be reported as certain.
 #[tokio::test]
-async fn a_refusal_of_one_try_leaves_the_other_open() {
+async fn a_refusal_of_one_attempt_leaves_the_other_open() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let line = Proxy::start(listener.local_addr().unwrap()).await.unwrap();
+    let proxy = Proxy::start(listener.local_addr().unwrap()).await.unwrap();
     let (_open, closed) = watch::channel(false);
-    let tries = Arc::new(AtomicUsize::new(0));
+    let attempts = Arc::new(AtomicUsize::new(0));
     tokio::spawn(serve(listener, closed, move |_| {
-        let number = tries.fetch_add(1, Ordering::SeqCst);
+        let number = attempts.fetch_add(1, Ordering::SeqCst);
         async move {
-            // The first try is refused once the second one is under way, which gets no answer.
-            sleep(if number == 0 { WAIT } else { WAIT * 10 }).await;
+            // The first attempt is refused once the second one, which gets no answer, is in flight.
+            sleep(if number == 0 { CALL_TIMEOUT } else { CALL_TIMEOUT * 10 }).await;
             let mut response = Response::new(full("busy"));
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
             response
         }
     }));
-    let exchanged = call_again(&Dialer::new(WAIT), line.addr).await.unwrap();
+    let exchanged = call_again(&Dialer::new(CALL_TIMEOUT), proxy.addr).await.unwrap();
     assert_eq!(exchanged.response.status(), StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(line.opened(), 2);
+    assert_eq!(proxy.opened(), 2);
     assert!(exchanged.other_is_open);
 }
 
-/// A peer that answers every request at once but those for a view, which wait until `held` is notified.
+/// A peer that answers every request at once, except requests for a view: each waits until `held` is
+/// notified.
 async fn start_peer(held: Arc<Notify>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -234,65 +235,65 @@
                 held.notified().await;
             }
             let answer = postcard::to_stdvec(&(number, Reply::Done)).unwrap();
-            // The connection may be gone by then.
+            // The connection may have ended.
             let _ = sink.lock().await.send(Bytes::from(answer)).await;
         });
     }
 }
 
-/// A peer behind a proxy, and what lets it answer requests for a view.
-async fn peer_line() -> (Proxy, Arc<Notify>) {
+/// A peer behind a proxy, and the notification that lets it answer a request for a view.
+async fn proxied_peer() -> (Proxy, Arc<Notify>) {
     let held = Arc::new(Notify::new());
     (Proxy::start(start_peer(held.clone()).await).await.unwrap(), held)
 }
 
 #[tokio::test]
 async fn a_request_on_a_silent_connection_to_a_peer_is_answered_on_a_new_one() {
-    for way in [Silence::Both, Silence::Requests, Silence::Answers] {
-        let (line, _) = peer_line().await;
+    for silence in [Silence::Both, Silence::Requests, Silence::Answers] {
+        let (proxy, _) = proxied_peer().await;
         let peers = Peers::default();
         for opened in 1..=3 {
-            let answer = peers.ask(line.addr, peer::Request::State(1, Caller::Operator)).await;
-            assert_eq!(answer.unwrap(), Reply::Done, "{way:?}");
-            assert_eq!(line.opened(), opened);
-            line.silence_open(way);
+            let answer = peers.ask(proxy.addr, peer::Request::State(1, Caller::Operator)).await;
+            assert_eq!(answer.unwrap(), Reply::Done, "{silence:?}");
+            assert_eq!(proxy.opened(), opened);
+            proxy.silence_open(silence);
         }
     }
 }
 
 #[tokio::test]
-async fn a_peer_that_takes_long_is_not_taken_for_silent() {
-    let (line, held) = peer_line().await;
+async fn a_slow_peer_is_not_unresponsive() {
+    let (proxy, held) = proxied_peer().await;
     let peers = Peers::default();
-    let view = peers.ask(line.addr, peer::Request::View("slow".to_owned()));
+    let view = peers.ask(proxy.addr, peer::Request::View("slow".to_owned()));
     let release = async {
-        // Longer than a silent connection is kept.
-        sleep(WAIT + 3 * WORK).await;
+        // Longer than an unresponsive connection stays open.
+        sleep(CALL_TIMEOUT + 3 * ANSWER_TIME).await;
         held.notify_one();
     };
     let (answer, ()) = tokio::join!(view, release);
     assert_eq!(answer.unwrap(), Reply::Done);
-    assert_eq!(line.opened(), 1);
+    assert_eq!(proxy.opened(), 1);
 }
 
 #[tokio::test]
 async fn a_late_failure_on_a_silent_connection_does_not_end_the_one_that_replaced_it() {
-    let (line, held) = peer_line().await;
+    let (proxy, held) = proxied_peer().await;
     let peers = Peers::default();
     let ask = |request: peer::Request| {
-        let (peers, addr) = (peers.clone(), line.addr);
+        let (peers, addr) = (peers.clone(), proxy.addr);
         tokio::spawn(async move { peers.ask_once(addr, request).await })
     };
     assert_eq!(ask(peer::Request::State(1, Caller::Operator)).await.unwrap().unwrap(), Reply::Done);
-    line.silence_open(Silence::Both);
+    proxy.silence_open(Silence::Both);
     let first = ask(peer::Request::State(1, Caller::Operator));
-    sleep(WORK).await;
-    // Sent to the silent connection as well.
+    sleep(ANSWER_TIME).await;
+    // Sent on the silent connection as well.
     let second = ask(peer::Request::State(1, Caller::Operator));
     assert!(first.await.unwrap().is_err());
     let third = ask(peer::Request::View("held".to_owned()));
     let second = second.await.unwrap();
-    sleep(WORK).await;
+    sleep(ANSWER_TIME).await;
     held.notify_one();
     assert!(second.is_err());
     assert_eq!(third.await.unwrap().unwrap(), Reply::Done);
