--- a/lib/src/batch/place.rs
+++ b/lib/src/batch/place.rs
@@ -1,4 +1,4 @@
-//! Which worker a task is started on.
+//! Placement of waiting tasks on workers.
 
 pub mod fair;
 pub mod fit;
@@ -34,43 +34,45 @@
 use crate::batch::worker::Worker;
 
 impl Cell {
-    /// Starts what waits, as far as there is room, in the order of rank. What cannot reach its
-    /// objective any more comes after everything that can.
+    /// Starts waiting tasks in rank order as far as resources allow. Steps that can no longer meet
+    /// their objective come after all that can.
     pub fn place_ready(&mut self, now: Instant, wall: Duration) {
         self.placement_pending = false;
         self.workers.take_freed();
         self.withhold_unfenced(now);
         self.update_unpolled_usage();
-        let doubt = self.possible_runs();
+        let possible_runs = self.possible_runs();
         let ranks: Vec<Rank> = self.ready.iter().copied().collect();
         let wall_ms = wall.as_millis() as u64;
         let (suspect, others) = self.split_suspects(ranks);
-        let (mut hopeful, late): (Vec<Rank>, Vec<Rank>) = others
+        let (mut on_time, late): (Vec<Rank>, Vec<Rank>) = others
             .into_iter()
             .partition(|rank| !rank.is_finite || self.can_meet_objective(rank, wall_ms));
-        self.sort_started_first(&mut hopeful);
-        let ends = hopeful.partition_point(|rank| !rank.is_finite);
-        let ending = hopeful.split_off(ends);
-        for rank in suspect.into_iter().chain(hopeful) {
-            self.place_step(rank, now, &doubt);
+        self.sort_started_first(&mut on_time);
+        let first_finite = on_time.partition_point(|rank| !rank.is_finite);
+        let finite = on_time.split_off(first_finite);
+        for rank in suspect.into_iter().chain(on_time) {
+            self.place_step(rank, now, &possible_runs);
         }
-        for ranks in [ending, late] {
+        for ranks in [finite, late] {
             for ranks in group_by_priority(ranks) {
-                self.place_fairly(ranks, now, &doubt);
+                self.place_fairly(ranks, now, &possible_runs);
             }
         }
     }
 
-    /// Of the tasks that last and are of one priority, those of jobs that have run before come first: their users
-    /// miss them, and while one is away its step lets no other be moved.
+    /// Among long-running tasks of one priority, puts those of jobs that have run before first:
+    /// their users notice the outage, and while one is unavailable its step lets no other task be
+    /// moved.
     fn sort_started_first(&self, ranks: &mut [Rank]) {
-        let lasting = ranks.partition_point(|rank| !rank.is_finite);
+        let first_finite = ranks.partition_point(|rank| !rank.is_finite);
         let is_new = |rank: &Rank| self.jobs.get(&rank.job).is_none_or(|entry| !entry.started);
-        ranks[..lasting].sort_by_key(|rank| (rank.priority, is_new(rank)));
+        ranks[..first_finite].sort_by_key(|rank| (rank.priority, is_new(rank)));
     }
 
-    /// Steps with tasks that may have brought down a worker come first: a worker on which nothing has just
-    /// begun, often the next life of the one that crashed, is soon taken by others.
+    /// Splits off the steps with tasks that may have crashed a worker; they are placed first. A
+    /// suspect needs a worker without recent starts, often the next incarnation of the one that
+    /// crashed, and other tasks would soon fill such a worker.
     fn split_suspects(&mut self, ranks: Vec<Rank>) -> (Vec<Rank>, Vec<Rank>) {
         if !std::mem::take(&mut self.has_suspects) {
             return (Vec::new(), ranks);
@@ -81,18 +83,20 @@
         (suspect, others)
     }
 
-    /// Whether a task that may have brought down a worker waits in a step.
+    /// Whether a waiting task of the step is suspected of crashing a worker.
     pub fn has_waiting_suspect(&self, rank: &Rank) -> bool {
         let run =
             self.jobs.get(&rank.job).and_then(|job| job.find_step_run(rank.repetition, rank.step));
         let is_suspect = |task: &Task| is_suspect(&task.crashes, self.repeated_crashes);
-        let any = |run: &StepRun| run.waiting.iter().any(|at| is_suspect(&run.tasks[*at as usize]));
-        run.is_some_and(any)
+        let has_suspect =
+            |run: &StepRun| run.waiting.iter().any(|index| is_suspect(&run.tasks[*index as usize]));
+        run.is_some_and(has_suspect)
     }
 
-    /// Keeps work from workers that were met after another node may have claimed the lead: it can have
-    /// read the list of workers without them, and start the same task on one that it knows. A task ran
-    /// twice for 0.3 s that way, on a worker met 2.1 s after the last renewal.
+    /// Withholds tasks from workers that were discovered after another node may have claimed
+    /// leadership. Such a node can have read the worker list without them and start the same task
+    /// on a worker that it knows, so that the task runs twice: for 0.3 s if the
+    /// worker was discovered 2.1 s after the last renewal.
     fn withhold_unfenced(&mut self, now: Instant) {
         let renewed_at = self.renewed_at;
         let may_withhold = !is_sole_leader(renewed_at, now);
@@ -107,39 +111,39 @@
         self.has_unfenced = has_unfenced;
     }
 
-    /// Whether a round of placing may start something that the last one could not, but for what
-    /// passes by itself with time.
+    /// Whether a placement round may start something that the last one could not. Ignores what
+    /// changes with time alone, such as the end of a backoff: see [`Cell::request_placement`].
     pub fn needs_placement(&mut self) -> bool {
         self.workers.take_freed() || self.placement_pending
     }
 
-    /// Time has passed: rests may be over, and objectives out of reach.
+    /// Requests a placement round, since with time backoffs end and objectives go out of reach.
     pub fn request_placement(&mut self) {
         self.placement_pending = true;
     }
 
-    /// Whether a step can still be done by its objective, by the client's guess.
+    /// Whether a step can still finish by its objective, by the client's runtime estimate.
     fn can_meet_objective(&self, rank: &Rank, wall_ms: u64) -> bool {
         let Some(entry) = self.jobs.get(&rank.job) else { return true };
         let step = entry.step(rank.step).map_or(0, |step| step.estimate_ms);
         wall_ms + step <= rank.objective_at
     }
 
-    /// The most processor left on any worker of a service that takes work; none takes any if there is
-    /// no such worker.
+    /// The most free CPU, in thousandths of a core, on any schedulable worker of a service; `None`
+    /// if no worker is schedulable.
     fn max_free_cpu(&self, service: &str, now: Instant) -> Option<u32> {
-        let mut open = self.workers.eligible_with(service, 0).rev();
-        open.find(|worker| worker.is_schedulable(now)).map(|worker| worker.free.cpu)
+        let mut eligible = self.workers.eligible_with(service, 0).rev();
+        eligible.find(|worker| worker.is_schedulable(now)).map(|worker| worker.free.cpu)
     }
 
-    /// Starts what waits of a step, as far as there is room.
-    fn place_step(&mut self, rank: Rank, now: Instant, doubt: &PossibleRuns) {
+    /// Starts waiting tasks of a step as far as resources allow.
+    fn place_step(&mut self, rank: Rank, now: Instant, possible_runs: &PossibleRuns) {
         let Some(entry) = self.jobs.get(&rank.job) else {
             self.ready.remove(&rank);
             return;
         };
         let service = &entry.accepted.service;
-        if entry.inherited && doubt.services.contains(service) {
+        if entry.inherited && possible_runs.services.contains(service) {
             return;
         }
         let Some(step) = entry.step(rank.step) else { return };
@@ -152,20 +156,20 @@
             let first =
                 TaskName { job: rank.job, repetition: rank.repetition, step: rank.step, index: 0 };
             self.request_advice(first, &service, now);
-            self.place_gang(rank, &service, &step, now, doubt);
+            self.place_gang(rank, &service, &step, now, possible_runs);
         } else {
-            self.place_tasks(rank, &service, &step, now, doubt);
+            self.place_tasks(rank, &service, &step, now, possible_runs);
         }
     }
 
-    /// Starts tasks of a step, each by itself, until one finds no worker.
+    /// Starts the waiting tasks of a step one by one until one finds no worker.
     fn place_tasks(
         &mut self,
         rank: Rank,
         service: &str,
         step: &Step,
         now: Instant,
-        doubt: &PossibleRuns,
+        possible_runs: &PossibleRuns,
     ) {
         let Some(entry) = self.jobs.get_mut(&rank.job) else { return };
         let (account, one) = (entry.accepted.account.clone(), Usage::of(step, 1));
@@ -175,7 +179,7 @@
         for index in waiting {
             let task =
                 TaskName { job: rank.job, repetition: rank.repetition, step: rank.step, index };
-            if doubt.tasks.contains(&task) {
+            if possible_runs.tasks.contains(&task) {
                 continue;
             }
             let suspicion = self.suspicion(task, now);
@@ -193,7 +197,7 @@
                 if !rank.is_finite {
                     self.preempt(task, service, step, now);
                 }
-                // Tasks of a step are alike, except for the workers they avoid.
+                // Tasks of a step have the same requirements, except for the workers they avoid.
                 break;
             };
             self.start_task(task, &worker, step, now);
@@ -207,7 +211,7 @@
         }
     }
 
-    /// The best worker for a task now, if there is room for it.
+    /// The best worker for a task now; `None` if no worker may run it.
     fn choose_worker(
         &mut self,
         task: TaskName,
@@ -216,25 +220,28 @@
         suspicion: Suspicion,
         now: Instant,
     ) -> Option<Incarnation> {
-        let avoid = self.jobs.get_mut(&task.job)?.task_mut(task)?.avoided_workers.clone();
-        let ask = Request::new(task, service, step, &avoid).with_suspicion(suspicion);
-        let mut weighed = 0;
+        let avoided_workers = self.jobs.get_mut(&task.job)?.task_mut(task)?.avoided_workers.clone();
+        let request = Request::new(task, service, step, &avoided_workers).with_suspicion(suspicion);
+        let mut examined = 0;
         let mut fits = |worker: &&Worker| {
-            weighed += 1;
-            is_fit(worker, &ask, now) && self.is_permitted(task, worker, now)
+            examined += 1;
+            is_fit(worker, &request, now) && self.is_permitted(task, worker, now)
         };
         let near = step.data_rack.iter();
-        let near = near.flat_map(|rack| self.workers.eligible_on_rack(service, rack, ask.need.cpu));
-        let near = best_worker(near.filter(&mut fits), &ask);
-        let any =
-            best_worker(self.workers.eligible_with(service, ask.need.cpu).filter(&mut fits), &ask);
-        let best = near.into_iter().chain(any).min_by_key(|worker| cost(worker, &ask));
+        let near =
+            near.flat_map(|rack| self.workers.eligible_on_rack(service, rack, request.need.cpu));
+        let near = best_worker(near.filter(&mut fits), &request);
+        let any = best_worker(
+            self.workers.eligible_with(service, request.need.cpu).filter(&mut fits),
+            &request,
+        );
+        let best = near.into_iter().chain(any).min_by_key(|worker| cost(worker, &request));
         let best = best.map(|worker| worker.peer.incarnation.clone());
-        self.examined_workers += weighed;
+        self.examined_workers += examined;
         best
     }
 
-    /// Whether the advice service lets a task run on a worker, where its queue needs that.
+    /// Whether the advice service permits the task on this worker, if its queue needs advice.
     pub(super) fn is_permitted(&self, task: TaskName, worker: &Worker, now: Instant) -> bool {
         let entry = self.jobs.get(&task.job);
         let needed = entry.is_some_and(|entry| entry.accepted.needs_advice);
@@ -242,21 +249,22 @@
         !needed || self.advices.ticket(step, &worker.peer.incarnation, now).is_some()
     }
 
-    /// Asks the advice service about workers of the service, those with the most room first.
+    /// Requests advice about the schedulable workers of the service, those with the most free CPU
+    /// first.
     fn request_advice(&mut self, task: TaskName, service: &str, now: Instant) {
         if !self.jobs.get(&task.job).is_some_and(|entry| entry.accepted.needs_advice) {
             return;
         }
-        let open = self.workers.eligible_with(service, 0).rev();
-        let open = open.filter(|worker| worker.is_schedulable(now));
-        let ids = open.map(|worker| worker.peer.incarnation.clone());
+        let eligible = self.workers.eligible_with(service, 0).rev();
+        let eligible = eligible.filter(|worker| worker.is_schedulable(now));
+        let ids = eligible.map(|worker| worker.peer.incarnation.clone());
         self.advices.queue_question((task.job, task.repetition, task.step), ids);
     }
 
-    /// Orders a start and takes the task's room.
-    fn start_task(&mut self, name: TaskName, life: &Incarnation, step: &Step, now: Instant) {
+    /// Orders the start of a task and allocates its resources.
+    fn start_task(&mut self, name: TaskName, incarnation: &Incarnation, step: &Step, now: Instant) {
         let token = self.token;
-        let Some(mut worker) = self.workers.get_mut(life) else { return };
+        let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
         let Some(entry) = self.jobs.get_mut(&name.job) else { return };
         let Some(task) = entry.task_mut(name) else { return };
         let run = next_run(task, token);
@@ -267,35 +275,35 @@
         if let Some(run) = entry.step_run_mut(name.repetition, name.step) {
             run.waiting.remove(&name.index);
         }
-        let slot = Allocation::new(
+        let allocation = Allocation::new(
             run,
             Phase::Starting,
             Entry::resources_of(step),
             Entry::class_of(step),
             now,
         );
-        worker.insert(name, Allocation { claim: entry.claim(name.step), ..slot });
+        worker.insert(name, Allocation { claim: entry.claim(name.step), ..allocation });
         let waited = waited.unwrap_or_default();
         self.wait_times.push(waited);
         let waited_ms = waited.as_millis() as u64;
         log::info!(
             task = name.to_string().as_str(),
             run,
-            worker:% = life,
+            worker:% = incarnation,
             waited_ms,
             free_cpu = worker.free.cpu;
             "start"
         );
         let peer = worker.peer.clone();
         drop(worker);
-        let ticket = self.advices.ticket((name.job, name.repetition, name.step), life, now);
+        let ticket = self.advices.ticket((name.job, name.repetition, name.step), incarnation, now);
         let ticket = ticket.cloned().unwrap_or_default();
         self.outbox.push(Order::Start { peer, task: name, run, checkpoint, ticket });
     }
 }
 
-/// Steps that end by themselves, those of each priority together, the first ones first, and of these those that
-/// their accounts sent within their weights.
+/// Groups finite steps by priority, the first priority first. Within a priority, jobs that their
+/// accounts sent within their rate come before those above it.
 fn group_by_priority(ranks: Vec<Rank>) -> Vec<Vec<Rank>> {
     let same = |one: &Rank, other: &Rank| {
         (one.priority, one.is_over_rate) == (other.priority, other.is_over_rate)
@@ -303,18 +311,18 @@
     ranks.chunk_by(same).map(<[Rank]>::to_vec).collect()
 }
 
-/// The best of some workers on which a task may run, those with the least processor left first. A task
-/// that ends by itself wants the first one that nothing speaks against, so the others are not looked at.
+/// The best of some workers that may run a task, those with the least free CPU first. For a batch
+/// task the search ends at the first ideal worker.
 fn best_worker<'a>(
     workers: impl Iterator<Item = &'a Worker>,
-    ask: &Request<'_>,
+    request: &Request<'_>,
 ) -> Option<&'a Worker> {
     let mut best: Option<&Worker> = None;
     for worker in workers {
-        if best.is_none_or(|best| cost(worker, ask) < cost(best, ask)) {
+        if best.is_none_or(|best| cost(worker, request) < cost(best, request)) {
             best = Some(worker);
         }
-        if best.is_some_and(|best| is_ideal(best, ask)) {
+        if best.is_some_and(|best| is_ideal(best, request)) {
             break;
         }
     }
--- a/lib/src/batch/place/fair.rs
+++ b/lib/src/batch/place/fair.rs
@@ -1,10 +1,11 @@
-//! Whose task is next where accounts share the workers.
+//! Fair sharing of the workers between accounts.
 //!
-//! Under more load than there is room for, steps in the order of their objectives give the room to whoever sends most.
-//! So what an account sends within its weight a second comes before what any account sends beyond, and of that, what
-//! an account may have by its share of the workers comes before what others want above theirs. Below its share an
-//! account waits for nobody; while there is room for all, the order of the objectives is all that counts. Work of no
-//! account counts as that of one with the least weight.
+//! Under overload, placement in the order of the objectives alone would give the resources to the
+//! account that sends most. Therefore jobs that an account sends within its rate (its weight in
+//! jobs per second) come before jobs above the sender's rate, and within each of these groups an
+//! account below its fair share of the workers comes before accounts above theirs. An account below
+//! its share waits for no other. While there are resources for all, only the objectives count. Jobs
+//! without an account count as those of one with the minimum weight.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -18,25 +19,26 @@
 use crate::batch::usage::owner;
 use crate::state::id::AccountId;
 
-/// Weight of an account that says none, and of work that is nobody's.
+/// Weight of an account that sets none, and of jobs without an account.
 const MIN_WEIGHT: f64 = 1.0;
 
-/// How many jobs accounts may still send within their weight: as many as the weight in each second, and no more than
-/// that at once.
+/// Token buckets of the accounts' job rates: each fills by the account's weight per second and
+/// holds at most one second's worth, but at least one job.
 #[derive(Default)]
 pub struct Allowances(HashMap<AccountId, (f64, Duration)>);
 
 impl Allowances {
-    /// Takes a job that an account has sent at a time since 1970; whether it goes beyond the weight.
+    /// Counts a job sent by an account at a time since 1970. Returns whether it exceeds the
+    /// account's rate, its weight in jobs per second.
     ///
     /// ```
     /// use std::time::Duration;
     /// use spokelift_lib::batch::place::fair::Allowances;
     /// let mut allowances = Allowances::default();
     /// let second = Duration::from_secs(1);
-    /// let mut beyond = |at| allowances.exceeds_rate(&"a".into(), 2.0, at);
-    /// assert_eq!([second, second, second].map(&mut beyond), [false, false, true]);
-    /// assert!(!beyond(second * 2));
+    /// let mut exceeds = |at| allowances.exceeds_rate(&"a".into(), 2.0, at);
+    /// assert_eq!([second, second, second].map(&mut exceeds), [false, false, true]);
+    /// assert!(!exceeds(second * 2));
     /// ```
     pub fn exceeds_rate(&mut self, account: &AccountId, weight: f64, at: Duration) -> bool {
         let (left, last) = self.0.entry(account.clone()).or_insert((weight, at));
@@ -52,7 +54,8 @@
 }
 
 impl Cell {
-    /// Whether a job that an account has sent at a time since 1970 goes beyond its weight.
+    /// Counts a job sent by an account at a time since 1970, and returns whether it exceeds the
+    /// account's rate. Jobs without an account, and of accounts not in the configuration, never do.
     pub(in crate::batch) fn exceeds_rate(
         &mut self,
         account: Option<&AccountId>,
@@ -66,22 +69,27 @@
         self.allowances.exceeds_rate(account, weight, at)
     }
 
-    /// Starts what waits of some steps, as far as there is room, in the order given; but steps of accounts that have
-    /// their share by then come last.
-    pub(super) fn place_fairly(&mut self, ranks: Vec<Rank>, now: Instant, doubt: &PossibleRuns) {
+    /// Starts waiting tasks of some steps in the order given, but defers steps whose accounts have
+    /// already reached their fair share until after all others.
+    pub(super) fn place_fairly(
+        &mut self,
+        ranks: Vec<Rank>,
+        now: Instant,
+        possible_runs: &PossibleRuns,
+    ) {
         let owners = ranks.iter().map(|rank| self.owner_of(rank));
         let owners: Vec<AccountId> = owners.collect();
         let shares = self.fair_shares(&owners);
-        let mut above = Vec::new();
+        let mut above_share = Vec::new();
         for (rank, account) in ranks.into_iter().zip(owners) {
             if shares.len() > 1 && self.dominant_share(&account) >= shares[&account] {
-                above.push(rank);
+                above_share.push(rank);
             } else {
-                self.place_step(rank, now, doubt);
+                self.place_step(rank, now, possible_runs);
             }
         }
-        for rank in above {
-            self.place_step(rank, now, doubt);
+        for rank in above_share {
+            self.place_step(rank, now, possible_runs);
         }
     }
 
@@ -90,8 +98,8 @@
         owner(entry.and_then(|entry| entry.accepted.account.as_ref()))
     }
 
-    /// The share of all workers that each account may have before others come first: by weight, among those that
-    /// have something running or wait.
+    /// The fraction of all workers' resources that each account may use before others come first:
+    /// by weight, among the accounts that have tasks running or waiting.
     fn fair_shares(&self, waiting: &[AccountId]) -> BTreeMap<AccountId, f64> {
         let running = self.workers.totals().iter().map(|(account, _)| account);
         let accounts = running.chain(waiting);
@@ -102,12 +110,12 @@
         shares
     }
 
-    /// The share of all workers that an account has, of what it has most of.
+    /// An account's dominant share: the larger of the fractions of CPU and memory that it uses.
     fn dominant_share(&self, account: &AccountId) -> f64 {
         let all = self.workers.capacity();
         let Usage { cpu, memory_mb, .. } = self.usage_of(account);
-        let part = |used: u64, all: u64| used as f64 / all.max(1) as f64;
-        part(cpu, all.cpu).max(part(memory_mb, all.memory_mb))
+        let fraction = |used: u64, all: u64| used as f64 / all.max(1) as f64;
+        fraction(cpu, all.cpu).max(fraction(memory_mb, all.memory_mb))
     }
 
     fn weight_of(&self, account: &AccountId) -> f64 {
--- a/lib/src/batch/place/fit.rs
+++ b/lib/src/batch/place/fit.rs
@@ -18,106 +18,108 @@
 use crate::batch::worker::Unschedulable;
 use crate::batch::worker::Worker;
 
-/// What holds a task whose account has as much running as it may.
+/// Why a task waits whose account has reached its quota.
 const AT_QUOTA: &str = "its account is at its bound";
 
-/// What is asked of a worker.
+/// What a task requests of a worker.
 pub(super) struct Request<'a> {
     task: TaskName,
     service: &'a str,
     step: &'a Step,
     pub(super) need: Resources,
     class: Class,
-    /// Workers on which the task has failed.
+    /// Workers on which the task has failed; they are chosen last.
     avoid: &'a [Incarnation],
-    /// Whether it may have brought down a worker.
+    /// Whether the task may have crashed a worker.
     suspicion: Suspicion,
-    /// A box that is being emptied would do.
+    /// Whether a cordoned worker is acceptable.
     ignores_cordon: bool,
 }
 
 impl<'a> Request<'a> {
-    /// What a task of a step asks.
+    /// The request of a task of a step, without suspicion.
     pub(super) fn new(
         task: TaskName,
         service: &'a str,
         step: &'a Step,
         avoid: &'a [Incarnation],
     ) -> Request<'a> {
-        let (need, kind) = (Entry::resources_of(step), Entry::class_of(step));
+        let (need, class) = (Entry::resources_of(step), Entry::class_of(step));
         Request {
             task,
             service,
             step,
             need,
-            class: kind,
+            class,
             avoid,
             suspicion: Suspicion::None,
             ignores_cordon: false,
         }
     }
 
-    /// The same for a task that may have brought down a worker.
+    /// The same request for a task suspected of crashing a worker.
     pub(super) fn with_suspicion(self, suspicion: Suspicion) -> Request<'a> {
         Request { suspicion, ..self }
     }
 }
 
-/// Why a worker may not run a task now.
+/// Why a worker is unfit for a task now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Unfit {
-    /// It belongs to another service.
+    /// The worker belongs to another service.
     #[error("another service")]
     Service,
-    /// It is given nothing new.
+    /// The worker takes no new tasks.
     #[error("{0}")]
     Unschedulable(Unschedulable),
-    /// It lacks the label that the step requires.
+    /// The worker does not have the label that the step requires.
     #[error("label missing")]
     Label,
-    /// As many tasks of the step as allowed may run there.
+    /// The worker already has this task, or as many tasks of the step as allowed.
     #[error("spread of the step")]
     Spread,
-    /// A worker crashed as the task began, and tasks of other jobs have just begun there.
+    /// The task is suspected of crashing a worker, and tasks of other jobs have recently started on
+    /// this one.
     #[error("a suspect begins by itself")]
     NotIsolated,
-    /// There is not enough room.
+    /// The worker's free resources are too small.
     #[error("no room: {0}")]
     Resources(Shortage),
 }
 
-/// Why a worker may not run the task now; `None` if it may.
-pub(super) fn unfit_reason(worker: &Worker, ask: &Request<'_>, now: Instant) -> Option<Unfit> {
-    let step = ask.step;
-    if worker.entry.service != ask.service {
+/// Why a worker is unfit for a request now; `None` if it fits.
+pub(super) fn unfit_reason(worker: &Worker, request: &Request<'_>, now: Instant) -> Option<Unfit> {
+    let step = request.step;
+    if worker.entry.service != request.service {
         return Some(Unfit::Service);
     }
-    let is_own_quarantine = |closed: &Unschedulable| {
-        *closed == Unschedulable::Quarantined
-            && worker.quarantine.is_some_and(|(job, _)| job == ask.task.job)
+    let is_own_quarantine = |reason: &Unschedulable| {
+        *reason == Unschedulable::Quarantined
+            && worker.quarantine.is_some_and(|(job, _)| job == request.task.job)
     };
-    let is_ignored = |closed: &Unschedulable| {
-        is_own_quarantine(closed) || *closed == Unschedulable::Cordoned && ask.ignores_cordon
+    let is_ignored = |reason: &Unschedulable| {
+        is_own_quarantine(reason) || *reason == Unschedulable::Cordoned && request.ignores_cordon
     };
-    if let Some(closed) = worker.unschedulable(now).filter(|closed| !is_ignored(closed)) {
-        return Some(Unfit::Unschedulable(closed));
+    if let Some(reason) = worker.unschedulable(now).filter(|reason| !is_ignored(reason)) {
+        return Some(Unfit::Unschedulable(reason));
     }
-    if ask.suspicion == Suspicion::Isolate
-        && quarantine::has_recent_start(worker, ask.task.job, now)
+    if request.suspicion == Suspicion::Isolate
+        && quarantine::has_recent_start(worker, request.task.job, now)
     {
         return Some(Unfit::NotIsolated);
     }
     if step.requires.as_ref().is_some_and(|label| !worker.entry.labels.contains(label)) {
         return Some(Unfit::Label);
     }
-    let crowded = step.max_per_worker > 0 && worker.count_of_step(ask.task) >= step.max_per_worker;
-    if crowded || worker.allocations.contains_key(&ask.task) {
+    let is_at_spread_limit =
+        step.max_per_worker > 0 && worker.count_of_step(request.task) >= step.max_per_worker;
+    if is_at_spread_limit || worker.allocations.contains_key(&request.task) {
         return Some(Unfit::Spread);
     }
-    worker.shortage(ask.need).map(Unfit::Resources)
+    worker.shortage(request.need).map(Unfit::Resources)
 }
 
-/// Why a worker may not run a task of a known job now; `None` if it may.
+/// Why a worker is unfit for a task now; `None` if it fits or the job is unknown.
 pub fn task_unfit_reason(
     cell: &Cell,
     worker: &Worker,
@@ -129,79 +131,92 @@
     unfit_reason(worker, &Request::new(task, &entry.accepted.service, step, &[]), now)
 }
 
-/// Whether a worker may run a task of a known job now, with the permission that its queue needs.
+/// Whether a worker may run a task now, including the permission of the advice service if its queue
+/// needs that.
 pub fn accepts(cell: &Cell, worker: &Worker, task: TaskName, now: Instant) -> bool {
     task_unfit_reason(cell, worker, task, now).is_none() && cell.is_permitted(task, worker, now)
 }
 
-/// Whether a worker would take a task of a known job if its box were not being emptied.
+/// Whether a worker would accept a task if it were not cordoned; `false` if the job is unknown.
 pub fn accepts_if_uncordoned(cell: &Cell, worker: &Worker, task: TaskName, now: Instant) -> bool {
     let Some(entry) = cell.jobs.get(&task.job) else { return false };
     let Some(step) = entry.step(task.step) else { return false };
-    let ask = Request::new(task, &entry.accepted.service, step, &[]);
-    let ask = Request { ignores_cordon: true, ..ask };
-    unfit_reason(worker, &ask, now).is_none() && cell.is_permitted(task, worker, now)
+    let request = Request::new(task, &entry.accepted.service, step, &[]);
+    let request = Request { ignores_cordon: true, ..request };
+    unfit_reason(worker, &request, now).is_none() && cell.is_permitted(task, worker, now)
 }
 
-/// What keeps a task from how many workers of its service.
+/// Counts the workers of the task's service by the reason why they are unfit for it; "nothing"
+/// counts those that fit. If the account is at its quota, all workers count for that reason. Empty
+/// if the job is unknown.
 pub fn count_unfit_workers(cell: &Cell, task: TaskName, now: Instant) -> BTreeMap<String, usize> {
-    let mut held_by: BTreeMap<String, usize> = BTreeMap::new();
-    let Some(entry) = cell.jobs.get(&task.job) else { return held_by };
+    let mut counts: BTreeMap<String, usize> = BTreeMap::new();
+    let Some(entry) = cell.jobs.get(&task.job) else { return counts };
     if entry.step(task.step).is_some_and(|step| cell.is_at_quota(entry, step)) {
         let workers = cell.workers.of_service(&entry.accepted.service).count();
-        held_by.insert(AT_QUOTA.to_owned(), workers);
-        return held_by;
+        counts.insert(AT_QUOTA.to_owned(), workers);
+        return counts;
     }
     for worker in cell.workers.of_service(&entry.accepted.service) {
-        let why = task_unfit_reason(cell, worker, task, now);
-        let why = why.map_or("nothing".to_owned(), |why| why.to_string());
-        *held_by.entry(why).or_default() += 1;
+        let reason = task_unfit_reason(cell, worker, task, now);
+        let reason = reason.map_or("nothing".to_owned(), |reason| reason.to_string());
+        *counts.entry(reason).or_default() += 1;
     }
-    held_by
+    counts
 }
 
-/// Whether a worker may run the task now.
-pub(super) fn is_fit(worker: &Worker, ask: &Request<'_>, now: Instant) -> bool {
-    unfit_reason(worker, ask, now).is_none()
+/// Whether a worker fits a request now.
+pub(super) fn is_fit(worker: &Worker, request: &Request<'_>, now: Instant) -> bool {
+    unfit_reason(worker, request, now).is_none()
 }
 
-/// Whether no worker with as much processor left or more, and no nearer to the data, can cost less.
-pub(super) fn is_ideal(worker: &Worker, ask: &Request<'_>) -> bool {
-    let avoided = ask.avoid.contains(&worker.peer.incarnation);
-    let is_free = ask.suspicion == Suspicion::None;
-    is_free && ask.class == Class::Batch && !avoided && worker.failures == 0
+/// Whether no worker with as much free CPU or more, and no closer to the data, can have a lower
+/// cost.
+pub(super) fn is_ideal(worker: &Worker, request: &Request<'_>) -> bool {
+    let is_avoided = request.avoid.contains(&worker.peer.incarnation);
+    let is_unsuspected = request.suspicion == Suspicion::None;
+    is_unsuspected && request.class == Class::Batch && !is_avoided && worker.failures == 0
 }
 
-/// Order of preference among workers that may run the task; the least comes first.
-pub(super) fn cost(worker: &Worker, ask: &Request<'_>) -> (bool, usize, bool, u32, u32, u32) {
-    // What runs beside a suspect may be lost.
-    let at_stake = match ask.suspicion {
+/// Sort key of workers that may run the task; the lowest is the best.
+pub(super) fn cost(worker: &Worker, request: &Request<'_>) -> (bool, usize, bool, u32, u32, u32) {
+    // Runs beside a suspect are lost if it crashes the worker again.
+    let other_runs = match request.suspicion {
         Suspicion::None => 0,
-        _ => quarantine::count_other_runs(worker, ask.task.job),
+        _ => quarantine::count_other_runs(worker, request.task.job),
     };
-    let avoided = ask.avoid.contains(&worker.peer.incarnation);
-    let far = match &ask.step.data_rack {
+    let is_avoided = request.avoid.contains(&worker.peer.incarnation);
+    let is_off_rack = match &request.step.data_rack {
         Some(rack) => !worker.entry.labels.contains(rack),
         None => false,
     };
-    let crowd = match ask.class {
-        // Users should not share a worker with what takes leftovers.
-        Class::Service(_) => {
-            worker.allocations.values().filter(|slot| slot.class == Class::BestEffort).count()
-        }
+    let conflicting_runs = match request.class {
+        // User-facing services should not share a worker with best-effort tasks.
+        Class::Service(_) => worker
+            .allocations
+            .values()
+            .filter(|allocation| allocation.class == Class::BestEffort)
+            .count(),
         Class::BestEffort => worker
             .allocations
             .values()
-            .filter(|slot| matches!(slot.class, Class::Service(_) | Class::BestEffort))
+            .filter(|allocation| matches!(allocation.class, Class::Service(_) | Class::BestEffort))
             .count(),
         _ => 0,
     };
-    // Tasks that last stand together, so that other machines are free to be moved.
-    let lasting = match ask.class {
+    // Long-running tasks are packed onto few workers, so that other boxes can be moved.
+    let long_running = match request.class {
         Class::Batch => 0,
         _ => worker.long_running.tasks,
     };
-    // The fullest worker that has room comes first, so that others become empty and can be moved or
+    // The fullest worker that fits comes first, so that others become empty and can be moved or
     // switched off.
-    (avoided, at_stake, far, crowd as u32 + worker.failures, u32::MAX - lasting, worker.free.cpu)
+    (
+        is_avoided,
+        other_runs,
+        is_off_rack,
+        conflicting_runs as u32 + worker.failures,
+        u32::MAX - long_running,
+        worker.free.cpu,
+    )
 }
--- a/lib/src/batch/place/gang.rs
+++ b/lib/src/batch/place/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs: tasks that are started together or not at all.
+//! Gang scheduling: tasks that start together or not at all.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -19,7 +19,8 @@
 use crate::batch::usage::Usage;
 use crate::batch::worker::Worker;
 
-/// What members of a gang that are being placed take of each worker: room, and their number.
+/// Resources that already placed members of a gang take of each worker, and the number of these
+/// members.
 type Assigned = HashMap<Incarnation, (Resources, u32)>;
 
 impl Cell {
@@ -30,11 +31,11 @@
         service: &str,
         step: &Step,
         now: Instant,
-        doubt: &PossibleRuns,
+        possible_runs: &PossibleRuns,
     ) {
-        let Rank { repetition: time, step: number, job, .. } = rank;
+        let Rank { repetition, step: number, job, .. } = rank;
         let Some(entry) = self.jobs.get_mut(&job) else { return };
-        let Some(run) = entry.step_run_mut(time, number) else { return };
+        let Some(run) = entry.step_run_mut(repetition, number) else { return };
         if run.waiting.len() < run.tasks.len() {
             return;
         }
@@ -42,12 +43,12 @@
         let indices = 0..run.tasks.len() as u32;
         let account = entry.accepted.account.clone();
         let members: Vec<TaskName> =
-            indices.map(|index| TaskName { job, repetition: time, step: number, index }).collect();
+            indices.map(|index| TaskName { job, repetition, step: number, index }).collect();
         if !self.has_quota_for(account.as_ref(), all) {
             return;
         }
-        // One member that may run elsewhere holds up all, since they run together or not at all.
-        if members.iter().any(|member| doubt.tasks.contains(member)) {
+        // All members run together, so one that may still run elsewhere blocks the whole gang.
+        if members.iter().any(|member| possible_runs.tasks.contains(member)) {
             return;
         }
         let awaits_store =
@@ -64,7 +65,7 @@
         self.ready.remove(&rank);
     }
 
-    /// Starts the members of a gang, which share one run number and go on from one checkpoint.
+    /// Starts the members of a gang with one common run number and from one checkpoint.
     fn start_gang(
         &mut self,
         rank: Rank,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Racks to try for a gang; `None` stands for any mix of racks.
+    /// The racks to try for a gang, in this order; `None` stands for any mix of racks.
     fn candidate_racks(&self, service: &str, step: &Step) -> Vec<Option<String>> {
         let mut racks = Vec::new();
         if step.same_rack {
@@ -101,7 +102,7 @@
         racks
     }
 
-    /// A worker for each member; `None` if there is not enough room for all.
+    /// Chooses a worker for each member; `None` if the resources do not suffice for all.
     fn choose_members(
         &self,
         members: &[TaskName],
@@ -112,10 +113,10 @@
     ) -> Option<Vec<(TaskName, Incarnation)>> {
         let need = Entry::resources_of(step);
         let mut chosen = Vec::new();
-        let mut taken = Assigned::new();
+        let mut assigned = Assigned::new();
         for task in members {
-            let worker = self.choose_member(*task, service, step, rack, &taken, now)?;
-            let (sum, count) = taken.entry(worker.clone()).or_default();
+            let worker = self.choose_member(*task, service, step, rack, &assigned, now)?;
+            let (sum, count) = assigned.entry(worker.clone()).or_default();
             *sum = add_resources(*sum, need);
             *count += 1;
             chosen.push((*task, worker));
@@ -123,28 +124,28 @@
         Some(chosen)
     }
 
-    /// The best worker for a member beside what others of the gang have taken.
+    /// The best worker for one member, given what other members already take.
     fn choose_member(
         &self,
         task: TaskName,
         service: &str,
         step: &Step,
         rack: Option<&str>,
-        taken: &Assigned,
+        assigned: &Assigned,
         now: Instant,
     ) -> Option<Incarnation> {
-        let ask = Request::new(task, service, step, &[]);
+        let request = Request::new(task, service, step, &[]);
         let fits = |worker: &&Worker| {
-            let (sum, count) = taken.get(&worker.peer.incarnation).copied().unwrap_or_default();
-            let room = add_resources(sum, ask.need);
-            let apart = step.max_per_worker == 0
+            let (sum, count) = assigned.get(&worker.peer.incarnation).copied().unwrap_or_default();
+            let resources = add_resources(sum, request.need);
+            let is_within_spread = step.max_per_worker == 0
                 || worker.count_of_step(task) + count < step.max_per_worker;
-            let on_rack = rack.is_none() || worker.entry.rack() == rack;
-            let fits = worker.fits(room) && is_fit(worker, &ask, now);
-            apart && on_rack && fits && self.is_permitted(task, worker, now)
+            let is_on_rack = rack.is_none() || worker.entry.rack() == rack;
+            let fits = worker.fits(resources) && is_fit(worker, &request, now);
+            is_within_spread && is_on_rack && fits && self.is_permitted(task, worker, now)
         };
-        let open = self.workers.eligible_with(service, ask.need.cpu);
-        let best = open.filter(fits).min_by_key(|worker| cost(worker, &ask));
+        let eligible = self.workers.eligible_with(service, request.need.cpu);
+        let best = eligible.filter(fits).min_by_key(|worker| cost(worker, &request));
         best.map(|worker| worker.peer.incarnation.clone())
     }
 }
--- a/lib/src/batch/place/preempt.rs
+++ b/lib/src/batch/place/preempt.rs
@@ -1,4 +1,4 @@
-//! Room for tasks that last, made by stopping some that end by themselves.
+//! Preemption of batch tasks for long-running ones.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,12 +17,11 @@
 use crate::batch::worker::Phase;
 use crate::batch::worker::Worker;
 
-/// How long after others were stopped for a task before more are stopped for it; a stop takes up
-/// to 0.9 s.
+/// Least time between two preemptions for the same task; a stop takes up to 0.9 s.
 const PREEMPT_INTERVAL: Duration = Duration::from_millis(1_500);
 
 impl Cell {
-    /// Stops tasks that end by themselves so that one that lasts gets their room. They are chosen
+    /// Stops batch tasks on one worker so that a long-running task fits there. The worker is chosen
     /// so that the least work is lost.
     pub(super) fn preempt(&mut self, name: TaskName, service: &str, step: &Step, now: Instant) {
         let recently = |at: Instant| now.saturating_duration_since(at) < PREEMPT_INTERVAL;
@@ -33,10 +32,10 @@
             return;
         }
         let need = Entry::resources_of(step);
-        // Room is made only where nothing else keeps the task away.
-        let ask = Request::new(name, service, step, &[]);
+        // Preempts only where nothing but a shortage of resources keeps the task away.
+        let request = Request::new(name, service, step, &[]);
         let usable = self.workers.of_service(service).filter(|worker| {
-            matches!(unfit_reason(worker, &ask, now), None | Some(Unfit::Resources(_)))
+            matches!(unfit_reason(worker, &request, now), None | Some(Unfit::Resources(_)))
         });
         let plans = usable.filter_map(|worker| {
             Some((victims(worker, need, now)?, worker.peer.incarnation.clone()))
@@ -52,7 +51,7 @@
             worker:% = worker,
             stopped = tasks.len(),
             lost_ms = lost;
-            "makes room"
+            "preempting batch tasks"
         );
         for task in tasks {
             self.stop_run(&worker, task);
@@ -60,30 +59,36 @@
     }
 }
 
-/// The tasks to stop on a worker so that `need` fits, youngest first, and the core-milliseconds
-/// of work that are lost; `None` if that cannot make enough room.
+/// The batch tasks to stop on a worker so that `need` fits, the most recently started first, and
+/// the core-milliseconds of work that are lost; `None` if that cannot free enough.
 fn victims(worker: &Worker, need: Resources, now: Instant) -> Option<(u64, Vec<TaskName>)> {
-    // The job of a run that takes no room may not be known yet, and its stop would give nothing.
-    let works =
-        |slot: &Allocation| slot.class == Class::Batch && slot.resources != Resources::default();
-    let live = worker.allocations.iter().filter(|(_, slot)| matches!(slot.phase, Phase::Live(_)));
-    let mut works: Vec<(&TaskName, &Allocation)> = live.filter(|(_, slot)| works(slot)).collect();
-    works.sort_by_key(|(_, slot)| std::cmp::Reverse(slot.ordered_at));
+    // A run without resources may belong to a job that is not known yet; its stop would free
+    // nothing.
+    let is_preemptible = |allocation: &Allocation| {
+        allocation.class == Class::Batch && allocation.resources != Resources::default()
+    };
+    let live = worker
+        .allocations
+        .iter()
+        .filter(|(_, allocation)| matches!(allocation.phase, Phase::Live(_)));
+    let mut candidates: Vec<(&TaskName, &Allocation)> =
+        live.filter(|(_, allocation)| is_preemptible(allocation)).collect();
+    candidates.sort_by_key(|(_, allocation)| std::cmp::Reverse(allocation.ordered_at));
     let mut free = Balance::of(worker);
     let (mut lost, mut tasks) = (0, Vec::new());
-    for (task, slot) in works {
+    for (task, allocation) in candidates {
         if free.covers(need) {
             break;
         }
-        free.add(slot.resources);
-        let ran = now.saturating_duration_since(slot.ordered_at).as_millis() as u64;
-        lost += ran * u64::from(slot.resources.cpu) / 1_000;
+        free.add(allocation.resources);
+        let ran = now.saturating_duration_since(allocation.ordered_at).as_millis() as u64;
+        lost += ran * u64::from(allocation.resources.cpu) / 1_000;
         tasks.push(*task);
     }
     free.covers(need).then_some((lost, tasks))
 }
 
-/// What is left of a worker's room, or missing where the room has shrunk below what runs there.
+/// Free resources of a worker; negative if its capacity has shrunk below what runs there.
 struct Balance {
     cpu: i64,
     memory_mb: i64,
@@ -91,19 +96,23 @@
 
 impl Balance {
     fn of(worker: &Worker) -> Balance {
-        let room = worker.entry.capacity;
+        let capacity = worker.entry.capacity;
         let used = |part: fn(&Resources) -> u32| -> i64 {
-            worker.allocations.values().map(|slot| i64::from(part(&slot.resources))).sum()
+            worker
+                .allocations
+                .values()
+                .map(|allocation| i64::from(part(&allocation.resources)))
+                .sum()
         };
         Balance {
-            cpu: i64::from(room.cpu) - used(|room| room.cpu),
-            memory_mb: i64::from(room.memory_mb) - used(|room| room.memory_mb),
+            cpu: i64::from(capacity.cpu) - used(|resources| resources.cpu),
+            memory_mb: i64::from(capacity.memory_mb) - used(|resources| resources.memory_mb),
         }
     }
 
-    fn add(&mut self, room: Resources) {
-        self.cpu += i64::from(room.cpu);
-        self.memory_mb += i64::from(room.memory_mb);
+    fn add(&mut self, resources: Resources) {
+        self.cpu += i64::from(resources.cpu);
+        self.memory_mb += i64::from(resources.memory_mb);
     }
 
     fn covers(&self, need: Resources) -> bool {
--- a/lib/src/batch/place/quarantine.rs
+++ b/lib/src/batch/place/quarantine.rs
@@ -1,5 +1,6 @@
-//! Where a task begins that may have brought down a worker: where the least is lost if it does so again, and
-//! no other job's task has just begun or is about to, so that a second crash speaks against it alone.
+//! Placement of suspects: tasks that may have crashed a worker. A suspect starts where a further
+//! crash loses the least, and where no task of another job has recently started or is about to, so
+//! that a second crash is evidence against it alone.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,28 +14,29 @@
 use crate::batch::crash::is_suspect;
 use crate::batch::worker::Worker;
 
-/// How long after a suspect was ordered to start no other job's task begins on its worker: longer than
-/// [`RECENT_START`] by the time in which a start is answered and a broken connection seen.
+/// How long after the start order of a suspect no task of another job starts on its worker: longer
+/// than [`RECENT_START`] by the time in which a start is answered and a broken connection is
+/// noticed.
 const QUARANTINE: Duration = Duration::from_millis(RECENT_START.as_millis() as u64 + 50);
-/// How long a suspect waits for a worker on which nothing has just begun. After that it begins where it can:
+/// How long a suspect waits for a worker without recent starts. After that it starts on any worker:
 /// it may be innocent, and tasks run for about a second.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Whether a task may have brought down a worker, and what that means for its next start.
+/// Whether a task is suspected of crashing a worker, and what that means for its next start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Suspicion {
-    /// Nothing speaks against it.
+    /// It is no suspect.
     None,
-    /// It begins where no other job's task has just begun.
+    /// It starts only where no task of another job has recently started.
     Isolate,
-    /// It has waited so long for such a worker that it begins anywhere.
+    /// It has waited too long for an isolated worker and may start on any.
     Overdue,
-    /// It begins once the store knows under how many workers it crashed.
+    /// It must not start before the store has recorded its crashes.
     AwaitsStore,
 }
 
 impl Cell {
-    /// What speaks against a task.
+    /// The suspicion against a task; [`Suspicion::None`] if it is unknown.
     pub(super) fn suspicion(&self, name: TaskName, now: Instant) -> Suspicion {
         let Some(task) = self.jobs.get(&name.job).and_then(|job| job.find_task(name)) else {
             return Suspicion::None;
@@ -48,22 +50,28 @@
         }
     }
 
-    /// A suspect task was started on a worker: nothing else begins there for a moment.
-    pub(super) fn quarantine_worker(&mut self, job: JobId, life: &Incarnation, now: Instant) {
-        if let Some(mut worker) = self.workers.get_mut(life) {
+    /// Quarantines the worker of a suspect that was just started: for [`QUARANTINE`] nothing of
+    /// another job starts there.
+    pub(super) fn quarantine_worker(
+        &mut self,
+        job: JobId,
+        incarnation: &Incarnation,
+        now: Instant,
+    ) {
+        if let Some(mut worker) = self.workers.get_mut(incarnation) {
             worker.quarantine = Some((job, now + QUARANTINE));
         }
     }
 }
 
-/// Whether a task of another job has just begun on a worker, or may have.
+/// Whether a task of another job has recently started on a worker, or may have.
 pub(super) fn has_recent_start(worker: &Worker, job: JobId, now: Instant) -> bool {
-    let is_young = |since: Instant| now.saturating_duration_since(since) < QUARANTINE;
+    let is_recent = |since: Instant| now.saturating_duration_since(since) < QUARANTINE;
     let mut others = worker.allocations.iter().filter(|(task, _)| task.job != job);
-    others.any(|(_, slot)| !slot.confirmed || is_young(slot.ordered_at))
+    others.any(|(_, allocation)| !allocation.confirmed || is_recent(allocation.ordered_at))
 }
 
-/// Runs of other jobs on a worker.
+/// Number of runs of other jobs on a worker.
 pub(super) fn count_other_runs(worker: &Worker, job: JobId) -> usize {
     worker.allocations.keys().filter(|task| task.job != job).count()
 }
