--- a/lib/src/batch/pool.rs
+++ b/lib/src/batch/pool.rs
@@ -1,4 +1,4 @@
-//! Moves machines between pools as the load turns from service to service.
+//! Moves boxes between pools as the load shifts between services.
 
 pub mod load;
 mod order;
@@ -30,20 +30,20 @@
 use crate::batch::worker::Worker;
 use crate::transport::clock;
 
-/// How long a machine must have been idle before it is switched off. A move to the reserve and one
-/// back cost as much as about two seconds of a machine.
+/// How long a box must have been idle before it is switched off. A move to the reserve and one back
+/// cost about two seconds of a box.
 const IDLE_BEFORE_OFF: Duration = Duration::from_millis(1_000);
-/// How long a machine may take to become empty before what runs on it is stopped.
+/// How long the evacuation of a box may take before what still runs on it is stopped.
 const EVACUATION_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a move may take until it is taken to have failed: several times the usual 2 s.
+/// How long a move may take until it counts as failed; usually it takes 2 s.
 const MOVE_TIMEOUT: Duration = Duration::from_millis(8_000);
-/// Most machines under way at once, as a share of all, in hundredths.
+/// Maximum number of boxes that are moved at once, as a percentage of all boxes.
 const MAX_MOVING_PERCENT: usize = 60;
 
-/// A machine on its way to another pool.
+/// A move of a box to another pool.
 struct Move {
     to: String,
-    /// It is switched off: `to` is the reserve.
+    /// Whether the box is switched off: `to` is the reserve.
     is_switch_off: bool,
     started_at: Instant,
     is_ordered: bool,
@@ -52,28 +52,28 @@
 /// The boxes as the platform lists them, by id.
 type MachinesById<'a> = HashMap<&'a str, &'a Machine>;
 
-/// Moves under way.
+/// The moves under way, and what is needed to choose new ones.
 #[derive(Default)]
 pub struct Pools {
     moves: HashMap<MachineId, Move>,
-    /// Machines that refused to move.
+    /// Boxes whose move the platform refused lately.
     deferrals: Deferrals,
-    /// Machines on which nothing runs, and since when that is known.
+    /// Boxes on which nothing runs, and since when this is known.
     idle_since: HashMap<MachineId, Instant>,
 }
 
-/// Whether the worker of a box that was moved has answered. Until then it counts in no load, and another box would be fetched
-/// for what it was fetched for.
+/// Whether the worker of a moved box has answered this scheduler. Until then it counts in no load,
+/// and a second box would be fetched for the same shortage.
 pub fn has_joined(cell: &Cell, machine: &Machine) -> bool {
     cell.worker_on(machine).is_some_and(|worker| worker.has_token)
 }
 
 impl Pools {
-    /// Whether moves are under way or wanted.
+    /// Whether moves are under way or needed, so that the platform's list of machines is needed.
     pub fn needs_machine_list(&self, scheduler: &Scheduler) -> bool {
         let loads = loads(&scheduler.cell(), clock::now());
         let spare = spare_machines(loads.values().map(|load| load.workers).sum());
-        let unfit = |load: &Load| {
+        let needs_moves = |load: &Load| {
             let short = load.wanted() > load.capacity
                 || load.min_workers > load.workers
                 || load.unplaced > 0;
@@ -81,15 +81,16 @@
                 || !load.label_shortages.is_empty()
                 || load.has_excess(load.mean_worker_cpu(), spare)
         };
-        !self.moves.is_empty() || loads.values().any(unfit)
+        !self.moves.is_empty() || loads.values().any(needs_moves)
     }
 
-    /// Machines under way.
+    /// Boxes with a move under way.
     pub fn busy_machines(&self) -> HashSet<MachineId> {
         self.moves.keys().cloned().collect()
     }
 
-    /// Goes on with the moves under way and begins new ones, with at most so many orders.
+    /// Continues the moves under way and starts new ones, with at most `orders` orders to the
+    /// platform. `taken` are boxes used by waves or on hold.
     pub async fn advance(
         &mut self,
         scheduler: &Arc<Scheduler>,
@@ -109,18 +110,18 @@
             self.fetch_for_shortages(&mut scheduler.cell(), &config, list, &listed, taken);
             self.switch_off_excess(&mut scheduler.cell(), &config, list, taken);
         }
-        let mut emptied = self.evacuate_machines(&mut scheduler.cell(), &listed);
-        emptied.truncate(orders);
-        self.order_moves(scheduler, machines, emptied).await;
+        let mut empty = self.evacuate_machines(&mut scheduler.cell(), &listed);
+        empty.truncate(orders);
+        self.order_moves(scheduler, machines, empty).await;
     }
 
-    /// Lets go of moves that are done or have failed.
+    /// Removes moves that are complete or have failed.
     fn remove_finished(&mut self, cell: &Cell, listed: &MachinesById<'_>) {
         self.moves.retain(|id, under_way| {
             let machine = listed.get(id.as_str());
             let arrived = machine.is_some_and(|machine| {
                 let joined = has_joined(cell, machine);
-                // A machine that is switched off has no worker that would join.
+                // A box that is switched off has no worker that could join.
                 let joined = joined || under_way.is_switch_off;
                 machine.pool == under_way.to && machine.status == Status::Up && joined
             });
@@ -128,8 +129,8 @@
         });
     }
 
-    /// Picks machines for services that want more than they have: those that are switched off
-    /// first, then idle ones of services that have more than they want.
+    /// Starts moves of boxes to services with less than they want: switched-off boxes first, then
+    /// lightly used boxes of services that can give them.
     fn fetch_for_shortages(
         &mut self,
         cell: &mut Cell,
@@ -155,15 +156,15 @@
             let size = u64::from(machine.capacity.cpu);
             self.fetch_machine(cell, &mut loads, machine, &service, missing);
             left -= 1;
-            let rest = missing.saturating_sub(size);
-            if rest > size / 2 {
-                short.push((rest, service));
+            let remainder = missing.saturating_sub(size);
+            if remainder > size / 2 {
+                short.push((remainder, service));
                 short.sort();
             }
         }
     }
 
-    /// Fetches machines with labels that services lack, beside those on their way there.
+    /// Fetches boxes with labels that services are short of, beyond those already on their way.
     fn fetch_labelled(
         &mut self,
         cell: &mut Cell,
@@ -171,13 +172,13 @@
         sources: &mut Sources<'_>,
         loads: &mut BTreeMap<String, Load>,
     ) {
-        let lacks = loads.iter().flat_map(|(service, load)| {
+        let shortages = loads.iter().flat_map(|(service, load)| {
             load.label_shortages
                 .iter()
                 .map(|(label, missing)| (service.clone(), label.clone(), *missing))
         });
-        let lacks: Vec<(String, String, u64)> = lacks.collect();
-        for (service, label, missing) in lacks {
+        let shortages: Vec<(String, String, u64)> = shortages.collect();
+        for (service, label, missing) in shortages {
             let has_label = |machine: &Machine| machine.labels.contains(&label);
             let mut missing =
                 missing.saturating_sub(self.incoming_cpu(&service, listed, has_label));
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Begins to fetch a machine for a service that misses so many thousandths of a core.
+    /// Starts the move of a box to a service with a shortage of `missing` thousandths of a core.
     fn fetch_machine(
         &mut self,
         cell: &mut Cell,
@@ -204,7 +205,7 @@
             from = machine.pool.as_str(),
             to,
             missing_cores = missing / 1_000;
-            "moves to another pool"
+            "moving box to another pool"
         );
         if let Some(load) = loads.get_mut(&machine.pool) {
             load.remove_machine(u64::from(machine.capacity.cpu));
@@ -212,8 +213,8 @@
         self.start_move(cell, machine, to, false);
     }
 
-    /// Services that want more than they have and than is coming, and how much more, in thousandths
-    /// of a core; the one that misses most comes last.
+    /// Services that want more than they have and will soon receive, with the shortage in
+    /// thousandths of a core; the largest shortage comes last.
     fn cpu_shortages(
         &self,
         config: &Config,
@@ -223,11 +224,11 @@
         let mut short = Vec::new();
         for service in config.services.iter().filter(|service| !service.is_reserve) {
             let load = loads.get(&service.name).cloned().unwrap_or_default();
-            let coming = self.incoming_cpu(&service.name, listed, |_| true);
+            let incoming = self.incoming_cpu(&service.name, listed, |_| true);
             let unspread = load.min_workers.saturating_sub(load.workers) * load.mean_worker_cpu();
             let needed =
                 load.wanted().max(load.capacity + unspread).max(load.capacity + load.unplaced);
-            let missing = needed.saturating_sub(load.capacity + coming);
+            let missing = needed.saturating_sub(load.capacity + incoming);
             if missing > 0 {
                 short.push((missing, service.name.clone()));
             }
@@ -236,16 +237,15 @@
         short
     }
 
-    /// Begins the move of a machine; its worker gets no more work.
-    fn start_move(&mut self, cell: &mut Cell, machine: &Machine, to: &str, is_off: bool) {
+    /// Starts the move of a box and cordons its worker.
+    fn start_move(&mut self, cell: &mut Cell, machine: &Machine, to: &str, is_switch_off: bool) {
         cell.cordon_on(machine);
-        let since = clock::now();
-        let under_way =
-            Move { to: to.to_owned(), is_switch_off: is_off, started_at: since, is_ordered: false };
+        let started_at = clock::now();
+        let under_way = Move { to: to.to_owned(), is_switch_off, started_at, is_ordered: false };
         self.moves.insert(machine.id.clone(), under_way);
     }
 
-    /// Notes which machines run nothing.
+    /// Updates which boxes run nothing.
     fn update_idle(&mut self, cell: &Cell, list: &[Machine]) {
         let now = clock::now();
         for machine in list {
@@ -260,8 +260,8 @@
         }
     }
 
-    /// Switches machines off that their services do not need: they cost nothing in the reserve,
-    /// and are back from there as soon as from another service.
+    /// Switches off idle boxes that their services do not need: in the reserve they cost nothing,
+    /// and from there they come back as soon as from another service.
     fn switch_off_excess(
         &mut self,
         cell: &mut Cell,
@@ -284,19 +284,19 @@
             let load = loads.get_mut(&machine.pool);
             let Some(load) = load.filter(|load| load.has_excess(size, spare)) else { continue };
             load.remove_machine(size);
-            log::info!(machine = machine.id.as_str(), from = machine.pool.as_str(); "switched off");
+            log::info!(machine = machine.id.as_str(), from = machine.pool.as_str(); "switching off idle box");
             self.start_move(cell, machine, &reserve.name, true);
         }
     }
 
-    /// Whether a machine has been idle long enough to be switched off.
+    /// Whether a box has been idle long enough to be switched off.
     fn is_idle_long_enough(&self, machine: &Machine) -> bool {
         self.idle_since
             .get(&machine.id)
-            .is_some_and(|since| clock::since(*since) >= IDLE_BEFORE_OFF)
+            .is_some_and(|started_at| clock::since(*started_at) >= IDLE_BEFORE_OFF)
     }
 
-    /// Whether a machine is up and neither moved nor needed otherwise. `taken` are those in waves.
+    /// Whether a box is up, not moving, not deferred and not in `taken`.
     fn is_free(&self, machine: &Machine, taken: &HashSet<MachineId>) -> bool {
         machine.status == Status::Up
             && !taken.contains(&machine.id)
@@ -304,27 +304,29 @@
             && !self.moves.contains_key(&machine.id)
     }
 
-    /// Processor of the machines that fit and are on their way to a service.
+    /// CPU, in thousandths of a core, of the boxes on their way to a service for which `fits`
+    /// holds.
     fn incoming_cpu(
         &self,
         service: &str,
         listed: &MachinesById<'_>,
         fits: impl Fn(&Machine) -> bool,
     ) -> u64 {
-        let coming = self.moves.iter().filter(|(_, under_way)| under_way.to == service);
-        let machines = coming.filter_map(|(id, _)| listed.get(id.as_str()));
+        let incoming = self.moves.iter().filter(|(_, under_way)| under_way.to == service);
+        let machines = incoming.filter_map(|(id, _)| listed.get(id.as_str()));
         let machines = machines.filter(|machine| fits(machine));
         machines.map(|machine| u64::from(machine.capacity.cpu)).sum()
     }
 
-    /// A service that may be given boxes, and how many are on their way to it.
+    /// A service as a possible recipient of boxes, with its load and the boxes on their way to it.
     fn recipient<'a>(&self, loads: &BTreeMap<String, Load>, service: &'a str) -> Recipient<'a> {
         let load = loads.get(service).cloned().unwrap_or_default();
-        let coming = self.moves.values().filter(|under_way| under_way.to == service).count();
-        Recipient { service, load, incoming: coming as u64 }
+        let incoming = self.moves.values().filter(|under_way| under_way.to == service).count();
+        Recipient { service, load, incoming: incoming as u64 }
     }
 
-    /// Machines under way that are empty and have not been ordered to move.
+    /// Continues the evacuation of moving boxes; returns those that are empty and not yet ordered
+    /// to move.
     fn evacuate_machines(&self, cell: &mut Cell, listed: &MachinesById<'_>) -> Vec<MachineId> {
         let mut ready: Vec<(bool, MachineId)> = Vec::new();
         for (id, under_way) in self.moves.iter().filter(|(_, under_way)| !under_way.is_ordered) {
@@ -334,8 +336,9 @@
                 ready.push((under_way.is_switch_off, id.clone()));
             }
         }
-        // A service in a rise waits for its boxes; one that is switched off waits for nothing. As a
-        // rise ends hundreds are, and the platform takes only so many orders a second.
+        // Boxes for services come before boxes to be switched off: a service with rising load waits
+        // for them, while nothing waits for a switch-off. As a rise ends, hundreds are switched
+        // off, and the platform limits the rate of orders.
         ready.sort();
         ready.into_iter().map(|(_, id)| id).collect()
     }
--- a/lib/src/batch/pool/load.rs
+++ b/lib/src/batch/pool/load.rs
@@ -1,4 +1,4 @@
-//! What each service has and wants: how many machines it should have, and how many it can give.
+//! Load of each service: how much CPU it has and wants, and how many boxes it can give.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -12,68 +12,69 @@
 use crate::batch::usage::Usage;
 use crate::batch::worker::Worker;
 
-/// Time in which work that waits should be done by the machines asked for: about as long as a
-/// machine takes to be moved, in milliseconds.
+/// Time in which the boxes asked for should clear the waiting work, in milliseconds: about as long
+/// as the move of a box takes.
 const BACKLOG_CLEAR_MS: u64 = 1_500;
-/// Share of a pool's processors that is planned to be used, in hundredths; the rest is lost to
-/// sizes that do not fit.
+/// Planned utilization of a pool's CPU, in percent; the rest is lost to fragmentation.
 const UTILIZATION_PERCENT: u64 = 85;
-/// Share of what runs now that will be followed by as much, in hundredths: jobs have 1.6 to 2 steps
-/// on average, so about half of what runs is followed by another step.
+/// Part of the running work, in percent, that is expected to be followed by as much again: jobs
+/// have 1.6 to 2 steps on average, so about half of the running work is followed by another step.
 const FOLLOW_UP_PERCENT: u64 = 50;
-/// How many times better off a service that is short itself must be to give a machine to another:
-/// a move idles a machine for about 3 s, which must be worth it.
+/// How many times better supplied a service that is short itself must be than another to give it a
+/// box: a move idles the box for about 3 s, which must be worth it.
 const GIVE_RATIO: f64 = 1.5;
-/// Least number of machines that a service keeps beyond what it wants, since jobs arrive in lumps:
-/// a wide job asks for about a hundred cores at once, and a machine that was switched off is back
+/// Minimum number of boxes that a service keeps beyond what it wants, since jobs arrive in bursts:
+/// a wide job asks for about a hundred cores at once, and a box that was switched off is back only
 /// after 2 s.
 const MIN_SPARE_MACHINES: u64 = 3;
-/// The same as a share of all machines of the site, in hundredths. On a large site loads rise by
-/// more machines within those 2 s.
+/// The same as a percentage of all boxes of the site: on a large site the load rises by more boxes
+/// within those 2 s.
 const SPARE_PERCENT: u64 = 5;
 
-/// What a service has and wants, in thousandths of a core.
+/// Load of a service. Unless stated otherwise, amounts are CPU in thousandths of a core.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    /// What its usable workers have.
+    /// Capacity of its schedulable workers.
     pub capacity: u64,
-    /// What runs on them.
+    /// What the runs on these workers use.
     pub used: u64,
-    /// Part of that by tasks that do not end by themselves.
+    /// Part of `used` by long-running tasks.
     pub long_running: u64,
-    /// What its waiting tasks ask for.
+    /// What its waiting tasks request.
     pub waiting: u64,
-    /// Work of the waiting tasks, in thousandths of a core times milliseconds.
+    /// Estimated work of the waiting tasks, in thousandths of a core times milliseconds.
     pub backlog: u64,
-    /// What the work that arrives keeps busy.
+    /// What the arriving work keeps busy on average.
     pub arrival_rate: u64,
-    /// Usable workers.
+    /// Number of schedulable workers.
     pub workers: u64,
-    /// Labels that waiting tasks require, and by how much what they ask for is over what is free on
-    /// workers that have them.
+    /// By label that waiting tasks require: how much their requests exceed the free CPU on workers
+    /// with that label.
     pub label_shortages: BTreeMap<String, u64>,
-    /// What lasts and has no place on any of its workers, though there may be room in all.
+    /// Request of long-running tasks that fit on no worker, even though the free CPU of all workers
+    /// together may suffice.
     pub unplaced: u64,
-    /// Workers it needs at the least, since tasks that last must be spread over so many, or since a
-    /// gang that waits fits on no fewer.
+    /// Minimum number of workers: those over which long-running tasks must be spread, and those
+    /// that a waiting gang needs.
     pub min_workers: u64,
 }
 
 impl Load {
-    /// What it should have: enough for what arrives, and to clear what waits. Of what runs now only
-    /// a part counts, since it is over by the time a machine has left.
+    /// What it should have: enough for the arriving work, and to clear the backlog. Only a part of
+    /// the running batch work counts, since it ends before a box would have left.
     pub fn wanted(&self) -> u64 {
         let running = self.used.saturating_sub(self.long_running) * FOLLOW_UP_PERCENT / 100;
         let steady = self.long_running + self.arrival_rate.max(running);
         (steady + self.backlog / BACKLOG_CLEAR_MS) * 100 / UTILIZATION_PERCENT
     }
 
-    /// What it has of what it should have.
-    fn supply_ratio(&self, has: u64) -> f64 {
-        has as f64 / self.wanted().max(1) as f64
+    /// Ratio of a capacity to what is wanted.
+    fn supply_ratio(&self, capacity: u64) -> f64 {
+        capacity as f64 / self.wanted().max(1) as f64
     }
 
-    /// Whether it would still be far better off than another without a machine of this size.
+    /// Whether the service, less a box of this size, would still be `GIVE_RATIO` times better
+    /// supplied than another.
     pub fn can_give_to(&self, size: u64, other: &Load) -> bool {
         self.is_above_min_workers()
             && self.capacity > size
@@ -81,39 +82,39 @@
                 >= GIVE_RATIO * other.supply_ratio(other.capacity)
     }
 
-    /// Whether it could do without a machine of this size.
+    /// Whether the service has what it wants without a box of this size.
     pub fn can_spare(&self, size: u64) -> bool {
         self.is_above_min_workers() && self.capacity >= self.wanted() + size
     }
 
-    /// Whether it holds more machines of this size than it should keep.
+    /// Whether the service has more than `spare` boxes of this size beyond what it wants.
     pub(super) fn has_excess(&self, size: u64, spare: u64) -> bool {
         self.is_above_min_workers() && self.capacity >= self.wanted() + (spare + 1) * size
     }
 
-    /// Counts a machine of this size as given away.
+    /// Subtracts a box of this size that is moved away.
     pub fn remove_machine(&mut self, size: u64) {
         self.capacity = self.capacity.saturating_sub(size);
         self.workers = self.workers.saturating_sub(1);
     }
 
-    /// Processor of one of its workers, on average.
+    /// Mean CPU per worker; 0 without workers.
     pub(super) fn mean_worker_cpu(&self) -> u64 {
         self.capacity.checked_div(self.workers).unwrap_or(0)
     }
 
-    /// Whether one worker less is still as many as it needs at the least.
+    /// Whether one worker less would still satisfy the minimum number of workers.
     fn is_above_min_workers(&self) -> bool {
         self.workers > self.min_workers.max(1)
     }
 }
 
-/// How many machines a service keeps beyond what it wants, on a site of so many.
+/// How many boxes a service keeps beyond what it wants, on a site with `machines` boxes.
 pub(super) fn spare_machines(machines: u64) -> u64 {
     (machines * SPARE_PERCENT / 100).max(MIN_SPARE_MACHINES)
 }
 
-/// What each service has and wants.
+/// The load of each service.
 pub fn loads(cell: &Cell, now: Instant) -> BTreeMap<String, Load> {
     let mut loads = BTreeMap::new();
     add_workers(&mut loads, cell, now);
@@ -122,15 +123,15 @@
     for (service, load) in &mut loads {
         load.arrival_rate = cell.demand.rate(service, now);
         load.unplaced = cell.unplaced_cpu.get(service).copied().unwrap_or(0);
-        for (label, asked) in &mut load.label_shortages {
-            *asked = asked.saturating_sub(free_with_label(cell, service, label, now));
+        for (label, requested) in &mut load.label_shortages {
+            *requested = requested.saturating_sub(free_with_label(cell, service, label, now));
         }
         load.label_shortages.retain(|_, missing| *missing > 0);
     }
     loads
 }
 
-/// Adds the usable workers and what runs on them.
+/// Adds the schedulable workers and what runs on them.
 fn add_workers(loads: &mut BTreeMap<String, Load>, cell: &Cell, now: Instant) {
     for worker in cell.workers.values().filter(|worker| worker.is_schedulable(now)) {
         let load = loads.entry(worker.entry.service.clone()).or_default();
@@ -142,15 +143,16 @@
     }
 }
 
-/// What accounts may still start, as waiting tasks are counted one step after the other. Boxes are not wanted for what an
-/// account may not run.
+/// Counts how much accounts may still start within their quotas, as the waiting tasks are counted
+/// step by step. No boxes are requested for tasks that an account may not run.
 #[derive(Default)]
 struct Budgets {
     counted: Totals,
 }
 
 impl Budgets {
-    /// How many of the waiting tasks of a step their account may start beside those counted before.
+    /// How many of the waiting tasks of a step its account may start in addition to those counted
+    /// before.
     fn count_startable(&mut self, cell: &Cell, entry: &Entry, step: &Step, tasks: u64) -> u64 {
         let Some(account) = &entry.accepted.account else { return tasks };
         let counted = self.counted.of(account);
@@ -174,7 +176,7 @@
     }
 }
 
-/// Adds the tasks that wait, but for those that take only what others leave unused.
+/// Adds the waiting tasks, except best-effort ones.
 fn add_waiting(loads: &mut BTreeMap<String, Load>, cell: &Cell) {
     let mut budgets = Budgets::default();
     for rank in &cell.ready {
@@ -186,48 +188,49 @@
         let load = loads.entry(entry.accepted.service.clone()).or_default();
         load.waiting += waiting;
         if step.gang && waiting > 0 {
-            let lasting = load.long_running.div_ceil(load.mean_worker_cpu().max(1));
+            let long_running = load.long_running.div_ceil(load.mean_worker_cpu().max(1));
             let gang = workers_for_gang(cell, &entry.accepted.service, step);
-            load.min_workers = load.min_workers.max(gang + lasting);
+            load.min_workers = load.min_workers.max(gang + long_running);
         }
         if let Some(label) = &step.requires {
             *load.label_shortages.entry(label.clone()).or_default() += waiting;
         }
-        let guess = step.estimate_ms as f64 * cell.demand.run_time_ratio(&entry.accepted.queue);
-        load.backlog += waiting * if step.long_running { BACKLOG_CLEAR_MS } else { guess as u64 };
+        let estimate = step.estimate_ms as f64 * cell.demand.run_time_ratio(&entry.accepted.queue);
+        load.backlog +=
+            waiting * if step.long_running { BACKLOG_CLEAR_MS } else { estimate as u64 };
     }
 }
 
-/// How many empty workers of a service a gang needs, all of whose tasks run at once.
+/// How many empty workers of a service a gang needs, since all its tasks run at once.
 fn workers_for_gang(cell: &Cell, service: &str, step: &Step) -> u64 {
-    let Some(room) = cell
+    let Some(largest) = cell
         .workers
         .of_service(service)
         .map(|worker| worker.entry.capacity)
-        .max_by_key(|room| room.cpu)
+        .max_by_key(|capacity| capacity.cpu)
     else {
         return 0;
     };
-    let by_cpu = room.cpu.checked_div(step.cpu).unwrap_or(u32::MAX);
-    let by_memory = room.memory_mb.checked_div(step.memory_mb).unwrap_or(u32::MAX);
+    let by_cpu = largest.cpu.checked_div(step.cpu).unwrap_or(u32::MAX);
+    let by_memory = largest.memory_mb.checked_div(step.memory_mb).unwrap_or(u32::MAX);
     let spread = if step.max_per_worker > 0 { step.max_per_worker } else { u32::MAX };
-    // A task that fits on no worker of this size asks for no more of them.
+    // A task that fits on no worker of this size does not justify more of them.
     match by_cpu.min(by_memory).min(spread) {
         0 => 0,
         per_worker => u64::from(step.count.div_ceil(per_worker)),
     }
 }
 
-/// What is free on the usable workers of a service that have a label.
+/// Free CPU, in thousandths of a core, on the schedulable workers of a service that have a label.
 fn free_with_label(cell: &Cell, service: &str, label: &str, now: Instant) -> u64 {
-    let has = |worker: &&Worker| worker.entry.labels.iter().any(|known| known == label);
+    let has_label = |worker: &&Worker| worker.entry.labels.iter().any(|other| other == label);
     let workers =
         cell.workers.eligible_with(service, 0).filter(|worker| worker.is_schedulable(now));
-    let workers = workers.filter(has);
+    let workers = workers.filter(has_label);
     workers.map(|worker| u64::from(worker.free.cpu)).sum()
 }
 
-/// Adds over how many workers lasting tasks must be spread.
+/// Raises the minimum number of workers to what the topology spread of long-running jobs requires.
 fn add_min_workers(loads: &mut BTreeMap<String, Load>, cell: &Cell) {
     for entry in cell.long_running_jobs.iter().filter_map(|id| cell.jobs.get(id)) {
         let load = loads.entry(entry.accepted.service.clone()).or_default();
--- a/lib/src/batch/pool/order.rs
+++ b/lib/src/batch/pool/order.rs
@@ -13,7 +13,7 @@
 use crate::transport::clock;
 
 impl Pools {
-    /// Orders moves, all at once: one after another, they would take a second and more on a large
+    /// Orders moves, all concurrently: in sequence they would take a second and more on a large
     /// site.
     pub(super) async fn order_moves(
         &mut self,
@@ -25,13 +25,13 @@
         {
             return;
         }
-        let holder = Leader { node: &scheduler.node.settings.node, token: scheduler.token };
+        let leader = Leader { node: &scheduler.node.settings.node, token: scheduler.token };
         let moves = &self.moves;
         let now = clock::now();
         let ids = ids.iter().filter(|id| scheduler.order_window.record_order(id, now));
         let calls = ids.filter_map(|id| {
             let to = &moves.get(id)?.to;
-            Some(async move { (id, machines.move_to_pool(holder, id, to, CALL_TIMEOUT).await) })
+            Some(async move { (id, machines.move_to_pool(leader, id, to, CALL_TIMEOUT).await) })
         });
         let answers = join_all(calls).await;
         for (id, answer) in answers {
@@ -59,8 +59,8 @@
                 }
                 self.moves.remove(id);
             }
-            // It may have been done; asking again does no harm.
-            Err(error) => log::info!(machine = id; "move without an answer: {error}"),
+            // The order may have been carried out; repeating it is harmless.
+            Err(error) => log::info!(machine = id; "no answer to move order: {error}"),
         }
     }
 }
--- a/lib/src/batch/pool/source.rs
+++ b/lib/src/batch/pool/source.rs
@@ -1,4 +1,4 @@
-//! From where a box is taken for a service that is short.
+//! Selection of boxes to move to a service that is short.
 
 use std::collections::BTreeMap;
 
@@ -8,39 +8,40 @@
 use crate::batch::cell::Cell;
 use crate::batch::pool::load::Load;
 
-/// A service that may be given a box.
+/// A service that receives a box.
 pub(super) struct Recipient<'a> {
     /// Its name.
     pub service: &'a str,
-    /// What it has and wants.
+    /// Its current load.
     pub load: Load,
-    /// Boxes on their way to it.
+    /// Number of boxes on their way to it.
     pub incoming: u64,
 }
 
-/// Boxes that may be moved, each pool's in the order in which it gives them. They are sorted once for a
-/// round: a rise at a large site asks for a hundred boxes in one round.
+/// Boxes that may be moved, each pool's in the order in which it gives them. They are sorted once
+/// per round: on a large site a rising load takes a hundred boxes in one round.
 pub(super) struct Sources<'a> {
-    /// Those that are switched off.
+    /// Boxes that are switched off.
     switched_off: Vec<&'a Machine>,
-    /// Those whose workers have answered and run no tasks that last, by pool, the most used ones first, with the processor in use.
+    /// By pool, boxes whose workers have answered and run no long-running tasks, with their used
+    /// CPU in thousandths of a core; the most used ones first.
     pools: BTreeMap<&'a str, Vec<(u32, &'a Machine)>>,
 }
 
 impl<'a> Sources<'a> {
-    /// Sorts boxes that are up and needed for nothing else.
+    /// Sorts free boxes: those that are up and used for nothing else.
     pub(super) fn new(
         cell: &Cell,
         config: &Config,
         free: impl Iterator<Item = &'a Machine>,
     ) -> Sources<'a> {
-        let (mut off, mut pools) = (Vec::new(), BTreeMap::<&str, Vec<_>>::new());
+        let (mut switched_off, mut pools) = (Vec::new(), BTreeMap::<&str, Vec<_>>::new());
         let is_reserve = |pool: &str| config.service(pool).is_some_and(|pool| pool.is_reserve);
         let mut reserves = BTreeMap::<&str, bool>::new();
         for machine in free {
             let pool = machine.pool.as_str();
             if *reserves.entry(pool).or_insert_with(|| is_reserve(pool)) {
-                off.push(machine);
+                switched_off.push(machine);
             } else if let Some(worker) = cell.worker_on(machine)
                 && worker.has_token
                 && worker.long_running.tasks == 0
@@ -49,38 +50,38 @@
                 pools.entry(pool).or_default().push((used, machine));
             }
         }
-        off.reverse();
+        switched_off.reverse();
         for machines in pools.values_mut() {
             machines.reverse();
             machines.sort_by_key(|(used, _)| std::cmp::Reverse(*used));
         }
-        Sources { switched_off: off, pools }
+        Sources { switched_off, pools }
     }
 
-    /// Takes a box that fits for a service: one that is switched off, else the least used one of a
-    /// service that can give it.
+    /// Takes a box for which `fits` holds: a switched-off one, else the least used one of a service
+    /// that can give it.
     pub(super) fn take_machine(
         &mut self,
         loads: &BTreeMap<String, Load>,
         to: &Recipient<'_>,
         fits: impl Fn(&Machine) -> bool,
     ) -> Option<&'a Machine> {
-        if let Some(place) = self.switched_off.iter().rposition(|machine| fits(machine)) {
-            return Some(self.switched_off.remove(place));
+        if let Some(index) = self.switched_off.iter().rposition(|machine| fits(machine)) {
+            return Some(self.switched_off.remove(index));
         }
         let others = self.pools.iter().filter(|(pool, _)| **pool != to.service);
         let offers = others.filter_map(|(pool, machines)| {
             let gives = |machine: &Machine| fits(machine) && can_give(machine, loads, to);
-            let place = machines.iter().rposition(|(_, machine)| gives(machine))?;
-            Some((machines[place].0, *pool, place))
+            let index = machines.iter().rposition(|(_, machine)| gives(machine))?;
+            Some((machines[index].0, *pool, index))
         });
-        let (_, pool, place) = offers.min_by_key(|(used, _, _)| *used)?;
-        let (_, machine) = self.pools.get_mut(pool)?.remove(place);
+        let (_, pool, index) = offers.min_by_key(|(used, _, _)| *used)?;
+        let (_, machine) = self.pools.get_mut(pool)?.remove(index);
         Some(machine)
     }
 }
 
-/// Whether the pool of a box can do without it, beside those already chosen.
+/// Whether the pool of a box can give it, after those already taken.
 fn can_give(machine: &Machine, loads: &BTreeMap<String, Load>, to: &Recipient<'_>) -> bool {
     let size = u64::from(machine.capacity.cpu);
     let Some(load) = loads.get(&machine.pool) else { return false };
