--- a/lib/src/batch/maintenance.rs
+++ b/lib/src/batch/maintenance.rs
@@ -1,4 +1,5 @@
-//! Carries out waves: empties machines, has their upkeep done, at most so many at once.
+//! Carries out maintenance waves: evacuates boxes and orders their maintenance, within the wave's
+//! limit of boxes that are down at once.
 
 mod disruption;
 pub mod evacuation;
@@ -33,25 +34,25 @@
 use crate::batch::scheduler::wall_clock;
 use crate::transport::clock;
 
-/// Pause after the states of waves could not be read.
+/// Delay before the status records of waves are read again after a failure.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
-/// How long a call about machines may take.
+/// Timeout of a call about machines, and of reading and writing wave status records.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// The waves under way.
+/// The waves under way, by number.
 #[derive(Default)]
 pub struct Waves {
     waves: HashMap<u64, WaveProgress>,
 }
 
 impl Waves {
-    /// Begins with what the store knows of earlier waves.
+    /// Reads from the store which waves earlier schedulers have finished.
     pub async fn restore(scheduler: &Scheduler) -> Waves {
-        let over = read_finished(scheduler).await;
-        scheduler.cell().ended_waves = over;
+        let finished = read_finished(scheduler).await;
+        scheduler.cell().ended_waves = finished;
         Waves::default()
     }
 
-    /// Takes in new waves; returns whether any is under way.
+    /// Adds new waves; returns whether any wave is under way.
     pub fn add_new(&mut self, scheduler: &Scheduler) -> bool {
         let mut cell = scheduler.cell();
         let wall = wall_clock();
@@ -59,103 +60,104 @@
             if cell.ended_waves.contains(&wave.number) || self.waves.contains_key(&wave.number) {
                 continue;
             }
-            let begun = cell.maintenance_started.get(&wave.number).cloned();
+            let started = cell.maintenance_started.get(&wave.number).cloned();
             let age = wall.saturating_sub(cell.wave_first_seen(wave.number, wall));
-            let course = WaveProgress::new(wave, begun.unwrap_or_default(), age, clock::now());
-            self.waves.insert(course.wave.number, course);
+            let progress = WaveProgress::new(wave, started.unwrap_or_default(), age, clock::now());
+            self.waves.insert(progress.wave.number, progress);
         }
         !self.waves.is_empty()
     }
 
-    /// Goes on with every wave, with at most so many orders. `moving` are machines that are about to move to another
-    /// pool, `resting` those that an earlier scheduler may have ordered just now.
+    /// Advances every wave, with at most `orders` orders in all, and subtracts those given.
+    /// `moving` are boxes about to move to another pool, `held` those on hold because an earlier
+    /// scheduler may just have ordered them.
     pub async fn advance(
         &mut self,
         scheduler: &Arc<Scheduler>,
         machines: &Machines,
         list: &[Machine],
         moving: &HashSet<MachineId>,
-        resting: &HashSet<MachineId>,
+        held: &HashSet<MachineId>,
         orders: &mut usize,
     ) {
-        let taken = moving | resting;
-        for course in self.waves.values_mut() {
-            course.set_held(resting);
-            advance_wave(scheduler, machines, course, list, &taken, orders).await;
-            if course.reported == Some(true) {
-                scheduler.cell().end_wave(course.wave.number);
+        let taken = moving | held;
+        for progress in self.waves.values_mut() {
+            progress.set_held(held);
+            advance_wave(scheduler, machines, progress, list, &taken, orders).await;
+            if progress.reported == Some(true) {
+                scheduler.cell().end_wave(progress.wave.number);
             }
         }
-        self.waves.retain(|_, course| course.reported != Some(true));
+        self.waves.retain(|_, progress| progress.reported != Some(true));
     }
 
-    /// Machines that are being emptied or are down for a wave.
+    /// Boxes that are being evacuated or are down for a wave.
     pub fn busy_machines(&self) -> HashSet<MachineId> {
-        let courses = self.waves.values();
-        courses
-            .flat_map(|course| course.evacuating.keys().chain(course.down.keys()))
+        let waves = self.waves.values();
+        waves
+            .flat_map(|progress| progress.evacuating.keys().chain(progress.down.keys()))
             .cloned()
             .collect()
     }
 }
 
-/// Waves that an earlier scheduler has finished.
+/// Reads which waves earlier schedulers have finished; retries until the store answers.
 async fn read_finished(scheduler: &Scheduler) -> HashSet<u64> {
     loop {
         match scheduler.node.read_newest(STATUS_TOPIC, CALL_TIMEOUT).await {
             Ok(newest) => {
-                let over = newest.records.iter().filter(|record| {
+                let finished = newest.records.iter().filter(|record| {
                     record.value.as_ref().is_some_and(|value| Wave::is_over(value))
                 });
-                return over.filter_map(|record| Wave::status_number(&record.key)).collect();
+                return finished.filter_map(|record| Wave::status_number(&record.key)).collect();
             }
             Err(error) => {
-                log::debug!("the states of waves cannot be read: {error}");
+                log::debug!("cannot read wave statuses: {error}");
                 sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Goes on with one wave.
+/// Advances one wave.
 async fn advance_wave(
     scheduler: &Arc<Scheduler>,
     machines: &Machines,
-    course: &mut WaveProgress,
+    progress: &mut WaveProgress,
     list: &[Machine],
     taken: &HashSet<MachineId>,
     orders: &mut usize,
 ) {
-    if course.needs_report(false) {
-        report_status(scheduler, course, false);
+    if progress.needs_report(false) {
+        report_status(scheduler, progress, false);
     }
     let listed: MachinesById<'_> =
         list.iter().map(|machine| (machine.id.as_str(), machine)).collect();
     let config = scheduler.node.config();
-    let least = scheduler.node.settings.upkeep_time;
+    let min_down_time = scheduler.node.settings.upkeep_time;
     let answers = |machine: &Machine| {
         let cell = scheduler.cell();
         let worker = cell.worker_on(machine)?;
         Some((worker.peer.incarnation.clone(), worker.last_poll_answer_at()?))
     };
-    course.update_down(least, config.as_deref(), &listed, answers, clock::now());
-    if !course.remaining().iter().any(|id| listed.contains_key(id.as_str())) {
-        if course.needs_report(true) {
-            report_status(scheduler, course, true);
+    progress.update_down(min_down_time, config.as_deref(), &listed, answers, clock::now());
+    if !progress.remaining().iter().any(|id| listed.contains_key(id.as_str())) {
+        if progress.needs_report(true) {
+            report_status(scheduler, progress, true);
         }
         return;
     }
     let ready =
-        plan::plan_round(&mut scheduler.cell(), course, &listed, taken, *orders, clock::now());
+        plan::plan_round(&mut scheduler.cell(), progress, &listed, taken, *orders, clock::now());
     *orders -= ready.len();
-    order_maintenance(scheduler, machines, course, &ready, &listed).await;
+    order_maintenance(scheduler, machines, progress, &ready, &listed).await;
 }
 
-/// Orders the upkeep of machines, all at once.
+/// Orders the maintenance of boxes, all concurrently.
 async fn order_maintenance(
     scheduler: &Scheduler,
     machines: &Machines,
-    course: &mut WaveProgress,
+    progress: &mut WaveProgress,
     ids: &[MachineId],
     listed: &MachinesById<'_>,
 ) {
@@ -165,31 +167,31 @@
     if !scheduler.announce_orders(ids).await || !scheduler.may_order_boxes() {
         return;
     }
-    let holder = Leader { node: &scheduler.node.settings.node, token: scheduler.token };
-    let number = course.wave.number;
+    let leader = Leader { node: &scheduler.node.settings.node, token: scheduler.token };
+    let number = progress.wave.number;
     let now = clock::now();
     let ids: Vec<&MachineId> =
         ids.iter().filter(|id| scheduler.order_window.record_order(id, now)).collect();
     let calls = ids.iter().map(|id| async move {
-        machines.start_maintenance(holder, id, number, CALL_TIMEOUT).await
+        machines.start_maintenance(leader, id, number, CALL_TIMEOUT).await
     });
     let answers = join_all(calls).await;
     for (id, answer) in ids.into_iter().zip(answers) {
         let before = plan::listed_incarnation(&scheduler.cell(), listed, id);
-        on_answer(scheduler, course, id, before, answer);
+        on_answer(scheduler, progress, id, before, answer);
     }
 }
 
 fn on_answer(
     scheduler: &Scheduler,
-    course: &mut WaveProgress,
+    progress: &mut WaveProgress,
     id: &str,
     before: Option<Incarnation>,
     answer: Result<(), CallError>,
 ) {
     scheduler.node.record_machines_result(&answer);
-    let wave = course.wave.number;
-    log::info!(machine = id, wave, ok = answer.is_ok(); "upkeep ordered");
+    let wave = progress.wave.number;
+    log::info!(machine = id, wave, ok = answer.is_ok(); "maintenance ordered");
     match answer {
         Ok(()) => {}
         Err(error) if machine::is_fenced(&error) => {
@@ -199,45 +201,47 @@
         Err(error @ CallError::Refused { .. }) => {
             let reason = error.reason();
             scheduler.node.counters.count(&format!("batch.upkeep.refused.{reason}"));
-            // One that is only turned away may be asked again in the next round.
-            if !error.is_turned_away() && course.defer(id, reason, clock::now()) {
-                log::info!(machine = id, wave, reason; "upkeep refused");
+            // An order that was only rejected for now may be repeated in the next round.
+            if !error.is_turned_away() && progress.defer(id, reason, clock::now()) {
+                log::info!(machine = id, wave, reason; "maintenance refused");
             }
             return;
         }
         Err(error) => {
-            // It may have begun, so it counts as down; asking again does no harm.
+            // The maintenance may have started, so the box counts as down; repeating the order is
+            // harmless.
             scheduler.node.counters.count("batch.upkeep.no-answer");
-            log::info!(machine = id, wave; "upkeep without an answer: {error}");
-            course.unanswered.insert(id.to_owned());
-            course.mark_down(id, before, clock::now());
+            log::info!(machine = id, wave; "no answer to maintenance order: {error}");
+            progress.unanswered.insert(id.to_owned());
+            progress.mark_down(id, before, clock::now());
             return;
         }
     }
     scheduler.cell().record_maintenance_started(wave, id);
-    // Its worker stays known until it is silent or another answers: if the upkeep had been done
-    // before, it lives on, and nobody would tell of it again.
-    course.mark_started(id, before, clock::now());
+    // The worker stays known until it becomes unresponsive or another one answers: if an earlier
+    // scheduler had the maintenance done already, this worker keeps running, and would not be
+    // announced again.
+    progress.mark_started(id, before, clock::now());
 }
 
-/// Tells the operator how far a wave is. Nothing else waits for that: a store that is slow or loses answers
-/// would hold up every order about boxes for up to [`CALL_TIMEOUT`].
-fn report_status(scheduler: &Arc<Scheduler>, course: &mut WaveProgress, succeeded: bool) {
-    let (written, told) = oneshot::channel();
-    course.pending_report = Some((succeeded, told));
-    let (wave, seen_at) = (course.wave.number, course.first_seen_at);
+/// Writes the status of a wave for the operator, in a task of its own: a store that is slow or
+/// loses answers would otherwise delay every order about boxes by up to [`CALL_TIMEOUT`].
+fn report_status(scheduler: &Arc<Scheduler>, progress: &mut WaveProgress, succeeded: bool) {
+    let (written, result) = oneshot::channel();
+    progress.pending_report = Some((succeeded, result));
+    let (wave, first_seen_at) = (progress.wave.number, progress.first_seen_at);
     let shared = scheduler.clone();
     scheduler.spawn(async move {
         let record = Wave::status(wave, succeeded);
         let done = shared.node.append(STATUS_TOPIC, &[record], &Guard::None, CALL_TIMEOUT).await;
         match &done {
             Ok(_) => {
-                let took_s = clock::since(seen_at).as_secs();
-                log::info!(wave, succeeded, took_s; "wave told");
+                let took_s = clock::since(first_seen_at).as_secs();
+                log::info!(wave, succeeded, took_s; "wave status written");
             }
-            Err(error) => log::info!("the state of wave {wave} was not written: {error}"),
+            Err(error) => log::info!("status of wave {wave} was not written: {error}"),
         }
-        // Nobody listens once the scheduler has ended.
+        // The receiver is gone once the scheduler has ended.
         let _ = written.send(done.is_ok());
     });
 }
--- a/lib/src/batch/maintenance/evacuation.rs
+++ b/lib/src/batch/maintenance/evacuation.rs
@@ -1,4 +1,4 @@
-//! What is moved off a worker whose box is to be ordered away.
+//! Evacuation of workers whose boxes are to be ordered away or that are draining.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -18,18 +18,19 @@
 use crate::batch::worker::Worker;
 use crate::transport::clock;
 
-/// How long tasks on a box may take to end by themselves before they are stopped, and how long tasks that last
-/// wait there for a place elsewhere before the box is taken with all of them away at once.
+/// How long batch tasks on a box may take to end before they are stopped, and how long long-running
+/// tasks wait for resources elsewhere before all of them are stopped at once.
 pub const EVACUATION_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Moves what it may off a worker; returns whether nothing is left there.
+/// Cordons a worker and stops the tasks that may be moved off; returns whether nothing is left
+/// there.
 ///
-/// Tasks that end by themselves are let end, unless `hurry`. Of a step that lasts, at most as many
-/// tasks are away at once as it allows. What runs on a worker that has not answered this scheduler is not
-/// known.
-pub fn evacuate(cell: &mut Cell, life: &Incarnation, hurry: bool) -> bool {
+/// Batch tasks may run to their end, unless `hurry`. Of a long-running step, no more tasks are
+/// unavailable at once than it allows. A worker that has not answered this scheduler never counts
+/// as empty, since its tasks are not known.
+pub fn evacuate(cell: &mut Cell, incarnation: &Incarnation, hurry: bool) -> bool {
     let now = clock::now();
-    let Some(tasks) = cordon_and_list_runs(cell, life, now) else { return false };
+    let Some(tasks) = cordon_and_list_runs(cell, incarnation, now) else { return false };
     let settled = cell.is_settled(now);
     for task in live_tasks(tasks.iter().copied()) {
         let stop = match is_long_running(cell, task) {
@@ -37,91 +38,97 @@
             false => hurry,
         };
         if stop {
-            move_off(cell, life, task, hurry);
+            move_off(cell, incarnation, task, hurry);
         }
     }
     tasks.is_empty()
 }
 
-/// The same for a worker whose box need not go now: a task that lasts is moved off only if it has a place elsewhere,
-/// or, with `hurry`, if all may be away together, so that they are back once the box is.
+/// Like [`evacuate`], for a worker whose box need not go now: a long-running task is stopped only
+/// if resources for it are reserved elsewhere or, with `hurry`, if all on the worker may be
+/// unavailable together, so that they return with the box.
 pub fn evacuate_gracefully(
     cell: &mut Cell,
-    life: &Incarnation,
+    incarnation: &Incarnation,
     hurry: bool,
-    places: &mut Reservations,
+    reservations: &mut Reservations,
     now: Instant,
 ) -> bool {
-    let Some(tasks) = cordon_and_list_runs(cell, life, now) else { return false };
+    let Some(tasks) = cordon_and_list_runs(cell, incarnation, now) else { return false };
     let settled = cell.is_settled(now);
-    let together = hurry && may_disrupt_together(cell, life, now);
+    let together = hurry && may_disrupt_together(cell, incarnation, now);
     for task in live_tasks(tasks.iter().copied()) {
         let stop = match is_long_running(cell, task) {
             true => {
-                let may_leave = settled && may_disrupt(cell, task, now);
-                may_leave && (together || places.reserve(cell, task, Some(life), now))
+                let may_stop = settled && may_disrupt(cell, task, now);
+                may_stop && (together || reservations.reserve(cell, task, Some(incarnation), now))
             }
             false => hurry,
         };
         if stop {
-            move_off(cell, life, task, hurry);
+            move_off(cell, incarnation, task, hurry);
         }
     }
     tasks.is_empty()
 }
 
-/// Whether all tasks that last could leave a worker: each has a place elsewhere, or all may be away together. The
-/// places are taken if so.
+/// Whether all long-running tasks could leave a worker: either resources are reserved elsewhere for
+/// each of them, or all may be unavailable together. Changes `reservations` only in the first case.
 pub fn try_reserve_evacuation(
     cell: &Cell,
-    life: &Incarnation,
-    places: &mut Reservations,
+    incarnation: &Incarnation,
+    reservations: &mut Reservations,
     now: Instant,
 ) -> bool {
-    let Some(worker) = cell.workers.get(life) else { return true };
-    let lasting: Vec<TaskName> =
+    let Some(worker) = cell.workers.get(incarnation) else { return true };
+    let long_running: Vec<TaskName> =
         worker.allocations.keys().copied().filter(|task| is_long_running(cell, *task)).collect();
-    let mut trial = places.clone();
-    if lasting.iter().all(|task| trial.reserve(cell, *task, Some(life), now)) {
-        *places = trial;
+    let mut trial = reservations.clone();
+    if long_running.iter().all(|task| trial.reserve(cell, *task, Some(incarnation), now)) {
+        *reservations = trial;
         return true;
     }
-    may_disrupt_together(cell, life, now)
+    may_disrupt_together(cell, incarnation, now)
 }
 
-/// Stops tasks on workers that are about to leave where stopping loses nothing: tasks that last are started elsewhere, and
-/// tasks that save their progress go on elsewhere.
+/// Stops tasks on draining workers where that loses nothing: long-running tasks, and tasks that
+/// save checkpoints; both continue elsewhere.
 ///
-/// They may all be away at once, which no other task of their step may join. So where the step has too many away
-/// with them, stops of it that are under way on workers that stay are awaited: theirs may be carried out after these.
+/// All of them may be unavailable at once, and then no other task of their step may be. So if the
+/// step would exceed its limit with them, pending stops of its tasks on workers that stay are
+/// awaited first: these could be carried out after the new ones.
 pub fn evacuate_draining(cell: &mut Cell, now: Instant) {
-    let leaving = cell.workers.values().filter(|worker| worker.is_listed_draining());
-    let leaving: Vec<(Incarnation, TaskName)> = leaving
+    let draining = cell.workers.values().filter(|worker| worker.is_listed_draining());
+    let draining: Vec<(Incarnation, TaskName)> = draining
         .flat_map(|worker| {
             live_tasks(run_phases(worker)).map(|task| (worker.peer.incarnation.clone(), task))
         })
         .filter(|(_, task)| is_movable(cell, *task))
         .collect();
-    if leaving.is_empty() {
+    if draining.is_empty() {
         return;
     }
     let stopping = steps_being_moved(cell);
-    for (life, task) in leaving {
+    for (incarnation, task) in draining {
         if stopping.contains(&step_of(task)) && !may_disrupt(cell, task, now) {
             continue;
         }
-        log::info!(task = task.to_string().as_str(), worker:% = life; "leaves a draining worker");
-        cell.stop_run(&life, task);
+        log::info!(
+            task = task.to_string().as_str(),
+            worker:% = incarnation;
+            "moving task off a draining worker"
+        );
+        cell.stop_run(&incarnation, task);
     }
 }
 
-/// Whether a task goes on elsewhere as well as where it is.
+/// Whether a task loses nothing by continuing on another worker.
 fn is_movable(cell: &Cell, task: TaskName) -> bool {
     let step = cell.jobs.get(&task.job).and_then(|entry| entry.step(task.step));
     step.is_some_and(|step| step.long_running || (step.checkpointing && !step.gang))
 }
 
-/// Steps with stops under way on workers that stay and answer.
+/// Steps with pending stops on workers that stay and answer.
 fn steps_being_moved(cell: &Cell) -> HashSet<StepName> {
     let staying = |worker: &&Worker| !worker.is_listed_draining() && !worker.is_unresponsive();
     let tasks = cell.workers.values().filter(staying).flat_map(run_phases);
@@ -129,22 +136,22 @@
     stopping.map(|(task, _)| step_of(task)).collect()
 }
 
-/// Closes a worker to new tasks; returns what may run there, and none if that is not known.
+/// Cordons a worker; returns the runs that may be on it, `None` if they are not known.
 fn cordon_and_list_runs(
     cell: &mut Cell,
-    life: &Incarnation,
+    incarnation: &Incarnation,
     now: Instant,
 ) -> Option<Vec<(TaskName, Phase)>> {
-    if !cell.workers.contains_key(life) {
-        return (!cell.may_unknown_worker_run(&life.id, now)).then(Vec::new);
+    if !cell.workers.contains_key(incarnation) {
+        return (!cell.may_unknown_worker_run(&incarnation.id, now)).then(Vec::new);
     }
-    let mut worker = cell.workers.get_mut(life)?;
+    let mut worker = cell.workers.get_mut(incarnation)?;
     worker.cordoned = true;
     worker.has_token.then(|| run_phases(&worker).collect())
 }
 
 fn run_phases(worker: &Worker) -> impl Iterator<Item = (TaskName, Phase)> {
-    worker.allocations.iter().map(|(task, slot)| (*task, slot.phase))
+    worker.allocations.iter().map(|(task, allocation)| (*task, allocation.phase))
 }
 
 fn live_tasks(tasks: impl Iterator<Item = (TaskName, Phase)>) -> impl Iterator<Item = TaskName> {
@@ -152,7 +159,12 @@
     live.map(|(task, _)| task)
 }
 
-fn move_off(cell: &mut Cell, life: &Incarnation, task: TaskName, hurry: bool) {
-    log::info!(task = task.to_string().as_str(), worker:% = life, hurry; "moves off");
-    cell.stop_run(life, task);
+fn move_off(cell: &mut Cell, incarnation: &Incarnation, task: TaskName, hurry: bool) {
+    log::info!(
+        task = task.to_string().as_str(),
+        worker:% = incarnation,
+        hurry;
+        "moving task off worker"
+    );
+    cell.stop_run(incarnation, task);
 }
