--- a/lib/src/batch/fleet.rs
+++ b/lib/src/batch/fleet.rs
@@ -1,4 +1,4 @@
-//! The scheduler's dealings with machines: waves of upkeep, and moves between pools.
+//! The scheduler's control loop for boxes: maintenance waves and moves between pools.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -20,73 +20,75 @@
 use crate::batch::stuck::stuck_tasks;
 use crate::transport::clock;
 
-/// Time between two rounds. Each costs a call to list the machines while something is under way.
+/// Pause between two rounds. Each round costs a call to list the machines while something is under
+/// way.
 const ROUND_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Share of the platform's rate of orders that is used; the rest is for what an earlier holder of the
-/// lead may have ordered in the same second.
+/// Fraction of the platform's order rate that is used; the rest is for what an earlier leader may
+/// have ordered in the same second.
 const ORDER_RATE_FRACTION: f64 = 0.9;
-/// Longest time since the last round whose orders a round may make up for. A round takes 0.3 s with 1,100
-/// boxes; counted by the pause alone, 260 orders a second went out where 590 are taken, and after a
-/// loss of power 500 boxes waited for theirs.
+/// Longest time since the last round for which a round gets orders. Rounds take longer than the
+/// pause on large sites (0.3 s with 1,100 boxes), so that counting the pause alone gives 260 orders
+/// per second where the platform takes 590, and leaves hundreds of boxes waiting after a power
+/// loss.
 const MAX_CATCH_UP: Duration = Duration::from_millis(500);
-/// Time between lines in the log about what each service has and wants.
+/// Interval of the log lines about each service's load.
 const LOAD_LOG_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Carries out waves and moves as long as the scheduler lasts.
+/// Carries out waves and moves until the scheduler ends.
 pub async fn run(scheduler: Arc<Scheduler>) {
     let Some(machines) = scheduler.node.machines.clone() else { return };
     let mut waves = Waves::restore(&scheduler).await;
     let mut pools = Pools::default();
-    let mut told_at = clock::now();
-    let mut teller = Reporter::default();
+    let mut logged_at = clock::now();
+    let mut reporter = Reporter::default();
     let rate = scheduler.node.settings.machine_orders_per_s;
     let mut last_round = clock::now();
     loop {
         sleep(ROUND_INTERVAL).await;
         let mut orders = order_budget(clock::since(last_round), rate);
         last_round = clock::now();
-        let under_way = waves.add_new(&scheduler);
+        let has_waves = waves.add_new(&scheduler);
         {
             let (mut cell, now) = (scheduler.cell(), clock::now());
             cell.unplaced_cpu = Reservations::new(&cell, now).unplaced_cpu(&cell, now);
         }
-        if clock::since(told_at) >= LOAD_LOG_INTERVAL {
-            told_at = clock::now();
+        if clock::since(logged_at) >= LOAD_LOG_INTERVAL {
+            logged_at = clock::now();
             log_loads(&scheduler);
             let waiting = stuck_tasks(&scheduler.cell(), clock::now());
-            let first = teller.report(&waiting) as u64;
+            let first = reporter.report(&waiting) as u64;
             scheduler.node.counters.add("batch.task.waits-beside-room", first);
         }
-        let awaits_silent = scheduler.cell().is_blocked_by_unresponsive();
-        if !under_way && !awaits_silent && !pools.needs_machine_list(&scheduler) {
+        let is_blocked = scheduler.cell().is_blocked_by_unresponsive();
+        if !has_waves && !is_blocked && !pools.needs_machine_list(&scheduler) {
             continue;
         }
-        let asked_at = clock::now();
+        let requested_at = clock::now();
         let listed = machines.list(CALL_TIMEOUT).await;
         scheduler.node.record_machines_result(&listed);
         let list = match listed {
             Ok(list) => list,
             Err(error) => {
                 scheduler.node.counters.count("batch.machines.list-failed");
-                log::debug!("the machines cannot be listed: {error}");
+                log::debug!("cannot list machines: {error}");
                 continue;
             }
         };
-        scheduler.cell().end_incarnations_by_box_list(&list, asked_at);
+        scheduler.cell().end_incarnations_by_box_list(&list, requested_at);
         scheduler.announce_ahead(|| list.iter().map(|machine| machine.id.clone()).collect());
-        let resting = scheduler.order_window.held_boxes(clock::now());
+        let held = scheduler.order_window.held_boxes(clock::now());
         let moving = pools.busy_machines();
-        waves.advance(&scheduler, &machines, &list, &moving, &resting, &mut orders).await;
-        let taken = &waves.busy_machines() | &resting;
+        waves.advance(&scheduler, &machines, &list, &moving, &held, &mut orders).await;
+        let taken = &waves.busy_machines() | &held;
         pools.advance(&scheduler, &machines, &list, &taken, orders).await;
         uncordon(&mut scheduler.cell(), &(&waves.busy_machines() | &pools.busy_machines()), &list);
         scheduler.wake();
     }
 }
 
-/// How many orders a round may give, so long after the last one began, at the platform's rate of orders
-/// a second.
+/// How many orders a round may give, `time` after the last one started, at a platform rate of
+/// `rate` orders per second.
 ///
 /// ```
 /// use std::time::Duration;
@@ -99,8 +101,9 @@
     (rate * ORDER_RATE_FRACTION * time.min(MAX_CATCH_UP).as_secs_f64()).max(1.0) as usize
 }
 
-/// Workers on boxes that nobody empties take work again. Only those that the list names as living there now: one that
-/// lived on a box before it was ordered is known until the next life answers, and must stay closed until then.
+/// Uncordons workers whose boxes are not in `busy`. Applies only to workers that the list names on
+/// these boxes: a worker from before an order stays known until the next incarnation answers, and
+/// must stay cordoned until then.
 pub fn uncordon(cell: &mut Cell, busy: &HashSet<MachineId>, list: &[Machine]) {
     let free = list.iter().filter(|machine| !busy.contains(&machine.id));
     let workers =
@@ -113,7 +116,7 @@
     });
 }
 
-/// Tells what each service has and wants.
+/// Logs the load of each service.
 fn log_loads(scheduler: &Scheduler) {
     for (service, load) in loads(&scheduler.cell(), clock::now()) {
         log::info!(
--- a/lib/src/batch/order_window.rs
+++ b/lib/src/batch/order_window.rs
@@ -1,12 +1,15 @@
-//! When a scheduler may order boxes. No box is ordered by two schedulers within the time that the
-//! platform names, so a new scheduler leaves alone what the one before may have ordered last: those that
-//! it names if it gave up the lead, and if it fell silent those that it had announced in the store. A
-//! box is announced before it is ordered, and a scheduler that has a successor can announce nothing more,
-//! so what the successor reads is all. With every box resting, a silent scheduler cost 3 s without an
-//! order, where rises of load last 5 s.
+//! When a scheduler may order boxes.
 //!
-//! While the store is late (see [`crate::batch::store_latency`]), every box is announced ahead of need, so that no
-//! order waits for it; a scheduler that is lost then costs its successor the 3 s.
+//! Two schedulers must not order the same box within a time that the platform sets, so a new
+//! scheduler holds the boxes that its predecessor may have ordered last. A predecessor that
+//! released leadership names these boxes. One that became unresponsive has announced them in the
+//! store: a box is announced before it is ordered, and a scheduler that has a successor can
+//! announce nothing more, so what the successor reads is complete. Holding every box instead would
+//! cost 3 s without any order, while rises of load last 5 s.
+//!
+//! While the store is slow (see [`crate::batch::store_latency`]), every box is announced in
+//! advance, so that no order waits for an announcement. If such a scheduler is lost, its successor
+//! holds every box for the 3 s.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -19,31 +22,31 @@
 use serde::Serialize;
 use spokelift_platform::machine::MachineId;
 
-/// How long after the lead was renewed it is certain that nobody else has claimed it: others do so after
-/// 2.1 s of silence at the earliest.
+/// How long after a renewal of the leader lease it is certain that no other node has claimed it:
+/// others do so after 2.1 s of silence at the earliest.
 pub const EXCLUSIVE_LEASE: Duration = Duration::from_millis(1_400);
 
-/// Whether it is certain that at `then` nobody else had claimed the lead, by when the call was sent
-/// that last renewed it; none where the lead plays no part.
+/// Whether it is certain that no other node had claimed leadership at `then`. `renewed_at` is when
+/// the last successful renewal was sent; `None` where there is no leader lease.
 pub fn is_sole_leader(renewed_at: Option<Instant>, then: Instant) -> bool {
     renewed_at.is_none_or(|at| then.saturating_duration_since(at) <= EXCLUSIVE_LEASE)
 }
 
-/// Boxes that a scheduler leaves alone at its beginning.
+/// Boxes that a new scheduler must not order yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HeldBoxes {
-    /// Every box: nobody knows what was ordered.
+    /// All boxes, since it is not known which were ordered.
     #[serde(rename = "Every")]
     All,
-    /// These.
+    /// Only these boxes.
     #[serde(rename = "These")]
     Only(HashSet<MachineId>),
 }
 
-/// A scheduler's turn to order boxes.
+/// The time in which one scheduler may order boxes.
 pub struct OrderWindow {
     started_at: Instant,
-    /// Least time between the orders of two schedulers about one box.
+    /// Least time between orders of two schedulers about the same box.
     handover_gap: Duration,
     held_boxes: HeldBoxes,
     state: Mutex<State>,
@@ -51,60 +54,56 @@
 
 #[derive(Default)]
 struct State {
-    /// When boxes were last ordered.
+    /// When each box was last ordered.
     ordered_at: HashMap<MachineId, Instant>,
-    /// Boxes that the store knows of as ordered, or about to be. What it is being told may replace that at
-    /// any time, so only boxes that both name are among them until it is known to have been told.
+    /// Boxes that the store certainly lists as announced. A write in flight may replace the stored
+    /// announcement at any time, so until it is confirmed only boxes that are in both are here.
     announced: HashSet<MachineId>,
-    /// What it is being told, and the number of that announcement.
+    /// Number and boxes of the announcement that is being written.
     in_flight: Option<(u64, HashSet<MachineId>)>,
-    /// Boxes that are announced whether or not they are to be ordered; none but while the store is late.
+    /// Boxes that are announced in advance, whether or not they are to be ordered; empty unless the
+    /// store is slow.
     pre_announced: HashSet<MachineId>,
-    /// Boxes that the one before had announced; none until the store was read.
+    /// Boxes that the predecessor had announced; `None` until the store was read.
     inherited: Option<HashSet<MachineId>>,
     is_closed: bool,
 }
 
 impl OrderWindow {
-    /// A turn that begins at `now`.
-    pub fn new(gap: Duration, resting: HeldBoxes, now: Instant) -> OrderWindow {
-        OrderWindow {
-            started_at: now,
-            handover_gap: gap,
-            held_boxes: resting,
-            state: Mutex::default(),
-        }
+    /// A window that starts at `now`.
+    pub fn new(handover_gap: Duration, held_boxes: HeldBoxes, now: Instant) -> OrderWindow {
+        OrderWindow { started_at: now, handover_gap, held_boxes, state: Mutex::default() }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder of the state panics")
+        self.state.lock().expect("no thread panics while it holds the state lock")
     }
 
-    /// The boxes of before that are still left alone; none once the time is over.
+    /// What is still held for the predecessor; no boxes once the handover gap has passed.
     fn remaining_held(&self, state: &State, now: Instant) -> HeldBoxes {
         match (&self.held_boxes, &state.inherited) {
             _ if now.saturating_duration_since(self.started_at) >= self.handover_gap => {
                 HeldBoxes::Only(HashSet::new())
             }
             (HeldBoxes::All, Some(inherited)) => HeldBoxes::Only(inherited.clone()),
-            (resting, _) => resting.clone(),
+            (held_boxes, _) => held_boxes.clone(),
         }
     }
 
-    /// The store was read: these boxes were announced before.
+    /// Sets the boxes that the predecessor had announced, as read from the store.
     pub fn set_inherited(&self, boxes: HashSet<MachineId>) {
         self.state().inherited = Some(boxes);
     }
 
-    /// What the store is to be told before these boxes are ordered: all that may have been ordered lately,
-    /// and what is announced ahead. `None` if it knows of them.
+    /// The announcement to write before these boxes are ordered: them, all that may have been
+    /// ordered lately, and what is announced in advance. `None` if the store already lists them.
     pub fn required_announcement(
         &self,
         boxes: &[MachineId],
         now: Instant,
     ) -> Option<HashSet<MachineId>> {
         let state = self.state();
-        if boxes.iter().all(|target| state.announced.contains(target)) {
+        if boxes.iter().all(|id| state.announced.contains(id)) {
             return None;
         }
         Some(self.build_announcement(&state, boxes, now))
@@ -119,14 +118,14 @@
         let mut all: HashSet<MachineId> =
             boxes.iter().chain(&state.pre_announced).cloned().collect();
         all.extend(self.recently_ordered(state, now));
-        if let HeldBoxes::Only(resting) = self.remaining_held(state, now) {
-            all.extend(resting);
+        if let HeldBoxes::Only(held_boxes) = self.remaining_held(state, now) {
+            all.extend(held_boxes);
         }
         all
     }
 
-    /// Sets which boxes are announced ahead of need; returns what the store is to be told for it, if
-    /// anything changes.
+    /// Sets which boxes are announced in advance; returns the announcement to write, `None` if
+    /// nothing changes.
     pub fn set_pre_announced(
         &self,
         boxes: HashSet<MachineId>,
@@ -140,39 +139,40 @@
         Some(self.build_announcement(&state, &[], now))
     }
 
-    /// Number of the announcement under way that will let these boxes be ordered, if there is one.
+    /// Number of the announcement in flight that will let all these boxes be ordered; `None` if
+    /// there is none.
     pub fn pending_announcement(&self, boxes: &[MachineId]) -> Option<u64> {
         let state = self.state();
-        let (number, told) = state.in_flight.as_ref()?;
-        boxes.iter().all(|target| told.contains(target)).then_some(*number)
+        let (number, boxes_in_flight) = state.in_flight.as_ref()?;
+        boxes.iter().all(|id| boxes_in_flight.contains(id)).then_some(*number)
     }
 
-    /// The store is being told of these boxes.
+    /// Records that an announcement of these boxes is being written.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// # use spokelift_lib::batch::order_window::{HeldBoxes, OrderWindow};
     /// let now = Instant::now();
-    /// let order_window = OrderWindow::new(Duration::from_secs(3), HeldBoxes::Only([].into()), now);
+    /// let window = OrderWindow::new(Duration::from_secs(3), HeldBoxes::Only([].into()), now);
     /// let (a, b) = ("a".to_owned(), "b".to_owned());
-    /// order_window.begin_announcement(1, [a.clone()].into());
-    /// assert!(order_window.required_announcement(&[a.clone()], now).is_some(), "it may not have been told yet");
-    /// order_window.confirm_announcement(1);
-    /// assert!(order_window.required_announcement(&[a.clone()], now).is_none());
-    /// order_window.begin_announcement(2, [b].into());
-    /// assert!(order_window.required_announcement(&[a], now).is_some(), "it may have been told by now");
+    /// window.begin_announcement(1, [a.clone()].into());
+    /// assert!(window.required_announcement(&[a.clone()], now).is_some(), "not confirmed yet");
+    /// window.confirm_announcement(1);
+    /// assert!(window.required_announcement(&[a.clone()], now).is_none());
+    /// window.begin_announcement(2, [b].into());
+    /// assert!(window.required_announcement(&[a], now).is_some(), "it may be replaced");
     /// ```
     pub fn begin_announcement(&self, number: u64, boxes: HashSet<MachineId>) {
         let mut state = self.state();
-        state.announced.retain(|target| boxes.contains(target));
+        state.announced.retain(|id| boxes.contains(id));
         state.in_flight = Some((number, boxes));
     }
 
-    /// The store knows of the announcements up to this one.
+    /// Records that the store has the announcements up to this number.
     pub fn confirm_announcement(&self, number: u64) {
         let mut state = self.state();
-        let told = state.in_flight.take_if(|(under_way, _)| *under_way <= number);
-        if let Some((_, boxes)) = told {
+        let boxes_in_flight = state.in_flight.take_if(|(under_way, _)| *under_way <= number);
+        if let Some((_, boxes)) = boxes_in_flight {
             state.announced = boxes;
         }
     }
@@ -184,7 +184,7 @@
     ) -> impl Iterator<Item = MachineId> + 'a {
         let is_recent = move |at: Instant| now.saturating_duration_since(at) < self.handover_gap;
         let recent = state.ordered_at.iter().filter(move |(_, at)| is_recent(**at));
-        recent.map(|(target, _)| target.clone())
+        recent.map(|(id, _)| id.clone())
     }
 
     /// Whether any box may be ordered now.
@@ -193,7 +193,8 @@
         self.remaining_held(&state, now) != HeldBoxes::All && !state.is_closed
     }
 
-    /// Boxes that are left alone for now, where others are not.
+    /// Boxes on hold while others may be ordered; empty if every box is on hold (see
+    /// [`OrderWindow::may_order`]).
     pub fn held_boxes(&self, now: Instant) -> HashSet<MachineId> {
         match self.remaining_held(&self.state(), now) {
             HeldBoxes::All => HashSet::new(),
@@ -201,25 +202,26 @@
         }
     }
 
-    /// Notes that a box is about to be ordered; `false` if the turn is over.
-    pub fn record_order(&self, target: &str, now: Instant) -> bool {
+    /// Records that a box is about to be ordered; returns `false` if the window is closed.
+    pub fn record_order(&self, id: &str, now: Instant) -> bool {
         let mut state = self.state();
         if !state.is_closed {
-            state.ordered_at.insert(target.to_owned(), now);
+            state.ordered_at.insert(id.to_owned(), now);
         }
         !state.is_closed
     }
 
-    /// Ends the turn; returns what the next scheduler has to leave alone.
+    /// Closes the window; returns what the next scheduler must hold.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
     /// # use spokelift_lib::batch::order_window::{HeldBoxes, OrderWindow};
     /// let now = Instant::now();
-    /// let order_window = OrderWindow::new(Duration::from_secs(3), HeldBoxes::Only(["a".to_owned()].into()), now);
-    /// assert!(order_window.record_order("b", now));
-    /// assert_eq!(order_window.close(now), HeldBoxes::Only(["a".to_owned(), "b".to_owned()].into()));
-    /// assert!(!order_window.record_order("c", now));
+    /// let held = HeldBoxes::Only(["a".to_owned()].into());
+    /// let window = OrderWindow::new(Duration::from_secs(3), held, now);
+    /// assert!(window.record_order("b", now));
+    /// assert_eq!(window.close(now), HeldBoxes::Only(["a".to_owned(), "b".to_owned()].into()));
+    /// assert!(!window.record_order("c", now));
     /// ```
     pub fn close(&self, now: Instant) -> HeldBoxes {
         let mut state = self.state();
--- a/lib/src/batch/view.rs
+++ b/lib/src/batch/view.rs
@@ -1,4 +1,4 @@
-//! What operators see of batch work: services, queues, workers, and why a job waits.
+//! Views of batch work on the operators' API: services, queues, workers, jobs, waves and shards.
 
 pub mod account;
 
@@ -26,7 +26,7 @@
 use crate::batch::worker::Phase;
 use crate::transport::clock;
 
-/// Path of the views on the operators' port.
+/// Path prefix of the views on the operators' port.
 pub const PATH: &str = "/v1/batch/";
 
 /// A service.
@@ -34,15 +34,15 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Workers that take work.
+    /// Number of schedulable workers.
     pub workers: u64,
-    /// Cores they have.
+    /// Cores of these workers.
     pub has: f64,
-    /// Cores that run something.
+    /// Cores in use.
     pub used: f64,
-    /// Cores that waiting tasks ask for.
+    /// Cores that waiting tasks request.
     pub waiting: f64,
-    /// Cores it should have.
+    /// Cores that the service should have.
     pub wanted: f64,
 }
 
@@ -51,32 +51,32 @@
 pub struct Queue {
     /// Its name.
     pub name: String,
-    /// Jobs none of whose tasks has begun.
+    /// Jobs of which no task has started.
     pub pending: u32,
-    /// Jobs some of whose tasks have begun.
+    /// Jobs of which some task has started.
     pub running: u32,
-    /// Jobs that have ended, however.
+    /// Jobs that have ended, with any outcome.
     pub ended: u32,
 }
 
 /// A worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    /// Its id, and when its life began, if it says so.
+    /// Its id, with its birth time if it reports one.
     pub id: String,
-    /// Its machine.
+    /// Its box.
     pub machine: String,
     /// Its service.
     pub service: String,
-    /// Runs that may be on it.
+    /// Number of runs that may be on it.
     pub runs: usize,
-    /// Cores that are left.
+    /// Free cores.
     pub free: f64,
-    /// Why it takes nothing new, if so.
+    /// Why it takes no new tasks; `None` if it takes them.
     pub closed: Option<String>,
 }
 
-/// A job, and what holds it.
+/// A job, and what it waits for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
     /// Its id.
@@ -88,7 +88,7 @@
     /// The account that it belongs to, if any.
     #[serde(default)]
     pub account: Option<String>,
-    /// What clients are told.
+    /// The state that clients see.
     pub state: JobState,
     /// Steps that are not done.
     pub steps: Vec<Step>,
@@ -102,9 +102,9 @@
 pub struct Crashed {
     /// Its repetition, step and index.
     pub place: TaskPosition,
-    /// The workers, and what each crash says of the task.
+    /// Its crashes: the workers, and what each crash is evidence of.
     pub crashes: Vec<Crash>,
-    /// The job has failed for it.
+    /// Whether the job has failed because of this task.
     pub given_up: bool,
 }
 
@@ -115,55 +115,55 @@
     pub place: (u32, u16),
     /// Tasks that are not done.
     pub left: usize,
-    /// Tasks that wait for room.
+    /// Tasks that wait for resources.
     pub waiting: usize,
-    /// Where its tasks may run, and since when, in seconds.
+    /// Its possible runs: worker, phase, and seconds since it was ordered or found.
     pub runs: Vec<(String, String, f64)>,
-    /// What keeps a waiting task from how many workers of the service.
+    /// Number of workers of the service by the reason why they cannot run its first waiting task.
     pub held_by: BTreeMap<String, usize>,
-    /// Its turn has not come: steps it depends on, or its time.
+    /// Whether it waits for steps it depends on, or for its scheduled time.
     pub waits_for_turn: bool,
 }
 
-/// A wave.
+/// A maintenance wave.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Wave {
     /// Its number.
     pub number: u64,
-    /// Machines that are due.
+    /// Number of boxes in the wave.
     pub machines: usize,
-    /// Those whose upkeep has begun.
+    /// Number of boxes whose maintenance has started.
     pub begun: usize,
-    /// Most machines that may be down at once.
+    /// Maximum number of boxes that may be down at once.
     pub max_down: usize,
-    /// All have had their upkeep, and the operator was told.
+    /// Whether all boxes had their maintenance and the operator was notified.
     pub over: bool,
 }
 
-/// The workers that one node looks after for the scheduler.
+/// A shard: the workers that one node dispatches to for the scheduler.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Shard {
-    /// Number of the share; 0 is that of the scheduler's own node.
+    /// Number of the shard; 0 is that of the scheduler's own node.
     pub number: u64,
-    /// Where the node answers other nodes; none for the scheduler's own.
+    /// Address of the node for other nodes; `None` for the scheduler's own.
     #[serde(rename = "carrier")]
     pub dispatcher: Option<SocketAddr>,
-    /// How many workers it looks after.
+    /// Number of its workers.
     pub workers: usize,
 }
 
-/// A job that was taken.
+/// A job that was accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Submitted {
     /// Its id.
     pub id: String,
 }
 
-/// What became of a wish to cancel a job.
+/// Result of a request to cancel a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Cancelled {
-    /// The state the job has ended in; none if the wish is kept and nobody who knows the job could
-    /// be asked.
+    /// The state in which the job has ended; `None` if the request is stored but no node that knows
+    /// the job could be reached.
     pub state: Option<JobState>,
 }
 
@@ -171,19 +171,19 @@
     thousandths.into() as f64 / 1_000.0
 }
 
-/// Shows what `path` names, as JSON; `None` if there is no such thing.
-pub fn render(cell: &Cell, waves: &[wave::Wave], shares: &[Shard], path: &str) -> Option<String> {
+/// Renders the view that `path` names as JSON; `None` if there is no such view.
+pub fn render(cell: &Cell, waves: &[wave::Wave], shards: &[Shard], path: &str) -> Option<String> {
     let now = clock::now();
     let shown = match path.strip_prefix(PATH)? {
         "accounts" => serde_json::to_string(&account::accounts(cell)),
         "services" => serde_json::to_string(&services(cell, now)),
-        "shares" => serde_json::to_string(shares),
+        "shares" => serde_json::to_string(shards),
         "queues" => serde_json::to_string(&queues(cell)),
         "waves" => serde_json::to_string(&self::waves(cell, waves)),
         "workers" => serde_json::to_string(&workers(cell, now)),
         other => serde_json::to_string(&job(cell, parse_id(other.strip_prefix("jobs/")?)?, now)?),
     };
-    Some(shown.expect("views can be written as JSON"))
+    Some(shown.expect("views serialize to JSON"))
 }
 
 /// The services.
@@ -242,9 +242,9 @@
     shown
 }
 
-/// The waves asked for.
-pub fn waves(cell: &Cell, asked: &[wave::Wave]) -> Vec<Wave> {
-    let shown = asked.iter().map(|wave| {
+/// The waves that operators have requested.
+pub fn waves(cell: &Cell, requested: &[wave::Wave]) -> Vec<Wave> {
+    let shown = requested.iter().map(|wave| {
         let over = cell.ended_waves.contains(&wave.number);
         let begun = cell.maintenance_started.get(&wave.number).map_or(0, HashSet::len);
         Wave {
@@ -258,13 +258,13 @@
     shown.collect()
 }
 
-/// A job and what holds it.
+/// A job and what it waits for; `None` if it is unknown.
 pub fn job(cell: &Cell, id: JobId, now: Instant) -> Option<Job> {
     let entry = cell.jobs.get(&id)?;
     let mut steps = Vec::new();
-    for (time, repetition) in entry.repetitions.iter().enumerate() {
+    for (number, repetition) in entry.repetitions.iter().enumerate() {
         for (step, run) in repetition.steps.iter().enumerate().filter(|(_, run)| run.left > 0) {
-            let place = (time as u32, step as u16);
+            let place = (number as u32, step as u16);
             let waits = run.waiting.first().map(|index| TaskName {
                 job: id,
                 repetition: place.0,
@@ -289,8 +289,8 @@
 fn crashed(entry: &Entry) -> Vec<Crashed> {
     let has_failed = entry.end == Some(JobState::Failed);
     let shown = entry.crashed_tasks().map(|(place, task)| {
-        let lasts = entry.step(place.1).is_some_and(|step| step.long_running);
-        let given_up = has_failed && is_abandoned(&task.crashes, lasts);
+        let is_long_running = entry.step(place.1).is_some_and(|step| step.long_running);
+        let given_up = has_failed && is_abandoned(&task.crashes, is_long_running);
         Crashed { place, crashes: task.crashes.clone(), given_up }
     });
     shown.collect()
@@ -299,14 +299,14 @@
 fn runs(cell: &Cell, job: JobId, place: (u32, u16), now: Instant) -> Vec<(String, String, f64)> {
     let mut runs = Vec::new();
     for worker in cell.workers.values() {
-        for (task, slot) in &worker.allocations {
+        for (task, allocation) in &worker.allocations {
             if task.job == job && (task.repetition, task.step) == place {
-                let phase = match slot.phase {
+                let phase = match allocation.phase {
                     Phase::Starting => "starting",
                     Phase::Live(_) => "running",
                     Phase::Stopping(_) => "stopping",
                 };
-                let since: Duration = now.saturating_duration_since(slot.ordered_at);
+                let since: Duration = now.saturating_duration_since(allocation.ordered_at);
                 runs.push((
                     worker.peer.incarnation.to_string(),
                     phase.to_owned(),
--- a/lib/src/batch/view/account.rs
+++ b/lib/src/batch/view/account.rs
@@ -1,4 +1,4 @@
-//! What operators see of accounts.
+//! View of accounts on the operators' API.
 
 use std::collections::BTreeMap;
 
@@ -11,30 +11,30 @@
 use crate::batch::view::cores;
 use crate::state::id::AccountId;
 
-/// An account: what it uses of what it may.
+/// An account with its usage and quota.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Account {
     /// Its name.
     pub name: String,
-    /// Its share against other accounts.
+    /// Its weight relative to other accounts.
     pub weight: f64,
-    /// How many keys it has.
+    /// Number of its keys.
     pub keys: usize,
-    /// Cores of its tasks that run, and on workers that have not been asked yet of those that may.
+    /// Cores of its running tasks, including those that may run on workers not polled yet.
     pub cores: f64,
-    /// Cores that they may have; 0 for no bound.
+    /// CPU quota in cores; 0 for none.
     pub most_cores: f64,
     /// Memory of these tasks, in megabytes.
     pub memory_mb: u64,
-    /// Memory that they may have, in megabytes; 0 for no bound.
+    /// Memory quota in megabytes; 0 for none.
     pub most_memory_mb: u64,
-    /// Tasks that wait for room.
+    /// Tasks that wait for resources.
     pub waiting: u64,
-    /// Tasks that wait since the account has as much running as it may.
+    /// Tasks that wait because the account has reached its quota.
     pub held: u64,
 }
 
-/// The accounts, and of which version of the configuration they are.
+/// The accounts of one version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Accounts {
     /// The version.
@@ -43,7 +43,7 @@
     pub accounts: Vec<Account>,
 }
 
-/// The accounts of the configuration, and those that vanished from it and still have work.
+/// The accounts of the configuration, and those removed from it that still have tasks.
 pub fn accounts(cell: &Cell) -> Accounts {
     let mut shown: BTreeMap<AccountId, Account> = BTreeMap::new();
     for (id, account) in cell.config().into_iter().flat_map(|config| config.accounts()) {
@@ -74,13 +74,13 @@
 
 fn with_usage(cell: &Cell, id: &AccountId, account: Account) -> Account {
     let Usage { cpu, memory_mb, .. } = cell.usage_of(id);
-    let bound = cell.quota_of(id).copied().unwrap_or_default();
+    let quota = cell.quota_of(id).copied().unwrap_or_default();
     Account {
         name: id.to_string(),
         cores: cores(cpu),
-        most_cores: cores(bound.cpu),
+        most_cores: cores(quota.cpu),
         memory_mb,
-        most_memory_mb: bound.memory_mb,
+        most_memory_mb: quota.memory_mb,
         ..account
     }
 }
