--- a/lib/tests/test_turn.rs
+++ b/lib/tests/test_turn.rs
@@ -1,4 +1,4 @@
-//! Which boxes a new scheduler leaves alone, and for how long.
+//! Which boxes a new scheduler holds, and for how long.
 
 use std::collections::HashSet;
 use std::slice::from_ref;
@@ -11,185 +11,192 @@
 
 const GAP: Duration = Duration::from_secs(3);
 
-fn these<const N: usize>(targets: [&str; N]) -> HeldBoxes {
-    HeldBoxes::Only(targets.map(str::to_owned).into())
+fn only<const N: usize>(ids: [&str; N]) -> HeldBoxes {
+    HeldBoxes::Only(ids.map(str::to_owned).into())
 }
 
 #[test]
-fn after_a_silent_scheduler_every_box_rests() {
+fn after_an_unresponsive_scheduler_every_box_is_on_hold() {
     let now = clock::now();
-    let turn = OrderWindow::new(GAP, HeldBoxes::All, now);
-    assert!(!turn.may_order(now + GAP / 2));
-    assert!(turn.may_order(now + GAP));
-    // Whoever follows soon knows no more.
-    assert_eq!(turn.close(now + GAP / 2), HeldBoxes::All);
+    let window = OrderWindow::new(GAP, HeldBoxes::All, now);
+    assert!(!window.may_order(now + GAP / 2));
+    assert!(window.may_order(now + GAP));
+    // A successor within that time knows no more.
+    assert_eq!(window.close(now + GAP / 2), HeldBoxes::All);
 }
 
 #[test]
-fn only_boxes_that_were_ordered_lately_rest() {
+fn only_recently_ordered_boxes_are_passed_on() {
     let now = clock::now();
-    let turn = OrderWindow::new(GAP, HeldBoxes::All, now);
-    assert!(turn.record_order("a", now + GAP));
-    assert!(turn.record_order("b", now + GAP * 2));
-    assert_eq!(turn.close(now + GAP * 2), these(["b"]));
+    let window = OrderWindow::new(GAP, HeldBoxes::All, now);
+    assert!(window.record_order("a", now + GAP));
+    assert!(window.record_order("b", now + GAP * 2));
+    assert_eq!(window.close(now + GAP * 2), only(["b"]));
 }
 
 #[test]
-fn boxes_that_the_one_before_ordered_rest_and_are_passed_on() {
+fn boxes_that_the_predecessor_ordered_are_held_and_passed_on() {
     let now = clock::now();
-    let turn = OrderWindow::new(GAP, these(["a"]), now);
-    assert!(turn.may_order(now));
-    assert_eq!(turn.held_boxes(now), HashSet::from(["a".to_owned()]));
-    assert!(turn.held_boxes(now + GAP).is_empty());
-    assert!(turn.record_order("b", now));
-    assert_eq!(turn.close(now), these(["a", "b"]));
+    let window = OrderWindow::new(GAP, only(["a"]), now);
+    assert!(window.may_order(now));
+    assert_eq!(window.held_boxes(now), HashSet::from(["a".to_owned()]));
+    assert!(window.held_boxes(now + GAP).is_empty());
+    assert!(window.record_order("b", now));
+    assert_eq!(window.close(now), only(["a", "b"]));
 }
 
-/// A scheduler that fell silent in a rise cost 3 s without an order about any box: nobody knew what it had
-/// ordered last. Now it announces boxes in the store first, and only those rest.
+/// Guards against holding every box after an unresponsive scheduler, which cost 3 s without any
+/// order during a rise of load: boxes are announced in the store before they are ordered, and only
+/// announced ones are on hold.
 #[test]
-fn after_a_silent_scheduler_only_announced_boxes_rest() {
+fn after_an_unresponsive_scheduler_only_announced_boxes_are_on_hold() {
     let now = clock::now();
-    let boxes = |targets: &[&str]| -> HashSet<String> {
-        targets.iter().map(|target| (*target).to_owned()).collect()
-    };
-    let turn = OrderWindow::new(GAP, HeldBoxes::All, now);
-    assert!(!turn.may_order(now), "the store has not been read");
-    turn.set_inherited(boxes(&["a"]));
-    assert!(turn.may_order(now));
-    assert_eq!(turn.held_boxes(now), boxes(&["a"]));
-    assert!(turn.held_boxes(now + GAP).is_empty());
-    // Whoever follows is told of what still rests as well.
-    let all = turn.required_announcement(&["b".to_owned()], now).unwrap();
+    let boxes =
+        |ids: &[&str]| -> HashSet<String> { ids.iter().map(|id| (*id).to_owned()).collect() };
+    let window = OrderWindow::new(GAP, HeldBoxes::All, now);
+    assert!(!window.may_order(now), "the store has not been read");
+    window.set_inherited(boxes(&["a"]));
+    assert!(window.may_order(now));
+    assert_eq!(window.held_boxes(now), boxes(&["a"]));
+    assert!(window.held_boxes(now + GAP).is_empty());
+    // The successor must learn of boxes that are still on hold as well.
+    let all = window.required_announcement(&["b".to_owned()], now).unwrap();
     assert_eq!(all, boxes(&["a", "b"]));
-    turn.begin_announcement(1, all);
-    turn.confirm_announcement(1);
-    assert!(turn.record_order("b", now));
-    assert_eq!(turn.required_announcement(&["b".to_owned()], now), None);
+    window.begin_announcement(1, all);
+    window.confirm_announcement(1);
+    assert!(window.record_order("b", now));
+    assert_eq!(window.required_announcement(&["b".to_owned()], now), None);
     assert_eq!(
-        turn.required_announcement(&["c".to_owned()], now).unwrap(),
+        window.required_announcement(&["c".to_owned()], now).unwrap(),
         boxes(&["a", "b", "c"])
     );
-    assert_eq!(turn.required_announcement(&["c".to_owned()], now + GAP).unwrap(), boxes(&["c"]));
-    assert_eq!(turn.close(now), these(["a", "b"]));
+    assert_eq!(window.required_announcement(&["c".to_owned()], now + GAP).unwrap(), boxes(&["c"]));
+    assert_eq!(window.close(now), only(["a", "b"]));
 }
 
 #[test]
-fn a_turn_that_is_over_orders_nothing() {
+fn a_closed_window_permits_no_order() {
     let now = clock::now();
-    let turn = OrderWindow::new(GAP, these([]), now);
-    turn.close(now);
-    assert!(!turn.may_order(now));
-    assert!(!turn.record_order("a", now));
+    let window = OrderWindow::new(GAP, only([]), now);
+    window.close(now);
+    assert!(!window.may_order(now));
+    assert!(!window.record_order("a", now));
 }
 
-/// Orders about boxes waited for each announcement, 0.4 s and more with a store that is slow, in a rise that
-/// lasts 5 s. Now every box is announced ahead while it is.
+/// Guards against orders that wait for an announcement each, 0.4 s and more with a slow store, in a
+/// rise of load that lasts 5 s: while the store is slow, every box is announced in advance.
 #[test]
-fn while_the_store_is_late_no_order_waits_once_every_box_was_announced() {
+fn while_the_store_is_slow_no_order_waits_once_every_box_was_announced() {
     let now = clock::now();
     let (a, b, c) = ("a".to_owned(), "b".to_owned(), "c".to_owned());
     let every = HashSet::from([a.clone(), b.clone(), c.clone()]);
-    let turn = OrderWindow::new(GAP, these([]), now);
-    let told = turn.set_pre_announced(every.clone(), now).unwrap();
-    assert_eq!(told, every);
-    turn.begin_announcement(1, told);
-    assert_eq!(turn.set_pre_announced(every.clone(), now), None, "it is being told");
-    assert_eq!(turn.pending_announcement(&[a.clone(), b.clone()]), Some(1));
-    turn.confirm_announcement(1);
-    assert!(turn.record_order("a", now));
-    assert_eq!(turn.required_announcement(&[a.clone(), b.clone(), c.clone()], now), None);
-    // A box that came since is announced beside all others.
-    let with_new = turn.required_announcement(&["d".to_owned()], now).unwrap();
+    let window = OrderWindow::new(GAP, only([]), now);
+    let announcement = window.set_pre_announced(every.clone(), now).unwrap();
+    assert_eq!(announcement, every);
+    window.begin_announcement(1, announcement);
+    assert_eq!(window.set_pre_announced(every.clone(), now), None, "it is in flight");
+    assert_eq!(window.pending_announcement(&[a.clone(), b.clone()]), Some(1));
+    window.confirm_announcement(1);
+    assert!(window.record_order("a", now));
+    assert_eq!(window.required_announcement(&[a.clone(), b.clone(), c.clone()], now), None);
+    // A new box is announced together with all others.
+    let with_new = window.required_announcement(&["d".to_owned()], now).unwrap();
     assert!(with_new.is_superset(&every));
 
-    // The store is well again: what was ordered lately stays announced, the rest waits again.
-    let told = turn.set_pre_announced(HashSet::new(), now).unwrap();
-    assert_eq!(told, HashSet::from([a.clone()]));
-    turn.begin_announcement(2, told);
+    // The store is fast again: boxes ordered lately stay announced, the others need an announcement
+    // again.
+    let announcement = window.set_pre_announced(HashSet::new(), now).unwrap();
+    assert_eq!(announcement, HashSet::from([a.clone()]));
+    window.begin_announcement(2, announcement);
     assert!(
-        turn.required_announcement(from_ref(&b), now).is_some(),
-        "the store may know no longer"
+        window.required_announcement(from_ref(&b), now).is_some(),
+        "the store may no longer list it"
     );
-    assert_eq!(turn.required_announcement(&[a], now), None, "it knows either way");
-    turn.confirm_announcement(2);
-    assert!(turn.required_announcement(&[b], now).is_some());
+    assert_eq!(window.required_announcement(&[a], now), None, "the store lists it in either case");
+    window.confirm_announcement(2);
+    assert!(window.required_announcement(&[b], now).is_some());
 }
 
-/// An announcement without an answer may take effect at any time, and replaces the one before. Boxes of the one
-/// before went on being ordered, although a successor may read nothing of them.
+/// Guards against ordering boxes of a replaced announcement: an unanswered announcement may take
+/// effect at any time and replace the previous one, so a successor may not read the boxes of the
+/// previous one.
 #[test]
-fn boxes_of_an_announcement_that_is_being_replaced_are_announced_again() {
+fn boxes_of_a_replaced_announcement_are_announced_again() {
     let now = clock::now();
     let (a, b) = ("a".to_owned(), "b".to_owned());
-    let turn = OrderWindow::new(GAP, these([]), now);
-    turn.begin_announcement(1, HashSet::from([a.clone()]));
-    turn.confirm_announcement(1);
-    turn.begin_announcement(2, HashSet::from([b.clone()]));
-    assert!(turn.required_announcement(from_ref(&a), now).is_some());
-    // Neither is one known that an earlier answer is about.
-    turn.confirm_announcement(1);
-    assert!(turn.required_announcement(from_ref(&b), now).is_some());
-    turn.confirm_announcement(2);
-    assert!(turn.required_announcement(&[b], now).is_none());
-    assert!(turn.required_announcement(&[a], now).is_some());
+    let window = OrderWindow::new(GAP, only([]), now);
+    window.begin_announcement(1, HashSet::from([a.clone()]));
+    window.confirm_announcement(1);
+    window.begin_announcement(2, HashSet::from([b.clone()]));
+    assert!(window.required_announcement(from_ref(&a), now).is_some());
+    // An answer to an earlier announcement does not confirm a later one.
+    window.confirm_announcement(1);
+    assert!(window.required_announcement(from_ref(&b), now).is_some());
+    window.confirm_announcement(2);
+    assert!(window.required_announcement(&[b], now).is_none());
+    assert!(window.required_announcement(&[a], now).is_some());
 }
 
-/// Rounds of orders each 150 ms for 8 s, in each of which one more box is wanted; the store takes a write in 10 ms, and
-/// in `late` as long as a store 70 times slower, one at a time. Returns the longest time that a box waited.
-fn longest_wait(late: std::ops::Range<u64>, ahead: bool) -> u64 {
+/// Simulates rounds of orders every 150 ms for 8 s, each of which wants one more box. The store
+/// takes one write at a time, in 10 ms, or in 350 ms while in `slow_times`. Returns the longest time
+/// in milliseconds that a box waited.
+fn longest_wait(slow_times: std::ops::Range<u64>, in_advance: bool) -> u64 {
     const ROUND_MS: u64 = 150;
-    let begun = clock::now();
-    let at = |ms: u64| begun + Duration::from_millis(ms);
-    let turn = OrderWindow::new(GAP, these([]), begun);
+    let started_at = clock::now();
+    let at = |ms: u64| started_at + Duration::from_millis(ms);
+    let window = OrderWindow::new(GAP, only([]), started_at);
     let every: HashSet<String> = (0..60).map(|number| format!("m{number}")).collect();
-    let mut pace = StoreLatency::default();
-    // The last announcement that was made, the last one that the store knows, and the write under way: until when, and
-    // up to which announcement. What is announced meanwhile goes into the next write.
-    let (mut made, mut known, mut write) = (0, 0, None);
+    let mut latency = StoreLatency::default();
+    // The last announcement made, the last one confirmed by the store, and the write under way:
+    // until when, and up to which announcement. Announcements made meanwhile go into the next
+    // write.
+    let (mut last_started, mut last_confirmed, mut write_under_way) = (0, 0, None);
     let mut wanted: Vec<(u64, String)> = Vec::new();
     let mut longest = 0;
     for now in (0..9_000).step_by(10) {
-        if let Some((_, number)) = write.take_if(|(until, _)| *until <= now) {
-            known = number;
-            turn.confirm_announcement(number);
-            pace.finish_change(at(now));
+        if let Some((_, number)) = write_under_way.take_if(|(until, _)| *until <= now) {
+            last_confirmed = number;
+            window.confirm_announcement(number);
+            latency.finish_change(at(now));
         }
         if now % ROUND_MS == 0 && now < 8_000 {
             wanted.push((now, format!("m{}", now / ROUND_MS)));
-            let boxes = if ahead && pace.is_slow(at(now)) { every.clone() } else { HashSet::new() };
-            if let Some(all) = turn.set_pre_announced(boxes, at(now)) {
-                made += 1;
-                turn.begin_announcement(made, all);
+            let boxes =
+                if in_advance && latency.is_slow(at(now)) { every.clone() } else { HashSet::new() };
+            if let Some(all) = window.set_pre_announced(boxes, at(now)) {
+                last_started += 1;
+                window.begin_announcement(last_started, all);
             }
-            let targets: Vec<String> = wanted.iter().map(|(_, target)| target.clone()).collect();
-            let untold = turn.required_announcement(&targets, at(now));
-            if let Some(all) = untold.filter(|_| turn.pending_announcement(&targets).is_none()) {
-                made += 1;
-                turn.begin_announcement(made, all);
+            let ids: Vec<String> = wanted.iter().map(|(_, id)| id.clone()).collect();
+            let missing = window.required_announcement(&ids, at(now));
+            if let Some(all) = missing.filter(|_| window.pending_announcement(&ids).is_none()) {
+                last_started += 1;
+                window.begin_announcement(last_started, all);
             }
         }
-        if write.is_none() && made > known {
-            pace.start_change(at(now));
-            write = Some((now + if late.contains(&now) { 350 } else { 10 }, made));
+        if write_under_way.is_none() && last_started > last_confirmed {
+            latency.start_change(at(now));
+            write_under_way =
+                Some((now + if slow_times.contains(&now) { 350 } else { 10 }, last_started));
         }
-        wanted.retain(|(since, target)| {
-            let may_go =
-                turn.required_announcement(std::slice::from_ref(target), at(now)).is_none();
-            if may_go {
-                turn.record_order(target, at(now));
+        wanted.retain(|(since, id)| {
+            let may_order =
+                window.required_announcement(std::slice::from_ref(id), at(now)).is_none();
+            if may_order {
+                window.record_order(id, at(now));
                 longest = longest.max(now - since);
             }
-            !may_go
+            !may_order
         });
     }
     longest
 }
 
-/// The load of a rise beside a store that is slow from 2 s to 7 s: once all boxes are announced no order waits, so the
-/// longest wait is that of the first announcements. Without it each round waits for its own.
+/// A rise of load while the store is slow from 2 s to 7 s: once all boxes are announced no order
+/// waits, so the longest wait is that of the first announcements. Without announcing in advance
+/// each round waits for its own.
 #[test]
-fn in_a_rise_beside_a_slow_store_boxes_wait_for_the_first_announcements_only() {
+fn with_a_slow_store_boxes_wait_only_for_the_first_announcements() {
     assert!(longest_wait(0..0, true) <= 150);
     let (with, without) = (longest_wait(2_000..7_000, true), longest_wait(2_000..7_000, false));
     println!("longest wait {with} ms, {without} ms without");
--- a/lib/tests/test_wave.rs
+++ b/lib/tests/test_wave.rs
@@ -1,5 +1,5 @@
-//! The choice of steps agrees with the fold: every step chosen is permitted, in the order chosen,
-//! and when nothing more is chosen nothing more would be permitted.
+//! The planner's choice of steps agrees with the replicated state: every chosen step is permitted,
+//! in the order chosen, and when nothing more is chosen nothing more would be permitted.
 
 use std::collections::BTreeSet;
 
@@ -95,13 +95,13 @@
     #![proptest_config(ProptestConfig {
         cases: 300,
         failure_persistence: None,
-        // The same fleets each run: a verdict must not depend on luck.
+        // Fixed seed: the same fleets in each run, so that the result is reproducible.
         rng_seed: RngSeed::Fixed(20_261_202),
         ..ProptestConfig::default()
     })]
 
     #[test]
-    fn what_is_chosen_is_permitted_and_nothing_is_left(
+    fn chosen_steps_are_permitted_and_complete(
         boxes in 6usize..20,
         limits in (1u32..5, 1u32..4, 1u32..3),
         min_up in 0u32..2,
@@ -115,12 +115,12 @@
                 prop_assert!(site.apply(Body::Permit(claim(step))), "step {step} was chosen");
             }
             let width = site.plan().width_of("p");
-            let under_way = site.plan().steps.iter().filter(|s| s.progress.is_begun()).count();
+            let started_steps = site.plan().steps.iter().filter(|s| s.progress.is_begun()).count();
             for step in 0..site.plan().steps.len() as u32 {
                 let waiting = site.plan().steps[step as usize].progress == Progress::Waiting;
                 let mut other = Site { fleet: site.fleet.clone(), shapes: site.shapes.clone() };
                 let permitted = other.apply(Body::Permit(claim(step)));
-                let more = waiting && permitted && (under_way as u32) < width;
+                let more = waiting && permitted && (started_steps as u32) < width;
                 prop_assert!(!more, "step {step} could have begun");
             }
             let target = format!("box-{number}").into();
@@ -129,8 +129,8 @@
             } else {
                 site.apply(Body::Up(vec![target]));
             }
-            let begun = site.plan().steps.iter().position(|step| step.progress.is_begun());
-            if let Some(step) = begun {
+            let started = site.plan().steps.iter().position(|step| step.progress.is_begun());
+            if let Some(step) = started {
                 prop_assert!(site.apply(Body::Finish(claim(step as u32), Outcome::Done)));
             }
             if site.plan().phase.is_over() {
