--- a/lib/src/batch/worker.rs
+++ b/lib/src/batch/worker.rs
@@ -1,4 +1,4 @@
-//! A worker in the scheduler's memory: its room, its lease and what may run on it.
+//! A worker as the scheduler sees it: its free resources, its lease and what may run on it.
 
 mod allocation;
 mod incarnation;
@@ -30,94 +30,117 @@
 pub use crate::batch::worker::schedulable::Unschedulable;
 use crate::batch::worker::table::WorkerNumber;
 
-/// How long a look waits for an end; a lease is renewed at each look.
+/// How long a poll waits for an end; each poll renews the lease.
 pub const POLL_WAIT: Duration = Duration::from_millis(1_200);
-/// How long a lease is granted for, from each look on. Long enough for another node to take the
-/// lead and look in its turn (about 3 s), short enough that the tasks of a worker that has fallen
-/// silent are soon started elsewhere.
+/// How long a lease is granted for, counted from each poll. Long enough for another node to become
+/// leader and poll in turn (about 3 s), short enough that the tasks of an unresponsive worker are
+/// soon started elsewhere.
 pub const WORKER_LEASE: Duration = Duration::from_millis(5_500);
-/// Slowest pace of a worker's steady clock against ours; the platform says 2% slow.
+/// Lowest rate of a worker's monotonic clock relative to ours; the platform specifies up to 2%
+/// slow.
 const MIN_CLOCK_RATE: f64 = 0.98;
-/// Added to the end of a lease before what ran under it counts as gone.
+/// Added to the end of a lease before the runs under it are considered ended.
 const LEASE_SLACK: Duration = Duration::from_millis(100);
 
-/// A worker.
+/// A worker, as the scheduler sees it.
+///
+/// The states below are independent of each other unless a condition says otherwise.
+///
+/// | State | Condition |
+/// |---|---|
+/// | unpolled | this scheduler has no answer from it yet (`!has_token`) |
+/// | unresponsive | the last poll was not answered (`failed_polls > 0`) |
+/// | unreachable | no scheduler has had an answer for `unreachable_before`; kept in the store |
+/// | expired | all its leases have run out ([`Worker::expires_at`]) |
+/// | crash candidate | unresponsive and expired; it may have crashed, which is not yet certain |
+/// | recovering | it answers again, but the store still records it as unresponsive or unreachable |
+/// | ended | the incarnation is known to be over; the worker is removed |
+/// | listed | the store's worker topic has a current entry for it (`listed`) |
+/// | backing off | it gets nothing new until `backoff_until`, after failures |
+/// | cordoned | it is being emptied for maintenance or a move |
+/// | draining | its entry says that it is about to leave |
+/// | quarantined | a suspect task was just started on it |
 #[derive(Debug)]
 pub struct Worker {
-    /// Its number, by which the scheduler's carriers know it.
+    /// Its number, by which the scheduler's dispatchers know it.
     pub number: WorkerNumber,
-    /// Orders to it carry this after the scheduler's own number, and a later life's is higher: see [`token`].
+    /// Lower part of the fencing token of orders to it; see [`compose_token`].
     pub fence: WorkerNumber,
-    /// How it is called.
+    /// Where it is called.
     pub peer: Peer,
-    /// What it says of itself.
+    /// Its entry in the store.
     pub entry: Entry,
-    /// What is left of its room.
+    /// Resources that no allocation takes.
     pub free: Resources,
-    /// What of its slots does not end by itself.
+    /// Totals of the allocations of any class but [`Class::Batch`].
     pub long_running: LongRunningTotals,
-    /// What may run there. Slots are added and removed by [`Worker::insert`] and [`Worker::remove`], which keep the sums.
+    /// Runs that may be on it. [`Worker::insert`] and [`Worker::remove`] keep the totals up to
+    /// date.
     pub allocations: HashMap<TaskName, Allocation>,
-    /// Claims of runs that came and went since the table last took them in.
+    /// Claims added and removed since the table last applied them.
     pub(super) claim_changes: ClaimChanges,
-    /// The highest end that was taken into account.
+    /// Number of the highest end that the scheduler has applied.
     pub processed_end: u64,
-    /// The highest end whose effect the store knows of.
+    /// Number of the highest end whose effect is in the store.
     pub durable_end: u64,
-    /// The worker's clock, and when it was told.
+    /// The worker's clock, and when it was reported.
     pub clock: Option<(WorkerMs, Instant)>,
-    /// When it last answered a look or a start.
+    /// When it last answered a poll or a start.
     pub last_answer_at: Instant,
-    /// The latest end of a lease that was ever asked for.
+    /// The latest end of a lease that was ever requested, on the worker's clock.
     pub lease_until: WorkerMs,
-    /// It has seen this scheduler's token.
+    /// It has seen this scheduler's fencing token.
     pub has_token: bool,
-    /// Looks in a row without an answer.
+    /// Consecutive polls without an answer.
     pub failed_polls: u32,
-    /// When the first of them failed.
+    /// When the first of them failed; `None` if the last poll was answered.
     pub first_failed_at: Option<Instant>,
-    /// It gets nothing new until then.
+    /// It gets no new task until then.
     pub backoff_until: Instant,
-    /// Its entry in the store was replaced by one that no worker writes.
+    /// Its entry in the store was replaced by one that does not decode as a worker's.
     pub unusable: bool,
-    /// The store lists it.
+    /// The store's worker topic has a current entry for it.
     pub listed: bool,
-    /// The store may not list it for a while and it takes work all the same, until then: entries
-    /// that ran out while the store was away come back soon after it.
+    /// Until then it gets tasks although it is not listed: entries that expired while the store was
+    /// unavailable are rewritten soon after it is back.
     pub unlisted_grace_until: Option<Instant>,
-    /// It is being emptied for upkeep or a move.
+    /// It is being emptied for maintenance or a move.
     pub cordoned: bool,
-    /// Runs in a row that failed, of different tasks.
+    /// Consecutive failed runs of different tasks.
     pub failures: u32,
-    /// The job of a suspect task that was started there, and until when no other job's task is.
+    /// The job of a suspect task that was started there, and until when tasks of other jobs are
+    /// not.
     pub quarantine: Option<(JobId, Instant)>,
-    /// When it was met.
+    /// When this scheduler discovered it.
     pub discovered_at: Instant,
-    /// It was met when another node may already have claimed the lead.
+    /// It was discovered when another node may already have claimed the leader lease.
     pub fencing_uncertain: bool,
-    /// Its carrier was told to look more often.
+    /// Its dispatcher was reported_at to poll more often.
     pub fast_polling: bool,
-    /// Another carrier looks after it now, and has not heard from it yet.
+    /// It was handed over to another dispatcher, which has no answer from it yet.
     pub handed_over: bool,
-    /// A carrier that was given up may have extended its lease, but no further than to here.
+    /// Its lease is not assumed to have expired before this time: a dispatcher that was replaced
+    /// may have extended it until then. `None` if there is no such dispatcher.
     pub not_expired_before: Option<Instant>,
-    /// For how long earlier schedulers had not heard of it, and had granted it nothing.
+    /// For how long earlier schedulers had no answer from it and renewed no lease of it.
     pub unreachable_before: Duration,
-    /// For how long nobody has heard of it, as the store knows or is about to; zero if it has no record.
+    /// For how long it has been unreachable, as the store records or is about to; zero without a
+    /// record.
     pub recorded_unreachable: Duration,
-    /// Its leases are extended.
+    /// Polls renew its leases.
     pub renews_lease: bool,
-    /// The store has, or is about to have, a record that it fell silent.
+    /// The store records it as unresponsive, or is about to.
     pub recorded_unresponsive: bool,
-    /// It is heard of again, and the store does not know that yet.
+    /// It answers again, but the store does not record that yet.
     pub recovering: bool,
-    /// Another life had its id, so orders meant for that one may have been carried out here before this scheduler was
-    /// heard: starts, and leases as long as a worker grants.
+    /// An earlier incarnation had its id. Orders to that one may have been executed here before
+    /// this incarnation's first answer to this scheduler: starts, and leases as long as a worker
+    /// grants.
     pub is_later_incarnation: bool,
 }
 
 impl Worker {
-    /// A worker that has not been asked yet.
+    /// A worker that has not been polled yet.
     pub fn new(peer: Peer, entry: Entry, now: Instant) -> Worker {
         Worker {
             number: 0,
@@ -157,7 +180,7 @@
         }
     }
 
-    /// What the store is to keep of it.
+    /// What the store keeps of it.
     pub fn to_stored(&self) -> StoredWorker {
         let tasks = self
             .allocations
@@ -171,144 +194,149 @@
         }
     }
 
-    /// Whether it did not answer the last look, or has not answered any.
+    /// Whether it did not answer the last poll, or has not answered any.
     pub fn is_unresponsive(&self) -> bool {
         self.failed_polls > 0 || !self.has_token
     }
 
-    /// Whether it fell silent although nobody had ordered or announced that.
+    /// Whether it is unresponsive although it was neither draining nor cordoned.
     pub fn is_unexpectedly_unresponsive(&self) -> bool {
         self.failed_polls > 0 && !self.is_leaving()
     }
 
-    /// Between when and when it fell silent, as far as is known now.
+    /// The time within which it stopped answering, as far as is known now.
     pub fn outage(&self, now: Instant) -> Outage {
-        let missed_at = self.first_failed_at.unwrap_or(now).max(self.last_answer_at);
-        Outage { last_answer_at: self.last_answer_at, first_failed_at: missed_at }
+        let first_failed_at = self.first_failed_at.unwrap_or(now).max(self.last_answer_at);
+        Outage { last_answer_at: self.last_answer_at, first_failed_at }
     }
 
-    /// When it last answered a look.
+    /// When it last answered a poll; `None` if it has not.
     pub fn last_poll_answer_at(&self) -> Option<Instant> {
-        self.clock.map(|(_, told)| told)
+        self.clock.map(|(_, reported_at)| reported_at)
     }
 
-    /// A carrier that may have extended the lease until `last` is given up for another one.
+    /// Hands the worker over to another dispatcher. The previous one may have extended the lease
+    /// until `last`.
     pub fn hand_over(&mut self, last: Instant) {
         self.handed_over = true;
         self.fast_polling = false;
         self.record_possible_renewal(last, WORKER_LEASE);
     }
 
-    /// Orders may have extended the lease by so much until `last`, which its clock does not tell.
+    /// Records that orders may have extended the lease by `lease` until `last`, beyond what the
+    /// worker's clock has shown.
     pub fn record_possible_renewal(&mut self, last: Instant, lease: Duration) {
-        let lapsed = last + lease.div_f64(MIN_CLOCK_RATE) + LEASE_SLACK;
-        self.not_expired_before = self.not_expired_before.max(Some(lapsed));
+        let expiry = last + lease.div_f64(MIN_CLOCK_RATE) + LEASE_SLACK;
+        self.not_expired_before = self.not_expired_before.max(Some(expiry));
     }
 
-    /// When every lease that was asked for has run out for certain, if the worker hears nothing
-    /// more from anyone. An earlier scheduler asked for no longer leases than this one.
+    /// When every requested lease has certainly run out, if nobody reaches the worker any more. No
+    /// earlier scheduler requested longer leases than this one.
     pub fn expires_at(&self) -> Instant {
         let longest = |lease: Duration| lease.div_f64(MIN_CLOCK_RATE) + LEASE_SLACK;
-        let lapses_at = match self.clock {
-            Some((clock, told)) => {
-                told + longest(Duration::from_millis(self.lease_until.saturating_sub(clock)))
+        let expiry = match self.clock {
+            Some((clock, reported_at)) => {
+                reported_at + longest(Duration::from_millis(self.lease_until.saturating_sub(clock)))
             }
             None => {
                 self.discovered_at + longest(WORKER_LEASE).saturating_sub(self.unreachable_before)
             }
         };
-        self.not_expired_before.map_or(lapses_at, |after| after.max(lapses_at))
+        self.not_expired_before.map_or(expiry, |after| after.max(expiry))
     }
 
-    /// Whether it has said that it leaves, by its entry in the store.
+    /// Whether it is listed as draining.
     pub fn is_listed_draining(&self) -> bool {
         self.entry.draining && self.listed
     }
 
-    /// For how long nobody has heard of it by `now`, if it has not answered this scheduler.
+    /// For how long it has been unreachable by `now`, if it has not answered this scheduler.
     pub fn unreachable_for(&self, now: Instant) -> Duration {
         self.unreachable_before + now.saturating_duration_since(self.discovered_at)
     }
 
-    /// Whether its end is no surprise: it has said that it leaves, or is being emptied.
+    /// Whether it is draining or cordoned, so that its end is expected.
     pub fn is_leaving(&self) -> bool {
         self.entry.draining || self.cordoned
     }
 
-    /// For how long a run had been on it when it last answered. It may have gone on for longer.
-    pub fn observed_run_time(&self, slot: &Allocation) -> Duration {
-        self.last_answer_at.saturating_duration_since(slot.ordered_at)
+    /// How long a run had been on it when it last answered. The run may have gone on for longer.
+    pub fn observed_run_time(&self, allocation: &Allocation) -> Duration {
+        self.last_answer_at.saturating_duration_since(allocation.ordered_at)
     }
 
-    /// Adds a run and takes its room.
-    pub fn insert(&mut self, task: TaskName, slot: Allocation) {
-        self.free.cpu = self.free.cpu.saturating_sub(slot.resources.cpu);
-        self.free.memory_mb = self.free.memory_mb.saturating_sub(slot.resources.memory_mb);
-        self.free.gpu = self.free.gpu.saturating_sub(slot.resources.gpu);
-        if slot.class != Class::Batch {
+    /// Adds a run and takes its resources.
+    pub fn insert(&mut self, task: TaskName, allocation: Allocation) {
+        self.free.cpu = self.free.cpu.saturating_sub(allocation.resources.cpu);
+        self.free.memory_mb = self.free.memory_mb.saturating_sub(allocation.resources.memory_mb);
+        self.free.gpu = self.free.gpu.saturating_sub(allocation.resources.gpu);
+        if allocation.class != Class::Batch {
             self.long_running.tasks += 1;
-            self.long_running.cpu += slot.resources.cpu;
+            self.long_running.cpu += allocation.resources.cpu;
         }
-        self.claim_changes.added.extend(slot.claim.clone());
-        self.allocations.insert(task, slot);
+        self.claim_changes.added.extend(allocation.claim.clone());
+        self.allocations.insert(task, allocation);
     }
 
-    /// Whose a run is has become known, and what it takes.
+    /// Sets the resources, class and claim of a run whose job has become known.
     pub fn identify(
         &mut self,
         task: &TaskName,
-        room: Resources,
-        kind: Class,
+        resources: Resources,
+        class: Class,
         claim: Option<Claim>,
     ) {
-        let Some(slot) = self.allocations.get_mut(task) else { return };
-        self.claim_changes.removed.extend(slot.claim.take());
+        let Some(allocation) = self.allocations.get_mut(task) else { return };
+        self.claim_changes.removed.extend(allocation.claim.take());
         self.claim_changes.added.extend(claim.clone());
-        (slot.resources, slot.class, slot.claim) = (room, kind, claim);
+        (allocation.resources, allocation.class, allocation.claim) = (resources, class, claim);
         self.recompute_free();
     }
 
-    /// Removes a run that is known to be gone.
+    /// Removes a run that is known to have ended or never to have started.
     pub fn remove(&mut self, task: &TaskName) -> Option<Allocation> {
-        let slot = self.allocations.remove(task)?;
-        self.claim_changes.removed.extend(slot.claim.clone());
+        let allocation = self.allocations.remove(task)?;
+        self.claim_changes.removed.extend(allocation.claim.clone());
         self.recompute_free();
-        Some(slot)
+        Some(allocation)
     }
 
-    /// Takes over a changed entry.
+    /// Applies a changed entry.
     pub fn update(&mut self, entry: Entry) {
         self.entry = entry;
         self.unusable = false;
         if !self.listed {
-            // It was emptied as one that leaves, and stays after all.
+            // It was cordoned because it was about to leave, and stays after all.
             self.cordoned = false;
         }
         self.listed = true;
         self.recompute_free();
     }
 
-    /// Works out what is left of its room.
+    /// Computes the free resources and the totals from the allocations.
     pub fn recompute_free(&mut self) {
         let mut free = self.entry.capacity;
         self.long_running = LongRunningTotals::default();
-        for slot in self.allocations.values() {
-            if slot.class != Class::Batch {
+        for allocation in self.allocations.values() {
+            if allocation.class != Class::Batch {
                 self.long_running.tasks += 1;
-                self.long_running.cpu += slot.resources.cpu;
+                self.long_running.cpu += allocation.resources.cpu;
             }
-            free.cpu = free.cpu.saturating_sub(slot.resources.cpu);
-            free.memory_mb = free.memory_mb.saturating_sub(slot.resources.memory_mb);
-            free.gpu = free.gpu.saturating_sub(slot.resources.gpu);
+            free.cpu = free.cpu.saturating_sub(allocation.resources.cpu);
+            free.memory_mb = free.memory_mb.saturating_sub(allocation.resources.memory_mb);
+            free.gpu = free.gpu.saturating_sub(allocation.resources.gpu);
         }
         self.free = free;
     }
 
-    /// Whether tasks that serve users stand beside tasks that take leftovers.
+    /// Whether a service task and a best-effort task share the worker.
     pub fn has_service_beside_best_effort(&self) -> bool {
-        let mut kinds = self.allocations.values().map(|slot| slot.class);
-        kinds.any(|kind| kind == Class::BestEffort)
-            && self.allocations.values().any(|slot| matches!(slot.class, Class::Service(_)))
+        let mut classes = self.allocations.values().map(|allocation| allocation.class);
+        classes.any(|class| class == Class::BestEffort)
+            && self
+                .allocations
+                .values()
+                .any(|allocation| matches!(allocation.class, Class::Service(_)))
     }
 
     /// How many tasks of a step, in one repetition, may run there.
--- a/lib/src/batch/worker/allocation.rs
+++ b/lib/src/batch/worker/allocation.rs
@@ -1,4 +1,4 @@
-//! What may run on a worker.
+//! Runs that may be on a worker, with the resources they take.
 
 use std::time::Instant;
 
@@ -7,72 +7,79 @@
 
 use crate::batch::usage::Claim;
 
-/// How sure it is that a run is on the worker.
+/// How certain it is that a run is on the worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
-    /// The order to start is on its way.
+    /// The order to start has been sent and not been answered.
     Starting,
-    /// The worker has taken it; since when that is known.
+    /// The worker has confirmed it; since when that is known.
     Live(Instant),
-    /// It is being stopped; since when the worker is known to have taken the stop.
+    /// It is being stopped; when the worker confirmed the stop, `None` if it has not.
     Stopping(Option<Instant>),
 }
 
-/// A run that may be on the worker. Its room counts until it is known to be gone.
+/// A run that may be on the worker. It takes resources until it is known to have ended or
+/// never to have started.
 #[derive(Clone, Debug)]
 pub struct Allocation {
-    /// Its number.
+    /// Its run number.
     pub run: Run,
-    /// How sure it is there.
+    /// How certain it is that it is there.
     pub phase: Phase,
-    /// The worker is known to have taken it.
+    /// The worker has confirmed it.
     pub confirmed: bool,
-    /// It was found on the worker, so it may be older than `since` says.
+    /// It was found on the worker, so it may be older than `ordered_at` says.
     pub adopted: bool,
-    /// What it takes.
+    /// Resources it takes.
     pub resources: Resources,
-    /// When it was ordered.
+    /// When it was ordered to start, or found.
     pub ordered_at: Instant,
-    /// How far it is, in hundredths.
+    /// Its progress, in percent.
     pub percent: u32,
     /// When `percent` last rose.
     pub progressed_at: Instant,
-    /// Where it could go on from elsewhere.
+    /// The checkpoint from which another run could resume; empty if there is none.
     pub checkpoint: String,
-    /// Processor in use, or tail of answer times in milliseconds.
+    /// For a service task, the tail latency in milliseconds; for others, the processor in use.
     pub figure: u64,
-    /// When `pace` was last set.
+    /// When `pace` was last set; `None` if it never was.
     pub paced_at: Option<Instant>,
-    /// Share of its speed it is let work at, in hundredths.
+    /// Its permitted speed, in percent.
     pub pace: u32,
-    /// The task serves users, takes leftovers, or neither.
+    /// Workload class of the task.
     pub class: Class,
-    /// What it counts for, and for whom; none while its job is not known.
+    /// Its quota usage and account; `None` while its job is unknown.
     pub claim: Option<Claim>,
 }
 
-/// What kind of neighbour a task is.
+/// Workload class of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// It serves users of its own under a limit of the tail, in milliseconds.
+    /// It serves users, and its tail latency should stay under this limit, in milliseconds.
     Service(u64),
-    /// It takes what others leave unused.
+    /// It is best-effort: it uses only processor time that others leave unused.
     BestEffort,
-    /// It ends by itself.
+    /// It finishes by itself.
     Batch,
-    /// It runs until it is cancelled, without a limit of its own.
+    /// It runs until it is cancelled, and has no latency limit.
     LongRunning,
 }
 
 impl Allocation {
-    /// A run that has just been ordered or found.
-    pub fn new(run: Run, phase: Phase, room: Resources, kind: Class, now: Instant) -> Allocation {
+    /// A run that has just been ordered or found, without claim, progress or checkpoint.
+    pub fn new(
+        run: Run,
+        phase: Phase,
+        resources: Resources,
+        class: Class,
+        now: Instant,
+    ) -> Allocation {
         Allocation {
             run,
             phase,
             confirmed: false,
             adopted: false,
-            resources: room,
+            resources,
             ordered_at: now,
             percent: 0,
             progressed_at: now,
@@ -80,22 +87,22 @@
             figure: 0,
             paced_at: None,
             pace: 100,
-            class: kind,
+            class,
             claim: None,
         }
     }
 }
 
-/// Tasks that do not end by themselves.
+/// Totals of the tasks of any class but [`Class::Batch`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LongRunningTotals {
-    /// How many.
+    /// Number of tasks.
     pub tasks: u32,
-    /// What they take, in thousandths of a core.
+    /// Processor they take, in thousandths of a core.
     pub cpu: u32,
 }
 
-/// Claims of runs that came and went.
+/// Claims of runs that were added and removed.
 #[derive(Clone, Debug, Default)]
 pub(in crate::batch) struct ClaimChanges {
     pub(in crate::batch) added: Vec<Claim>,
--- a/lib/src/batch/worker/incarnation.rs
+++ b/lib/src/batch/worker/incarnation.rs
@@ -1,4 +1,4 @@
-//! How the lives of a worker are told apart.
+//! Distinguishes incarnations of a worker, by their clocks and by fencing tokens.
 
 use std::time::Duration;
 
@@ -8,13 +8,14 @@
 use crate::batch::worker::MIN_CLOCK_RATE;
 use crate::batch::worker::table::WorkerNumber;
 
-/// How many bits of a [`Token`] tell the lives apart that one scheduler has met.
+/// How many bits of a [`Token`] distinguish the incarnations that one scheduler has discovered.
 const INCARNATION_BITS: u32 = 20;
 
-/// By how much two answers' clocks may seem apart since the answers were on their way.
+/// Tolerance when comparing the clocks in two answers, for the time the answers were in transit.
 const TRANSIT_SLACK: Duration = Duration::from_millis(1_000);
 
-/// Whether a clock that showed `last` cannot show `clock` so much later: another life has answered.
+/// Whether a clock that showed `last` cannot show `clock` after `passed`, so that another
+/// incarnation has answered.
 ///
 /// ```
 /// use std::time::Duration;
@@ -32,12 +33,13 @@
     clock > latest || clock + slack < earliest
 }
 
-/// What a worker is to know a scheduler by: higher with each scheduler, and with each life that it meets.
+/// The fencing token of orders to a worker: higher for each scheduler, and for each incarnation
+/// that it discovers.
 ///
-/// A later life of a worker has seen no token, no stop and no acknowledgement. An order that was meant for the life before
-/// and is carried out late would do there what it was to do then: start a task that has been started elsewhere since, extend
-/// a lease, or acknowledge ends that nobody has heard of. With a number of its own for each life, the first look at the later
-/// one bars all of them.
+/// A later incarnation of a worker has seen no token, no stop and no acknowledgement. A delayed
+/// order for the previous incarnation would take effect there: start a task that has been started
+/// elsewhere since, extend a lease, or acknowledge ends that nobody has received. As each
+/// incarnation has its own number, the first poll of the later one makes it reject all of them.
 ///
 /// ```
 /// use spokelift_lib::batch::worker::compose_token;
--- a/lib/src/batch/worker/schedulable.rs
+++ b/lib/src/batch/worker/schedulable.rs
@@ -1,4 +1,4 @@
-//! Whether a worker takes work, and why not.
+//! Whether a worker gets new tasks, and why not.
 
 use std::time::Instant;
 
@@ -9,46 +9,47 @@
 use crate::batch::worker::Phase;
 use crate::batch::worker::Worker;
 
-/// Why a worker is given nothing new.
+/// Why a worker gets no new task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Unschedulable {
     /// It has not answered this scheduler yet.
     #[error("not asked yet")]
     Unpolled,
-    /// The store does not list it.
+    /// The store's worker topic has no current entry for it.
     #[error("not listed")]
     NotListed,
-    /// Another carrier looks after it now, and has not heard from it yet.
+    /// It was handed over to another dispatcher, which has no answer from it yet.
     #[error("handed over")]
     HandedOver,
-    /// Its entry in the store is none that a worker writes.
+    /// Its entry in the store does not decode as a worker's.
     #[error("unusable entry")]
     InvalidEntry,
     /// It is about to leave.
     #[error("draining")]
     Draining,
-    /// It was met so long after the lead was last renewed that a later scheduler may not know it, and
-    /// so would not have told it to refuse this one.
+    /// It was discovered so long after the last renewal of the leader lease that a later scheduler
+    /// may not know it. Such a scheduler would not have fenced this one on it.
     #[error("unknown to a later scheduler")]
     FencingUncertain,
-    /// It is being emptied for upkeep or a move.
+    /// It is being emptied for maintenance or a move.
     #[error("cordoned")]
     Cordoned,
-    /// It did not answer the last look.
+    /// It did not answer the last poll, or the store still records it as unresponsive or
+    /// unreachable.
     #[error("silent")]
     Unresponsive,
-    /// It failed lately.
+    /// It failed recently.
     #[error("resting")]
     BackingOff,
-    /// A task that may bring it down has just been started there.
+    /// A task that may crash it was just started there.
     #[error("quarantined for a suspect task")]
     Quarantined,
 }
 
-/// What a worker has too little of for a task.
+/// The resource of which a worker has too little for a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Shortage {
-    /// It has not answered, so what runs there is not known.
+    /// It has not answered, so its running tasks are unknown.
     #[error("not known")]
     Unknown,
     /// Processor.
@@ -63,7 +64,7 @@
 }
 
 impl Worker {
-    /// Why it may not be given new tasks; `None` if it may.
+    /// Why it gets no new task; `None` if it does.
     pub fn unschedulable(&self, now: Instant) -> Option<Unschedulable> {
         match self {
             worker if !worker.has_token => Some(Unschedulable::Unpolled),
@@ -84,10 +85,10 @@
         }
     }
 
-    /// Whether it takes work but for what passes by itself with time: a rest, or that the store does not
-    /// list it for a while.
+    /// Whether it gets new tasks, apart from conditions that pass with time: a backoff, a
+    /// quarantine, or that the store does not list it for a while.
     pub fn is_eligible(&self) -> bool {
-        let closed = !self.has_token
+        let ineligible = !self.has_token
             || self.fencing_uncertain
             || self.unusable
             || self.handed_over
@@ -95,36 +96,36 @@
             || self.cordoned
             || self.failed_polls > 0
             || self.recovering;
-        !closed
+        !ineligible
     }
 
-    /// Whether it may pass to another carrier that is no worse: it answers the one that it has, and no
-    /// order to it is open.
+    /// Whether it may be handed over to another dispatcher that is no better: it answers its
+    /// current dispatcher, and no order to it is pending.
     pub fn can_change_dispatcher(&self) -> bool {
-        let is_live = |slot: &Allocation| matches!(slot.phase, Phase::Live(_));
+        let is_live = |allocation: &Allocation| matches!(allocation.phase, Phase::Live(_));
         self.has_token
             && !self.handed_over
             && self.failed_polls == 0
             && self.allocations.values().all(is_live)
     }
 
-    /// Whether the store does not list it, and has had the time to list it again. It has left or
-    /// is about to.
+    /// Whether the store does not list it, and has had the time to list it again. It has left or is
+    /// about to.
     pub fn is_delisted(&self, now: Instant) -> bool {
         !self.listed && self.unlisted_grace_until.is_none_or(|until| until <= now)
     }
 
-    /// Whether it may be given new tasks.
+    /// Whether it gets new tasks.
     pub fn is_schedulable(&self, now: Instant) -> bool {
         self.unschedulable(now).is_none()
     }
 
-    /// Whether a task of this size fits beside what may run there.
+    /// Whether a task that needs these resources fits beside what may run there.
     pub fn fits(&self, need: Resources) -> bool {
         self.shortage(need).is_none()
     }
 
-    /// What there is too little of for a task of this size; `None` if it fits.
+    /// The resource that is too small for a task that needs these; `None` if it fits.
     pub fn shortage(&self, need: Resources) -> Option<Shortage> {
         match self.free {
             _ if self.clock.is_none() => Some(Shortage::Unknown),
--- a/lib/src/batch/worker/table.rs
+++ b/lib/src/batch/worker/table.rs
@@ -1,11 +1,12 @@
-//! All workers, with indexes that are kept up as each of them changes.
+//! All workers, with indexes that follow each change.
 //!
-//! A scheduler of a large site starts thousands of tasks a second among a thousand workers and more. What
-//! is asked for each task (a worker with room, another life on the same box, ends the store does not know
-//! of) is therefore looked up, never searched for among all workers.
+//! A scheduler of a large cluster starts thousands of tasks a second on a thousand workers or more.
+//! What each task needs (a worker with free resources, another incarnation on the same box, ends
+//! that are not in the store) is therefore looked up in an index, never searched for among all
+//! workers.
 //!
-//! Invariant: the indexes say of each worker what [`IndexedState::of`] says. A worker is changed only through
-//! a [`Handle`], which brings them up to date as it is dropped.
+//! Invariant: the indexes hold for each worker what [`IndexedState::of`] returns. A worker is
+//! changed only through a [`Handle`], which updates the indexes when it is dropped.
 
 mod index;
 
@@ -29,29 +30,30 @@
 use crate::batch::worker::table::index::IndexedState;
 use crate::batch::worker::table::index::Service;
 
-/// Number of a worker in the order in which a scheduler met them; no two lives share one.
+/// Number of a worker in the order in which a scheduler discovered them; unique to an incarnation.
 pub type WorkerNumber = u64;
 
 /// All workers.
 #[derive(Default)]
 pub struct Table {
     numbers: HashMap<Incarnation, WorkerNumber>,
-    /// The lives known of each id. There are several while it is not known which of them lives.
+    /// The known incarnations of each id. There are several while it is not certain which of them
+    /// is current.
     incarnations: HashMap<WorkerId, Incarnations>,
     workers: BTreeMap<WorkerNumber, Worker>,
     last_number: WorkerNumber,
     index: Index,
 }
 
-/// The lives known of an id.
+/// The known incarnations of an id.
 #[derive(Default)]
 struct Incarnations {
     numbers: BTreeSet<WorkerNumber>,
-    /// The highest fence that any life of the id was given, also one that is not known any more.
+    /// The highest fence that any incarnation of the id was given, including forgotten ones.
     fence: WorkerNumber,
 }
 
-/// A worker that may be changed. The indexes follow as it is dropped.
+/// Mutable access to a worker. The indexes are updated when it is dropped.
 pub struct Handle<'a> {
     worker: &'a mut Worker,
     index: &'a mut Index,
@@ -96,44 +98,45 @@
         self.workers.is_empty()
     }
 
-    /// Whether a life is known.
-    pub fn contains_key(&self, life: &Incarnation) -> bool {
-        self.numbers.contains_key(life)
+    /// Whether an incarnation is known.
+    pub fn contains_key(&self, incarnation: &Incarnation) -> bool {
+        self.numbers.contains_key(incarnation)
     }
 
-    /// A worker.
-    pub fn get(&self, life: &Incarnation) -> Option<&Worker> {
-        self.workers.get(self.numbers.get(life)?)
+    /// The worker with an incarnation; `None` if it is not known.
+    pub fn get(&self, incarnation: &Incarnation) -> Option<&Worker> {
+        self.workers.get(self.numbers.get(incarnation)?)
     }
 
-    /// The life of the worker with a number.
+    /// The incarnation of the worker with a number; `None` if it is not known.
     pub fn incarnation_of(&self, number: WorkerNumber) -> Option<&Incarnation> {
         self.workers.get(&number).map(|worker| &worker.peer.incarnation)
     }
 
-    /// All lives known of an id, in the order in which they were met.
+    /// All known incarnations of an id, in the order in which they were discovered.
     pub fn incarnations(&self, id: &str) -> impl DoubleEndedIterator<Item = &Worker> {
-        let numbers = self.incarnations.get(id).into_iter().flat_map(|lives| &lives.numbers);
+        let numbers =
+            self.incarnations.get(id).into_iter().flat_map(|incarnations| &incarnations.numbers);
         numbers.filter_map(|number| self.workers.get(number))
     }
 
-    /// The life that an id has now, as far as is known: the last one that was met.
+    /// The current incarnation of an id as far as is known: the last one that was discovered.
     pub fn current(&self, id: &str) -> Option<&Worker> {
         self.incarnations(id).next_back()
     }
 
-    /// The highest fence that any life of an id was given, as long as one is known.
+    /// The highest fence that any incarnation of an id was given; 0 if none is known.
     pub fn fence_of(&self, id: &str) -> WorkerNumber {
-        self.incarnations.get(id).map_or(0, |lives| lives.fence)
+        self.incarnations.get(id).map_or(0, |incarnations| incarnations.fence)
     }
 
-    /// Gives a worker a fence above those of all others so far.
-    pub fn raise_fence(&mut self, life: &Incarnation) {
+    /// Gives a worker a fence above all that were given before.
+    pub fn raise_fence(&mut self, incarnation: &Incarnation) {
         let fence = self.next_number();
-        if let Some(lives) = self.incarnations.get_mut(&life.id) {
-            lives.fence = fence;
+        if let Some(incarnations) = self.incarnations.get_mut(&incarnation.id) {
+            incarnations.fence = fence;
         }
-        if let Some(mut worker) = self.get_mut(life) {
+        if let Some(mut worker) = self.get_mut(incarnation) {
             worker.fence = fence;
         }
     }
@@ -143,9 +146,9 @@
         self.last_number
     }
 
-    /// A worker that is to be changed.
-    pub fn get_mut(&mut self, life: &Incarnation) -> Option<Handle<'_>> {
-        let number = *self.numbers.get(life)?;
+    /// Mutable access to a worker; `None` if it is not known.
+    pub fn get_mut(&mut self, incarnation: &Incarnation) -> Option<Handle<'_>> {
+        let number = *self.numbers.get(incarnation)?;
         self.handle(number)
     }
 
@@ -163,42 +166,42 @@
         }
     }
 
-    /// All workers, in the order in which they were met.
+    /// All workers, in the order in which they were discovered.
     pub fn values(&self) -> impl Iterator<Item = &Worker> {
         self.workers.values()
     }
 
-    /// All lives, in no order.
+    /// All incarnations, in arbitrary order.
     pub fn keys(&self) -> impl Iterator<Item = &Incarnation> {
         self.numbers.keys()
     }
 
-    /// Adds a worker that is not known.
+    /// Adds a worker, under a new number and fence.
     pub fn insert(&mut self, worker: Worker) {
-        let life = worker.peer.incarnation.clone();
-        self.remove(&life);
+        let incarnation = worker.peer.incarnation.clone();
+        self.remove(&incarnation);
         let number = self.next_number();
-        let claims = ClaimChanges::default();
-        let worker = Worker { number, fence: number, claim_changes: claims, ..worker };
+        let claim_changes = ClaimChanges::default();
+        let worker = Worker { number, fence: number, claim_changes, ..worker };
         self.index.add_claims(&worker);
-        let standing = IndexedState::of(&worker);
-        self.index.insert(self.last_number, &worker, &standing);
+        let state = IndexedState::of(&worker);
+        self.index.insert(self.last_number, &worker, &state);
         self.index.insert_on_box(self.last_number, &worker);
-        self.index.has_freed |= standing.eligible;
-        let lives = self.incarnations.entry(life.id.clone()).or_default();
-        lives.numbers.insert(number);
-        lives.fence = number;
-        self.numbers.insert(life, self.last_number);
+        self.index.has_freed |= state.eligible;
+        let incarnations = self.incarnations.entry(incarnation.id.clone()).or_default();
+        incarnations.numbers.insert(number);
+        incarnations.fence = number;
+        self.numbers.insert(incarnation, self.last_number);
         self.workers.insert(self.last_number, worker);
     }
 
     /// Removes a worker.
-    pub fn remove(&mut self, life: &Incarnation) -> Option<Worker> {
-        let number = self.numbers.remove(life)?;
-        if let Some(lives) = self.incarnations.get_mut(&life.id) {
-            lives.numbers.remove(&number);
-            if lives.numbers.is_empty() {
-                self.incarnations.remove(&life.id);
+    pub fn remove(&mut self, incarnation: &Incarnation) -> Option<Worker> {
+        let number = self.numbers.remove(incarnation)?;
+        if let Some(incarnations) = self.incarnations.get_mut(&incarnation.id) {
+            incarnations.numbers.remove(&number);
+            if incarnations.numbers.is_empty() {
+                self.incarnations.remove(&incarnation.id);
             }
         }
         let worker = self.workers.remove(&number)?;
@@ -208,9 +211,9 @@
         Some(worker)
     }
 
-    /// Takes over the changed entry of a worker; `false` if it is not known.
-    pub fn update(&mut self, life: &Incarnation, entry: Entry) -> bool {
-        let Some(number) = self.numbers.get(life).copied() else { return false };
+    /// Applies a changed entry of a worker; `false` if the worker is not known.
+    pub fn update(&mut self, incarnation: &Incarnation, entry: Entry) -> bool {
+        let Some(number) = self.numbers.get(incarnation).copied() else { return false };
         let Some(worker) = self.workers.get_mut(&number) else { return false };
         let before = IndexedState::of(worker);
         self.index.remove(number, worker, &before);
@@ -219,7 +222,7 @@
         let after = IndexedState::of(worker);
         self.index.insert(number, worker, &after);
         self.index.insert_on_box(number, worker);
-        // It may only now be listed again, which its standing does not say.
+        // It may only now be listed again, which its indexed state does not show.
         self.index.has_freed |= after.eligible;
         true
     }
@@ -230,69 +233,70 @@
         members.into_iter().flatten().filter_map(|number| self.workers.get(number))
     }
 
-    /// The workers of a service that are open, as [`Worker::is_open`] says, and have so much processor
-    /// left: those with the least left first.
+    /// The workers of a service that are eligible (see [`Worker::is_eligible`]) and have at least
+    /// so much free processor, in thousandths of a core: those with the least first.
     pub fn eligible_with(
         &self,
         service: &str,
         cpu: u32,
     ) -> impl DoubleEndedIterator<Item = &Worker> {
-        let open = self.index.services.get(service).map(|service| &service.eligible);
-        self.with_free(open, cpu)
+        let eligible = self.index.services.get(service).map(|service| &service.eligible);
+        self.with_free(eligible, cpu)
     }
 
-    /// The same on one rack.
+    /// The same, on one rack only.
     pub fn eligible_on_rack(
         &self,
         service: &str,
         rack: &str,
         cpu: u32,
     ) -> impl DoubleEndedIterator<Item = &Worker> {
-        let open = self.index.services.get(service).and_then(|service| service.racks.get(rack));
-        self.with_free(open, cpu)
+        let eligible = self.index.services.get(service).and_then(|service| service.racks.get(rack));
+        self.with_free(eligible, cpu)
     }
 
     fn with_free<'a>(
         &'a self,
-        open: Option<&'a ByFree>,
+        eligible: Option<&'a ByFree>,
         cpu: u32,
     ) -> impl DoubleEndedIterator<Item = &'a Worker> {
-        let open = open.into_iter().flat_map(move |open| open.range((cpu, 0)..));
-        open.filter_map(|(_, number)| self.workers.get(number))
+        let eligible = eligible.into_iter().flat_map(move |eligible| eligible.range((cpu, 0)..));
+        eligible.filter_map(|(_, number)| self.workers.get(number))
     }
 
-    /// The workers that live on a box, as far as they say so.
+    /// The workers on a box, as far as their entries name one.
     pub fn on_box(&self, name: &str) -> impl Iterator<Item = &Worker> {
-        let lives = self.index.boxes.get(name);
-        lives.into_iter().flatten().filter_map(|number| self.workers.get(number))
+        let incarnations = self.index.boxes.get(name);
+        incarnations.into_iter().flatten().filter_map(|number| self.workers.get(number))
     }
 
-    /// The room of all workers.
+    /// The capacity of all workers.
     pub fn capacity(&self) -> Usage {
         self.index.capacity
     }
 
-    /// What accounts may have running, over all workers.
+    /// What each account may have running, over all workers.
     pub fn totals(&self) -> &Totals {
         &self.index.totals
     }
 
-    /// Workers with ends that the store does not know of.
+    /// Workers with ends whose effect is not in the store.
     pub fn with_pending_ends(&self) -> impl Iterator<Item = &Worker> {
         self.index.with_pending_ends.iter().filter_map(|number| self.workers.get(number))
     }
 
-    /// Workers that are heard of again, which the store does not know.
+    /// Workers that answer again, which the store does not record yet.
     pub fn recovering(&self) -> impl Iterator<Item = &Worker> {
         self.index.recovering.iter().filter_map(|number| self.workers.get(number))
     }
 
-    /// Whether a worker has got more room, or takes work again, since the last time this was asked.
+    /// Whether more resources have become free, or a worker eligible again, since the last call.
     pub fn take_freed(&mut self) -> bool {
         std::mem::take(&mut self.index.has_freed)
     }
 
-    /// Compares the indexes with what a look at every worker gives; the differences in words.
+    /// Compares the indexes with ones built from all workers; returns a message for each
+    /// difference.
     pub fn faults(&self) -> Vec<String> {
         let mut counted = Index::default();
         for (number, worker) in &self.workers {
@@ -306,24 +310,27 @@
                 faults.push(format!("{what} differ from a full count"));
             }
         };
-        compare("room", counted.capacity == self.index.capacity);
+        compare("capacities", counted.capacity == self.index.capacity);
         compare("totals of accounts", counted.totals == self.index.totals);
         compare("boxes", counted.boxes == self.index.boxes);
-        compare("unsaid ends", counted.with_pending_ends == self.index.with_pending_ends);
-        compare("reopening workers", counted.recovering == self.index.recovering);
-        let mut lives: HashMap<WorkerId, BTreeSet<WorkerNumber>> = HashMap::new();
-        for (life, number) in &self.numbers {
-            lives.entry(life.id.clone()).or_default().insert(*number);
+        compare("pending ends", counted.with_pending_ends == self.index.with_pending_ends);
+        compare("recovering workers", counted.recovering == self.index.recovering);
+        let mut incarnations: HashMap<WorkerId, BTreeSet<WorkerNumber>> = HashMap::new();
+        for (incarnation, number) in &self.numbers {
+            incarnations.entry(incarnation.id.clone()).or_default().insert(*number);
         }
-        let kept = self.incarnations.iter().map(|(id, lives)| (id.clone(), lives.numbers.clone()));
-        compare("lives", lives == kept.collect());
+        let kept = self
+            .incarnations
+            .iter()
+            .map(|(id, incarnations)| (id.clone(), incarnations.numbers.clone()));
+        compare("incarnations", incarnations == kept.collect());
         let none = Service::default();
         let names = self.index.services.keys().chain(counted.services.keys());
         for name in names {
             let kept = self.index.services.get(name).unwrap_or(&none);
             let counted = counted.services.get(name).unwrap_or(&none);
             compare("members", kept.members == counted.members);
-            compare("open workers", kept.eligible == counted.eligible);
+            compare("eligible workers", kept.eligible == counted.eligible);
             let on_racks = |service: &Service| -> BTreeSet<(u32, WorkerNumber)> {
                 service.racks.values().flatten().copied().collect()
             };
@@ -336,7 +343,7 @@
 impl IndexById<&str> for Table {
     type Output = Worker;
 
-    /// The life that an id has now.
+    /// The current incarnation of an id.
     fn index(&self, id: &str) -> &Worker {
         self.current(id).expect("the worker is known")
     }
@@ -345,7 +352,7 @@
 impl IndexById<&Incarnation> for Table {
     type Output = Worker;
 
-    fn index(&self, life: &Incarnation) -> &Worker {
-        self.get(life).expect("the worker is known")
+    fn index(&self, incarnation: &Incarnation) -> &Worker {
+        self.get(incarnation).expect("the worker is known")
     }
 }
--- a/lib/src/batch/worker/table/index.rs
+++ b/lib/src/batch/worker/table/index.rs
@@ -1,4 +1,4 @@
-//! Workers by what is asked for each task, kept up as they change.
+//! Indexes of workers by what placing a task needs, updated as workers change.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -11,22 +11,22 @@
 use crate::batch::worker::Worker;
 use crate::batch::worker::table::WorkerNumber;
 
-/// Workers by the processor that is left on them, in thousandths of a core.
+/// Workers by their free processor, in thousandths of a core.
 pub(super) type ByFree = BTreeSet<(u32, WorkerNumber)>;
 
 #[derive(Default)]
 pub(super) struct Index {
     pub(super) services: HashMap<String, Service>,
     pub(super) boxes: HashMap<MachineId, BTreeSet<WorkerNumber>>,
-    /// Workers with ends that the store does not know of.
+    /// Workers with ends whose effect is not in the store.
     pub(super) with_pending_ends: BTreeSet<WorkerNumber>,
-    /// Workers that are heard of again, which the store does not know.
+    /// Workers that answer again, which the store does not record yet.
     pub(super) recovering: BTreeSet<WorkerNumber>,
-    /// What accounts may have running, over all workers.
+    /// What each account may have running, over all workers.
     pub(super) totals: Totals,
-    /// The room of all workers.
+    /// The capacity of all workers.
     pub(super) capacity: Usage,
-    /// A worker has got more room, or takes work again.
+    /// More resources have become free, or a worker has become eligible again.
     pub(super) has_freed: bool,
 }
 
@@ -34,13 +34,13 @@
 #[derive(Default)]
 pub(super) struct Service {
     pub(super) members: BTreeSet<WorkerNumber>,
-    /// Those that are not closed, but for a time.
+    /// Those for which [`Worker::is_eligible`] is true.
     pub(super) eligible: ByFree,
-    /// The same by rack.
+    /// The eligible ones by rack.
     pub(super) racks: HashMap<String, ByFree>,
 }
 
-/// What the indexes say of a worker.
+/// The state of a worker by which it is indexed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct IndexedState {
     pub(super) eligible: bool,
@@ -69,54 +69,44 @@
 }
 
 impl Index {
-    pub(super) fn insert(
-        &mut self,
-        number: WorkerNumber,
-        worker: &Worker,
-        standing: &IndexedState,
-    ) {
+    pub(super) fn insert(&mut self, number: WorkerNumber, worker: &Worker, state: &IndexedState) {
         let service = self.services.entry(worker.entry.service.clone()).or_default();
         service.members.insert(number);
         self.capacity = self.capacity.plus(worker.entry.capacity.into());
-        if standing.eligible {
-            let place = (standing.free.cpu, number);
-            service.eligible.insert(place);
+        if state.eligible {
+            let key = (state.free.cpu, number);
+            service.eligible.insert(key);
             if let Some(rack) = worker.entry.rack() {
-                service.racks.entry(rack.to_owned()).or_default().insert(place);
+                service.racks.entry(rack.to_owned()).or_default().insert(key);
             }
         }
-        if standing.has_pending_ends {
+        if state.has_pending_ends {
             self.with_pending_ends.insert(number);
         }
-        if standing.recovering {
+        if state.recovering {
             self.recovering.insert(number);
         }
     }
 
-    pub(super) fn remove(
-        &mut self,
-        number: WorkerNumber,
-        worker: &Worker,
-        standing: &IndexedState,
-    ) {
+    pub(super) fn remove(&mut self, number: WorkerNumber, worker: &Worker, state: &IndexedState) {
         self.capacity = self.capacity.minus(worker.entry.capacity.into());
         if let Some(service) = self.services.get_mut(&worker.entry.service) {
-            let place = (standing.free.cpu, number);
+            let key = (state.free.cpu, number);
             service.members.remove(&number);
-            service.eligible.remove(&place);
+            service.eligible.remove(&key);
             if let Some(rack) = worker.entry.rack().and_then(|rack| service.racks.get_mut(rack)) {
-                rack.remove(&place);
+                rack.remove(&key);
             }
         }
         self.with_pending_ends.remove(&number);
         self.recovering.remove(&number);
     }
 
-    /// Takes in which runs of accounts came and went on a worker.
+    /// Applies the claims that were added and removed on a worker.
     pub(super) fn apply_claim_changes(&mut self, worker: &mut Worker) {
         for claim in worker.claim_changes.removed.drain(..) {
             self.totals.remove(&claim);
-            // Its account may be below its bound now, wherever its tasks would start.
+            // Its account may be below its quota now, wherever its tasks would start.
             self.has_freed |= claim.has_quota();
         }
         for claim in worker.claim_changes.added.drain(..) {
@@ -124,17 +114,17 @@
         }
     }
 
-    /// Counts all that may run on a worker.
+    /// Adds the claims of all runs that may be on a worker.
     pub(super) fn add_claims(&mut self, worker: &Worker) {
         worker
             .allocations
             .values()
-            .filter_map(|slot| slot.claim.as_ref())
-            .for_each(|c| self.totals.add(c));
+            .filter_map(|allocation| allocation.claim.as_ref())
+            .for_each(|claim| self.totals.add(claim));
     }
 
     pub(super) fn remove_claims(&mut self, worker: &Worker) {
-        let claims = worker.allocations.values().filter_map(|slot| slot.claim.as_ref());
+        let claims = worker.allocations.values().filter_map(|allocation| allocation.claim.as_ref());
         claims.for_each(|claim| self.totals.remove(claim));
     }
 
@@ -146,9 +136,9 @@
 
     pub(super) fn remove_from_box(&mut self, number: WorkerNumber, worker: &Worker) {
         let Some(name) = &worker.entry.machine else { return };
-        let Some(lives) = self.boxes.get_mut(name) else { return };
-        lives.remove(&number);
-        if lives.is_empty() {
+        let Some(incarnations) = self.boxes.get_mut(name) else { return };
+        incarnations.remove(&number);
+        if incarnations.is_empty() {
             self.boxes.remove(name);
         }
     }
