--- a/lib/src/batch/crash.rs
+++ b/lib/src/batch/crash.rs
@@ -1,10 +1,11 @@
-//! Evidence that a task brings down the workers that start it, and when it is given up.
+//! Evidence that a task crashes the workers that start it, and when such a task is abandoned.
 //!
-//! A worker that crashes tells no ends, and many tasks run on it side by side. Whatever brought it down was
-//! there when it was last heard of, and a task that does so as it starts had only just begun by then. So each
-//! crash leaves a mark on every task that was there, and the mark says how much it speaks against the task.
-//! One that had only just begun is a suspect: its next run begins where no other job's task has just begun
-//! (see [`crate::batch::place`]), so that a second crash speaks against nobody else.
+//! A worker that crashes reports no ends, and many tasks run on it side by side. The cause was
+//! there at its last answer, and a task that crashes workers as it starts had only just started by
+//! then. So each crash is recorded for every task that was on the worker, with how strongly it
+//! speaks against that task. A task that had only just started is a suspect: its next run starts
+//! where no other job's task has just started (see [`crate::batch::place`]), so that a second crash
+//! speaks against no other task.
 
 pub mod outage;
 
@@ -14,30 +15,34 @@
 use serde::Serialize;
 use spokelift_platform::worker::Incarnation;
 
-/// A run that had been on a worker for no longer when the worker was last heard of had only just begun: a few of the runs
-/// on a worker at full load, of which something is heard at each start.
+/// A run that had been on a worker for no longer than this at the worker's last answer had only
+/// just started. It covers few of the runs on a fully loaded worker, which answers at each start.
 pub const RECENT_START: Duration = Duration::from_millis(150);
-/// Crashes under a suspect after which it is given up: as early as the platform allows it, since a task that goes on takes
-/// all others on its worker with it each time.
+/// Crashes under a suspect after which it is abandoned: as early as the platform permits, since
+/// each further one takes down all other tasks on the worker.
 const MAX_SUSPECT_CRASHES: usize = 2;
-/// The same for a task that lasts: it is restarted all day long, so crashes of other causes hit it more often as it begins.
+/// The same for a long-running task: it is restarted for as long as its job runs, so crashes of
+/// other causes hit it as it starts more often.
 const MAX_SUSPECT_CRASHES_LONG_RUNNING: usize = 3;
-/// Crashes under a task, however long it had run, after which it is given up. The platform allows two more
-/// starts after the third crash; one of them is left for what a lost scheduler had not written down.
+/// Crashes under a task, however long it had run, after which it is abandoned. The platform permits
+/// two more starts after the third crash; one of them is left for a crash that a failed scheduler
+/// had not recorded.
 const MAX_CRASHES: usize = 4;
-/// The same for a task that lasts: as many as the platform allows starts, since it is started again all day long.
+/// The same for a long-running task: as many as the platform permits starts, since it is restarted
+/// for as long as its job runs.
 const MAX_CRASHES_LONG_RUNNING: usize = 5;
 
-/// Share of crashes under a task that had been a suspect before, from which on a task is tried by itself after the first
-/// crash. About half are where tasks are to blame, few where workers crash whatever they run.
+/// Fraction of crashes under a previous suspect from which on a task is isolated after its first
+/// crash. It is about half where tasks cause the crashes, and low where workers crash whatever they
+/// run.
 const HIGH_REPEAT_RATE: f64 = 0.25;
-/// Weight of the newest crash in that share.
+/// Weight of the newest crash in that fraction.
 const REPEAT_RATE_WEIGHT: f64 = 0.1;
-/// The share before any crash was seen: the first poison task should meet a scheduler that looks for it.
+/// The fraction before any crash: high enough that the first poison task is looked for.
 const INITIAL_REPEAT_RATE: f64 = 0.5;
 
-/// How often crashes come under the same tasks again, as this scheduler sees it. Where workers crash for reasons of their
-/// own, trying every task that was there by itself only costs room.
+/// How often crashes repeat under the same tasks, as this scheduler observes it. Where workers
+/// crash for other reasons, isolating every task that was on them only costs resources.
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatRate(f64);
 
@@ -48,49 +53,51 @@
 }
 
 impl RepeatRate {
-    /// A worker has crashed, under a suspect or not.
+    /// Records a crash of a worker, under a suspect or not.
     pub fn record_crash(&mut self, under_suspect: bool) {
         self.0 += REPEAT_RATE_WEIGHT * (f64::from(u8::from(under_suspect)) - self.0);
     }
 
-    /// Whether tasks are to blame for the crashes of late.
+    /// Whether tasks probably cause the recent crashes.
     ///
     /// ```
     /// use spokelift_lib::batch::crash::RepeatRate;
-    /// let mut repeats = RepeatRate::default();
-    /// assert!(repeats.is_high());
-    /// (0..10).for_each(|_| repeats.record_crash(false));
-    /// assert!(!repeats.is_high());
-    /// (0..4).for_each(|_| repeats.record_crash(true));
-    /// assert!(repeats.is_high());
+    /// let mut repeat_rate = RepeatRate::default();
+    /// assert!(repeat_rate.is_high());
+    /// (0..10).for_each(|_| repeat_rate.record_crash(false));
+    /// assert!(!repeat_rate.is_high());
+    /// (0..4).for_each(|_| repeat_rate.record_crash(true));
+    /// assert!(repeat_rate.is_high());
     /// ```
     pub fn is_high(self) -> bool {
         self.0 >= HIGH_REPEAT_RATE
     }
 }
 
-/// What a worker's crash says of a task that was on it.
+/// What a worker's crash says about a task that was on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Evidence {
-    /// No other job's task had just begun there.
+    /// No other job's task had just started there.
     #[serde(rename = "Alone")]
     OnlyRecent,
-    /// It had just begun, as tasks of other jobs had.
+    /// It had just started, and so had tasks of other jobs.
     #[serde(rename = "Among")]
     AmongRecent,
-    /// It may never have been there: its start had no answer, or it is known only that it may have run there.
+    /// It may never have been there: its start was not answered, or it is only known that it may
+    /// have run there.
     #[serde(rename = "Unsure")]
     Uncertain,
-    /// It had run for a while.
+    /// It had run for longer.
     #[serde(rename = "Earlier")]
     NotRecent,
-    /// It had just begun, or may have, and other workers fell silent in the same moment: see [`silence`].
+    /// It had just started, or may have, and other workers failed in the same window: see
+    /// [`outage`].
     #[serde(rename = "Shared")]
     Correlated,
 }
 
 impl Evidence {
-    /// Whether it may speak against the task.
+    /// Whether it may count against the task.
     fn is_suspicious(self) -> bool {
         !matches!(self, Evidence::NotRecent | Evidence::Correlated)
     }
@@ -108,74 +115,76 @@
     }
 }
 
-/// A worker that crashed under a task.
+/// A crash of a worker on which a task was.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// The worker.
     pub worker: Incarnation,
-    /// What that says of the task.
+    /// What that says about the task.
     pub evidence: Evidence,
 }
 
 impl Crash {
-    /// Whether the task may have just begun there.
+    /// Whether the task may have just started there.
     pub fn may_be_recent_start(&self) -> bool {
         self.evidence != Evidence::NotRecent
     }
 }
 
-/// Whether a task's next run should begin by itself.
+/// Whether a task's next run should be isolated.
 ///
 /// ```
 /// use spokelift_lib::batch::crash::{is_suspect, Crash, Evidence, RepeatRate};
 /// let crash = |evidence| Crash { worker: "w1".into(), evidence };
-/// let mut repeats = RepeatRate::default();
-/// assert!(is_suspect(&[crash(Evidence::AmongRecent)], repeats));
-/// assert!(!is_suspect(&[crash(Evidence::NotRecent)], repeats));
+/// let mut repeat_rate = RepeatRate::default();
+/// assert!(is_suspect(&[crash(Evidence::AmongRecent)], repeat_rate));
+/// assert!(!is_suspect(&[crash(Evidence::NotRecent)], repeat_rate));
 /// // Workers crash whatever they run.
-/// (0..10).for_each(|_| repeats.record_crash(false));
-/// assert!(!is_suspect(&[crash(Evidence::AmongRecent)], repeats));
-/// assert!(is_suspect(&[crash(Evidence::AmongRecent), crash(Evidence::AmongRecent)], repeats));
+/// (0..10).for_each(|_| repeat_rate.record_crash(false));
+/// assert!(!is_suspect(&[crash(Evidence::AmongRecent)], repeat_rate));
+/// assert!(is_suspect(&[crash(Evidence::AmongRecent), crash(Evidence::AmongRecent)], repeat_rate));
 /// ```
-pub fn is_suspect(crashes: &[Crash], repeats: RepeatRate) -> bool {
-    let young = crashes.iter().filter(|crash| crash.evidence.is_suspicious()).count();
-    young >= MAX_SUSPECT_CRASHES || young > 0 && repeats.is_high()
+pub fn is_suspect(crashes: &[Crash], repeat_rate: RepeatRate) -> bool {
+    let recent = crashes.iter().filter(|crash| crash.evidence.is_suspicious()).count();
+    recent >= MAX_SUSPECT_CRASHES || recent > 0 && repeat_rate.is_high()
 }
 
-/// Whether a crash came as a task had just begun, and had come so before.
+/// Whether a crash hit a task that had just started, and an earlier one did too.
 pub fn is_repeat(crashes: &[Crash], evidence: Evidence) -> bool {
-    let is_young = |evidence| matches!(evidence, Evidence::OnlyRecent | Evidence::AmongRecent);
-    is_young(evidence) && crashes.iter().any(|crash| is_young(crash.evidence))
+    let is_recent = |evidence| matches!(evidence, Evidence::OnlyRecent | Evidence::AmongRecent);
+    is_recent(evidence) && crashes.iter().any(|crash| is_recent(crash.evidence))
 }
 
-/// Whether a task is given up after these crashes; for one that lasts, those of runs in a row that had just
-/// begun.
+/// Whether a task is abandoned after these crashes; for a long-running one, those of consecutive
+/// runs that had just started.
 ///
 /// ```
 /// use spokelift_lib::batch::crash::{is_abandoned, Crash, Evidence};
 /// let crash = |evidence| Crash { worker: "w1".into(), evidence };
-/// let (alone, among) = (crash(Evidence::OnlyRecent), crash(Evidence::AmongRecent));
-/// assert!(!is_abandoned(&[alone.clone()], false));
-/// assert!(is_abandoned(&[among.clone(), alone.clone()], false));
-/// // Its neighbours may be to blame both times.
+/// let (only, among) = (crash(Evidence::OnlyRecent), crash(Evidence::AmongRecent));
+/// assert!(!is_abandoned(&[only.clone()], false));
+/// assert!(is_abandoned(&[among.clone(), only.clone()], false));
+/// // Tasks beside it may be the cause both times.
 /// assert!(!is_abandoned(&[among.clone(), among], false));
-/// assert!(is_abandoned(&[alone.clone(), alone.clone(), alone], true));
+/// assert!(is_abandoned(&[only.clone(), only.clone(), only], true));
 /// // Many workers crashed each time, whatever they ran.
-/// let shared = crash(Evidence::Correlated);
-/// assert!(!is_abandoned(&vec![shared.clone(); 3], false));
-/// assert!(is_abandoned(&vec![shared; 4], false));
+/// let correlated = crash(Evidence::Correlated);
+/// assert!(!is_abandoned(&vec![correlated.clone(); 3], false));
+/// assert!(is_abandoned(&vec![correlated; 4], false));
 /// ```
-pub fn is_abandoned(crashes: &[Crash], lasts: bool) -> bool {
+pub fn is_abandoned(crashes: &[Crash], is_long_running: bool) -> bool {
     let count = |wanted: &[Evidence]| {
         crashes.iter().filter(|crash| wanted.contains(&crash.evidence)).count()
     };
-    let is_clear = count(&[Evidence::OnlyRecent]) > 0;
-    let young = count(&[Evidence::OnlyRecent, Evidence::AmongRecent]);
-    match lasts {
+    let has_clear_evidence = count(&[Evidence::OnlyRecent]) > 0;
+    let recent = count(&[Evidence::OnlyRecent, Evidence::AmongRecent]);
+    match is_long_running {
         true => {
-            is_clear && young >= MAX_SUSPECT_CRASHES_LONG_RUNNING
+            has_clear_evidence && recent >= MAX_SUSPECT_CRASHES_LONG_RUNNING
                 || crashes.len() >= MAX_CRASHES_LONG_RUNNING
         }
-        false => is_clear && young >= MAX_SUSPECT_CRASHES || crashes.len() >= MAX_CRASHES,
+        false => {
+            has_clear_evidence && recent >= MAX_SUSPECT_CRASHES || crashes.len() >= MAX_CRASHES
+        }
     }
 }
--- a/lib/src/batch/crash/outage.rs
+++ b/lib/src/batch/crash/outage.rs
@@ -1,23 +1,23 @@
-//! Workers that fell silent in the same moment.
+//! Outages of workers, and whether several happened at the same time.
 //!
-//! A task that brings down its worker does so at a time of its own. Where many workers crash together, something
-//! else did it: a rack without power, a bad release, a cut network. One that held a task which had crashed another
-//! worker before explains itself, and does not count.
+//! A task that crashes its worker does so independently of other workers. Where many workers crash
+//! together, the cause is something else: a rack without power, a bad release, a network partition.
+//! A worker with a task that had crashed another worker before is explained by that task, and is
+//! not counted.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Least number of other workers that fell silent in the same moment: one other may be chance.
+/// Minimum number of other workers that failed in the same window: a single one may be chance.
 const MIN_OTHERS: usize = 2;
-/// The same as a share of the workers, in hundredths: among many, several tasks may bring down
-/// their workers at once.
+/// The same in percent of the workers: among many, several tasks may crash their workers at once.
 const MIN_OTHERS_PERCENT: usize = 10;
-/// How long the silence of a worker that is not known any more is remembered. The next life on its box shows
-/// after some seconds, and those of others may have shown earlier.
+/// How long the outage of a removed worker is kept. The next incarnation on its box shows after
+/// some seconds, and those of others may have shown earlier.
 const RETENTION: Duration = Duration::from_millis(10_000);
 
-/// Between when a worker was last heard of and when it was first missed. It fell silent within.
+/// The time between a worker's last answer and the first failed call. It failed within.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
     /// When it last answered.
@@ -27,15 +27,15 @@
 }
 
 impl Outage {
-    /// Whether two workers may have fallen silent in the same moment.
+    /// Whether two workers may have failed at the same time.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
     /// use spokelift_lib::batch::crash::outage::Outage;
-    /// let begun = Instant::now();
-    /// let outage = |heard, missed| Outage {
-    ///     last_answer_at: begun + Duration::from_millis(heard),
-    ///     first_failed_at: begun + Duration::from_millis(missed),
+    /// let start = Instant::now();
+    /// let outage = |last_answer, first_failure| Outage {
+    ///     last_answer_at: start + Duration::from_millis(last_answer),
+    ///     first_failed_at: start + Duration::from_millis(first_failure),
     /// };
     /// assert!(outage(0, 1_000).overlaps(&outage(990, 1_010)));
     /// assert!(!outage(0, 1_000).overlaps(&outage(1_001, 1_010)));
@@ -45,7 +45,7 @@
     }
 }
 
-/// Whether so many others that fell silent in the same moment, among so many workers, explain a crash.
+/// Whether a crash is explained by the `others` of `workers` that failed in the same window.
 ///
 /// ```
 /// use spokelift_lib::batch::crash::outage::is_correlated;
@@ -57,19 +57,19 @@
     others >= MIN_OTHERS && others * 100 >= workers * MIN_OTHERS_PERCENT
 }
 
-/// Silences of workers that are not known any more.
+/// Outages of workers that were removed.
 #[derive(Debug, Default)]
 pub struct Outages {
     past: VecDeque<(Instant, String, Outage)>,
 }
 
 impl Outages {
-    /// Remembers the silence of a worker of a service.
-    pub fn record(&mut self, service: &str, silence: Outage, now: Instant) {
-        self.past.push_back((now, service.to_owned(), silence));
+    /// Records the outage of a worker of a service.
+    pub fn record(&mut self, service: &str, outage: Outage, now: Instant) {
+        self.past.push_back((now, service.to_owned(), outage));
     }
 
-    /// Lets go of those that are too old to matter.
+    /// Removes those that are older than the retention time.
     pub fn remove_expired(&mut self, now: Instant) {
         let is_old =
             |(at, ..): &(Instant, String, Outage)| now.saturating_duration_since(*at) > RETENTION;
@@ -78,9 +78,9 @@
         }
     }
 
-    /// Services of the workers that may have fallen silent in the same moment, one for each.
-    pub fn overlapping_services(&self, silence: &Outage) -> impl Iterator<Item = &str> {
-        let met = self.past.iter().filter(|(.., other)| other.overlaps(silence));
-        met.map(|(_, service, _)| service.as_str())
+    /// The service of each worker that may have failed at the same time; one item for each worker.
+    pub fn overlapping_services(&self, outage: &Outage) -> impl Iterator<Item = &str> {
+        let overlapping = self.past.iter().filter(|(.., other)| other.overlaps(outage));
+        overlapping.map(|(_, service, _)| service.as_str())
     }
 }
