--- a/lib/src/batch/job.rs
+++ b/lib/src/batch/job.rs
@@ -1,4 +1,4 @@
-//! A job in the scheduler's memory: its steps, its tasks and how far they are.
+//! A job as the scheduler sees it: its steps, its tasks and their progress.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -24,36 +24,37 @@
 /// One task.
 #[derive(Clone, Debug, Default)]
 pub struct Task {
-    /// It has ended well.
+    /// It has finished successfully.
     pub done: bool,
     /// Runs of it that may exist on workers.
     pub runs: u32,
-    /// The highest run number used or seen.
+    /// The highest run number used or observed.
     pub last_run: Run,
-    /// The runs that failed. They are told apart by number, since a worker that was silent may
-    /// tell of an early one last, and a new scheduler is told again of some.
+    /// The runs that failed. They are identified by number, since an unresponsive worker may report
+    /// an early one last, and a new scheduler is reported some again.
     pub failed: Vec<Run>,
     /// Workers that crashed under it.
     pub crashes: Vec<Crash>,
-    /// How many of these the store knows.
+    /// How many of these are in the store.
     pub durable_crashes: usize,
-    /// Where its next run goes on from; empty for the start.
+    /// The checkpoint from which its next run resumes; empty for the start.
     pub checkpoint: String,
-    /// Workers it failed or stood still on; others are preferred.
+    /// Workers on which it failed or made no progress; others are preferred.
     pub avoided_workers: Vec<Incarnation>,
-    /// Since when it waits for room.
+    /// Since when it waits for resources; `None` if it does not.
     pub waiting_since: Option<Instant>,
-    /// When others were last stopped to make room for it.
+    /// When other tasks were last preempted for it; `None` if none were.
     pub preempted_others_at: Option<Instant>,
 }
 
-/// Crashes under a task from which on the store must know of all before it is started again. A scheduler
-/// that is lost then takes no more than one with it, which the limits of [`crate::batch::crash`] allow for;
-/// the tasks beside a poison task, which have one, wait for nothing.
+/// From this number of crashes on, all crashes under a task must be in the store before it is
+/// started again. A scheduler that fails then takes no more than one with it, which the limits of
+/// [`crate::batch::crash`] allow for; the tasks beside a poison task, which have one crash, need
+/// not wait.
 const MIN_CRASHES_TO_PERSIST: usize = 2;
 
 impl Task {
-    /// Whether it waits for the store to know under how many workers it crashed.
+    /// Whether it must not start before the store has all its crashes.
     pub fn awaits_durable_crashes(&self) -> bool {
         self.crashes.len() >= MIN_CRASHES_TO_PERSIST && self.durable_crashes < self.crashes.len()
     }
@@ -64,11 +65,11 @@
 pub struct StepRun {
     /// The tasks.
     pub tasks: Vec<Task>,
-    /// Tasks that are not done.
+    /// Number of tasks that are not done.
     pub left: usize,
-    /// Tasks that wait for room; empty until the step's turn has come.
+    /// Indices of the tasks that wait for resources; empty until the step is open.
     pub waiting: BTreeSet<u32>,
-    /// The step's turn has come.
+    /// All steps that it depends on are done, so its tasks may start.
     pub open: bool,
 }
 
@@ -84,7 +85,7 @@
 pub struct Repetition {
     /// Its steps.
     pub steps: Vec<StepRun>,
-    /// Its time has come.
+    /// Its scheduled time has come.
     pub due: bool,
 }
 
@@ -93,39 +94,39 @@
 pub struct Entry {
     /// Its id.
     pub id: JobId,
-    /// What was accepted.
+    /// The job as accepted.
     pub accepted: Accepted,
     /// Its repetitions; those not due yet have no tasks in memory.
     pub repetitions: Vec<Repetition>,
-    /// A task of it has begun.
+    /// A task of it has started.
     pub started: bool,
     /// A client has cancelled it.
     pub cancelled: bool,
-    /// The state it has ended in.
+    /// The state it ended in; `None` if it has not ended.
     pub end: Option<JobState>,
-    /// The store knows of the end.
+    /// The end is in the store.
     pub end_is_durable: bool,
-    /// When it ended.
+    /// When it ended; `None` if it has not.
     pub ended_at: Option<Instant>,
-    /// Partitions of the store's topic that keep it.
+    /// Partitions of the job topic that hold its record.
     pub stored_in: BTreeSet<u16>,
-    /// It was accepted before this scheduler began, so tasks of it may run on workers that have
-    /// not been asked yet.
+    /// It was accepted before this scheduler started, so tasks of it may run on workers that have
+    /// not been polled yet.
     pub inherited: bool,
-    /// Its account had sent more jobs than its weight a second when it came.
+    /// On its arrival its account had submitted more jobs a second than its weight.
     pub is_over_rate: bool,
 }
 
 impl Entry {
     /// A job of which nothing has run.
     pub fn new(id: JobId, accepted: Accepted) -> Entry {
-        let times = (0..accepted.job.repetition_count())
+        let repetitions = (0..accepted.job.repetition_count())
             .map(|_| Repetition { steps: Vec::new(), due: false });
-        let times = times.collect();
+        let repetitions = repetitions.collect();
         Entry {
             id,
             accepted,
-            repetitions: times,
+            repetitions,
             started: false,
             cancelled: false,
             end: None,
@@ -142,22 +143,23 @@
         self.accepted.job.steps.get(usize::from(step))
     }
 
-    /// The tasks of a step in a repetition, if it is due.
-    pub fn step_run_mut(&mut self, time: u32, step: u16) -> Option<&mut StepRun> {
-        self.repetitions.get_mut(time as usize)?.steps.get_mut(usize::from(step))
+    /// Mutable access to the tasks of a step in a repetition; `None` if the repetition has no tasks
+    /// yet.
+    pub fn step_run_mut(&mut self, repetition: u32, step: u16) -> Option<&mut StepRun> {
+        self.repetitions.get_mut(repetition as usize)?.steps.get_mut(usize::from(step))
     }
 
-    /// The same, to look at.
-    pub fn find_step_run(&self, time: u32, step: u16) -> Option<&StepRun> {
-        self.repetitions.get(time as usize)?.steps.get(usize::from(step))
+    /// The tasks of a step in a repetition; `None` if the repetition has no tasks yet.
+    pub fn find_step_run(&self, repetition: u32, step: u16) -> Option<&StepRun> {
+        self.repetitions.get(repetition as usize)?.steps.get(usize::from(step))
     }
 
-    /// A task to look at, if its repetition is due.
+    /// A task; `None` if its repetition has no tasks yet.
     pub fn find_task(&self, name: TaskName) -> Option<&Task> {
         self.find_step_run(name.repetition, name.step)?.tasks.get(name.index as usize)
     }
 
-    /// A task, if its repetition is due.
+    /// Mutable access to a task; `None` if its repetition has no tasks yet.
     pub fn task_mut(&mut self, name: TaskName) -> Option<&mut Task> {
         self.step_run_mut(name.repetition, name.step)?.tasks.get_mut(name.index as usize)
     }
@@ -167,7 +169,7 @@
         self.accepted.job.steps.iter().any(|step| step.long_running)
     }
 
-    /// The longest chain of work by the client's guesses, in milliseconds.
+    /// Length of the critical path by the client's estimates, in milliseconds.
     pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::new();
         for step in &self.accepted.job.steps {
@@ -178,28 +180,28 @@
         ends.into_iter().max().unwrap_or(0)
     }
 
-    /// When the job, or a repetition of it, should be done to be worth its full credit, in
-    /// milliseconds since 1970.
-    pub fn objective_at(&self, time: u32) -> u64 {
-        let from = self.accepted.job.due_at(time).unwrap_or(self.accepted.at);
+    /// When the job, or a repetition of it, should be done to meet its objective, in milliseconds
+    /// since 1970.
+    pub fn objective_at(&self, repetition: u32) -> u64 {
+        let from = self.accepted.job.due_at(repetition).unwrap_or(self.accepted.at);
         let stretch = u64::from(self.accepted.stretch_percent);
         let chain = self.critical_path_ms().saturating_mul(stretch) / 100;
         (from.as_millis() as u64).saturating_add(self.accepted.objective_ms).saturating_add(chain)
     }
 
-    /// What a task of a step takes of a worker's room.
+    /// Resources that a task of a step takes on a worker; best-effort tasks take no processor.
     pub fn resources_of(step: &Step) -> Resources {
         let cpu = if step.best_effort { 0 } else { step.cpu };
         Resources { cpu, memory_mb: step.memory_mb, gpu: step.gpu }
     }
 
-    /// What a run of a step counts for, and for whom.
+    /// Quota usage of a run of a step, and its account; `None` if there is no such step.
     pub fn claim(&self, step: u16) -> Option<Claim> {
         let account = owner(self.accepted.account.as_ref());
         Some(Claim { account, usage: Usage::of(self.step(step)?, 1) })
     }
 
-    /// What kind of neighbour a task of a step is.
+    /// Workload class of the tasks of a step.
     pub fn class_of(step: &Step) -> Class {
         match step {
             step if step.best_effort => Class::BestEffort,
@@ -214,18 +216,18 @@
         !self.cancelled && self.end.is_none()
     }
 
-    /// Makes the tasks of a repetition.
-    pub fn create_tasks(&mut self, time: u32) {
+    /// Creates the tasks of a repetition, unless they exist.
+    pub fn create_tasks(&mut self, repetition: u32) {
         let counts: Vec<u32> = self.accepted.job.steps.iter().map(|step| step.count).collect();
-        let Some(repetition) = self.repetitions.get_mut(time as usize) else { return };
+        let Some(repetition) = self.repetitions.get_mut(repetition as usize) else { return };
         if repetition.steps.is_empty() {
             repetition.steps = counts.into_iter().map(StepRun::new).collect();
         }
     }
 
-    /// Steps of a repetition whose turn has come and that have not been opened.
-    pub fn steps_to_open(&self, time: u32) -> Vec<u16> {
-        let Some(repetition) = self.repetitions.get(time as usize) else { return Vec::new() };
+    /// Steps of a repetition whose dependencies are done and that have not been opened.
+    pub fn steps_to_open(&self, repetition: u32) -> Vec<u16> {
+        let Some(repetition) = self.repetitions.get(repetition as usize) else { return Vec::new() };
         if !repetition.due {
             return Vec::new();
         }
@@ -243,7 +245,7 @@
         steps
     }
 
-    /// Runs of its tasks that may be on workers.
+    /// Number of runs of its tasks that may be on workers.
     pub fn run_count(&self) -> u32 {
         let steps = self.repetitions.iter().flat_map(|repetition| &repetition.steps);
         steps.flat_map(|step| &step.tasks).map(|task| task.runs).sum()
@@ -257,8 +259,8 @@
         !self.is_long_running() && self.repetitions.iter().all(done)
     }
 
-    /// The state that clients are shown. An end is shown only once the store knows of it, since
-    /// what a client was told must hold whoever schedules.
+    /// The state that clients see. An end is shown only once it is in the store, so that a later
+    /// scheduler cannot contradict it.
     pub fn visible_state(&self) -> JobState {
         match self.end {
             Some(end) if self.end_is_durable => end,
@@ -267,12 +269,12 @@
         }
     }
 
-    /// What the store is to keep.
+    /// The progress that the store keeps.
     pub fn progress(&self) -> Progress {
         let mut progress = Progress { end: self.end, started: self.started, ..Progress::default() };
-        for (time, repetition) in self.repetitions.iter().enumerate() {
+        for (number, repetition) in self.repetitions.iter().enumerate() {
             for (step, tasks) in repetition.steps.iter().enumerate() {
-                add_step_progress(&mut progress, (time as u32, step as u16), tasks);
+                add_step_progress(&mut progress, (number as u32, step as u16), tasks);
             }
         }
         progress
@@ -280,20 +282,21 @@
 
     /// The tasks under which workers crashed.
     pub fn crashed_tasks(&self) -> impl Iterator<Item = (TaskPosition, &Task)> {
-        let steps = (0..).zip(&self.repetitions).flat_map(|(time, repetition)| {
-            (0..).zip(&repetition.steps).map(move |(step, run)| (time, step, run))
+        let steps = (0..).zip(&self.repetitions).flat_map(|(number, repetition)| {
+            (0..).zip(&repetition.steps).map(move |(step, run)| (number, step, run))
         });
-        let tasks = steps.flat_map(|(time, step, run)| {
-            (0..).zip(&run.tasks).map(move |(index, task)| ((time, step, index), task))
+        let tasks = steps.flat_map(|(number, step, run)| {
+            (0..).zip(&run.tasks).map(move |(index, task)| ((number, step, index), task))
         });
         tasks.filter(|(_, task)| !task.crashes.is_empty())
     }
 
-    /// Takes over the crashes that the store knows of.
+    /// Applies crashes that were read from the store.
     pub fn restore_crashes(&mut self, crashes: &Crashes) {
-        for ((time, step, index), crashes) in crashes {
-            self.create_tasks(*time);
-            let name = TaskName { job: self.id, repetition: *time, step: *step, index: *index };
+        for ((repetition, step, index), crashes) in crashes {
+            self.create_tasks(*repetition);
+            let name =
+                TaskName { job: self.id, repetition: *repetition, step: *step, index: *index };
             if let Some(task) = self.task_mut(name) {
                 task.crashes.clone_from(crashes);
                 task.durable_crashes = crashes.len();
@@ -301,23 +304,24 @@
         }
     }
 
-    /// Takes over what the store kept.
+    /// Applies progress that was read from the store.
     pub fn restore(&mut self, progress: &Progress) {
         self.started = progress.started;
         self.end = progress.end;
         self.end_is_durable = progress.end.is_some();
         self.cancelled |= progress.end == Some(JobState::Canceled);
-        for (time, step, bits) in &progress.done {
-            self.create_tasks(*time);
-            let Some(run) = self.step_run_mut(*time, *step) else { continue };
+        for (repetition, step, bits) in &progress.done {
+            self.create_tasks(*repetition);
+            let Some(run) = self.step_run_mut(*repetition, *step) else { continue };
             for (index, task) in run.tasks.iter_mut().enumerate() {
                 task.done = bits.get(index / 8).is_some_and(|byte| byte & (1 << (index % 8)) != 0);
             }
             run.left = run.tasks.iter().filter(|task| !task.done).count();
         }
-        for ((time, step, index), runs) in &progress.failed {
-            self.create_tasks(*time);
-            let name = TaskName { job: self.id, repetition: *time, step: *step, index: *index };
+        for ((repetition, step, index), runs) in &progress.failed {
+            self.create_tasks(*repetition);
+            let name =
+                TaskName { job: self.id, repetition: *repetition, step: *step, index: *index };
             if let Some(task) = self.task_mut(name) {
                 task.failed.clone_from(runs);
                 task.last_run = runs.iter().copied().fold(task.last_run, Run::max);
@@ -326,17 +330,17 @@
     }
 }
 
-fn add_step_progress(progress: &mut Progress, (time, step): (u32, u16), run: &StepRun) {
+fn add_step_progress(progress: &mut Progress, (repetition, step): (u32, u16), run: &StepRun) {
     let mut bits = vec![0u8; run.tasks.len().div_ceil(8)];
     for (index, task) in run.tasks.iter().enumerate() {
         if task.done {
             bits[index / 8] |= 1 << (index % 8);
         }
         if !task.failed.is_empty() {
-            progress.failed.push(((time, step, index as u32), task.failed.clone()));
+            progress.failed.push(((repetition, step, index as u32), task.failed.clone()));
         }
     }
     if bits.iter().any(|byte| *byte != 0) {
-        progress.done.push((time, step, bits));
+        progress.done.push((repetition, step, bits));
     }
 }
--- a/lib/src/batch/record.rs
+++ b/lib/src/batch/record.rs
@@ -1,5 +1,5 @@
-//! What the store keeps: jobs and how far they are, workers that may run something, and waves
-//! whose upkeep has begun.
+//! Records in the store: jobs and their progress, workers that may run something, and waves whose
+//! maintenance has started.
 
 mod accepted;
 mod job;
@@ -30,83 +30,83 @@
 use crate::state::account::format_hash;
 use crate::state::account::hash_secret;
 
-/// Topic with the jobs as accepted, by id. Every node writes to it, to one of a few partitions.
+/// Topic with the accepted jobs, by id. Every node writes to it, to one of a few partitions.
 pub const JOB_TOPIC: &str = "keyed.jobs";
-/// Most partitions of [`JOB_TOPIC`] in use. The store takes the appends of a partition in turn, at
-/// 60 times its usual 2 ms each while it is slow: with one partition, 32 nodes waited for each other
-/// for 4 s, and it refuses what has to wait for more than 2 s. With 12 it is about 0.4 s. Each costs
-/// the holder of the lead one to two reads a second.
+/// Most partitions of [`JOB_TOPIC`] in use. The store executes the appends of a partition one after
+/// the other, each taking 2 ms, and 60 times that while it is slow: with one partition, 32 nodes
+/// wait up to 4 s for each other, and the store rejects what has to wait for more than 2 s. With 12
+/// the wait is about 0.4 s. Each partition costs the leader one to two reads a second.
 const MAX_JOB_PARTITIONS: u16 = 12;
-/// Topic with how far jobs are, by id. Only the holder of the lead writes to it.
+/// Topic with the progress of jobs, by id. Only the leader writes to it.
 pub const PROGRESS_TOPIC: &str = "keyed.progress";
-/// Start of the keys in [`JOB_TOPIC`] that ask for a job to be cancelled.
+/// Prefix of the keys in [`JOB_TOPIC`] that request a job's cancellation.
 const CANCEL_PREFIX: &str = "cancel/";
-/// Start of the keys in [`PROGRESS_TOPIC`] that name lives of workers which may run something. Records of before lives were
-/// told apart name the worker's id alone.
+/// Prefix of the keys in [`PROGRESS_TOPIC`] that name incarnations of workers which may run
+/// something. Older records name only the worker's id.
 const WORKER_PREFIX: &str = "worker/";
-/// Stands between a job's id and its account in the keys of [`JOB_TOPIC`].
+/// Separates a job's id from the hash of its account in the keys of [`JOB_TOPIC`].
 const OWNER_SEPARATOR: char = '/';
-/// Digits of the hash of an account's name in them.
+/// Digits of the hash of an account's name in these keys.
 const OWNER_DIGITS: usize = 16;
-/// Start of the keys in [`PROGRESS_TOPIC`] that tell for how long no scheduler has heard of workers.
+/// Prefix of the keys in [`PROGRESS_TOPIC`] that record for how long workers have been unreachable.
 const UNREACHABLE_PREFIX: &str = "unheard/";
-/// Start of the keys in [`PROGRESS_TOPIC`] that name lives of workers that are over.
+/// Prefix of the keys in [`PROGRESS_TOPIC`] that name ended incarnations of workers.
 const ENDED_PREFIX: &str = "gone/";
-/// Key in [`PROGRESS_TOPIC`] of the boxes that were ordered lately or are about to be.
+/// Key in [`PROGRESS_TOPIC`] of the boxes that were ordered recently or are about to be.
 const ORDERED_KEY: &str = "ordered";
-/// Start of the keys in [`PROGRESS_TOPIC`] that tell under which tasks workers crashed, by job.
+/// Prefix of the keys in [`PROGRESS_TOPIC`] that record a job's tasks under which workers crashed.
 const CRASHES_PREFIX: &str = "crashes/";
-/// Start of the keys in [`PROGRESS_TOPIC`] that tell when waves were first seen.
+/// Prefix of the keys in [`PROGRESS_TOPIC`] that record when maintenance waves were first seen.
 const WAVE_SEEN_PREFIX: &str = "wave-seen/";
-/// Start of the keys in [`PROGRESS_TOPIC`] that tell how far waves are.
+/// Prefix of the keys in [`PROGRESS_TOPIC`] that record the progress of maintenance waves.
 const WAVE_PREFIX: &str = "wave/";
 
-/// Which of a job's tasks: repetition, step and index.
+/// Position of a task in its job: repetition, step and index.
 pub type TaskPosition = (u32, u16, u32);
 
-/// How far a job is.
+/// Progress of a job.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct Progress {
-    /// The state it ended in, if it has ended.
+    /// The state it ended in; `None` if it has not ended.
     pub end: Option<JobState>,
-    /// A task has begun.
+    /// A task has started.
     #[serde(rename = "begun")]
     pub started: bool,
-    /// For each repetition and step with a task that is done, a bit for each task.
+    /// For each repetition and step with a finished task, one bit for each task.
     pub done: Vec<(u32, u16, Vec<u8>)>,
-    /// Tasks that failed, and the runs that did.
+    /// Tasks that failed, and which of their runs did.
     pub failed: Vec<(TaskPosition, Vec<Run>)>,
 }
 
-/// Tasks of a job under which workers crashed. Apart from [`Progress`], whose records of before this was
-/// kept must still be read.
+/// Tasks of a job under which workers crashed. Kept apart from [`Progress`], since older records of
+/// that type have no such field and must still decode.
 pub type Crashes = Vec<(TaskPosition, Vec<Crash>)>;
 
 /// Why a record cannot be used.
 #[derive(Debug, Error)]
 pub enum RecordError {
-    /// Its key is none of ours.
-    #[error("unknown key {0:?}")]
+    /// Its key has an unknown form.
+    #[error("record key {0:?} has an unknown form")]
     Key(String),
     /// It holds a job that no node would have accepted.
-    #[error("the job of {0:?} cannot be used")]
+    #[error("the job in record {0:?} is not valid")]
     Job(String, #[source] JobError),
     /// Its value does not decode.
-    #[error("the value of {0:?} does not decode")]
+    #[error("the value of record {0:?} does not decode")]
     Value(String, #[source] postcard::Error),
 }
 
-/// What the store keeps of a worker that may run something.
+/// A worker that may run something.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct StoredWorker {
     /// Where it is called.
     pub addr: SocketAddr,
     /// Its service.
     pub service: String,
-    /// The machine it lives on, if it says so.
+    /// The machine it runs on, if its entry names one.
     pub machine: Option<MachineId>,
-    /// The worker fell silent, and these are the tasks that may be on it. It is given no others
-    /// before the store knows that it is heard of again.
+    /// Tasks that may be on the worker if it is unresponsive; `None` if it is not. It gets no
+    /// further task until the store records that it answers again.
     #[serde(rename = "silent_with")]
     pub unresponsive_with: Option<Vec<(JobId, TaskPosition)>>,
 }
@@ -114,21 +114,21 @@
 /// A record of [`PROGRESS_TOPIC`].
 #[derive(Debug, PartialEq)]
 pub enum ProgressRecord {
-    /// How far a job is.
+    /// Progress of a job.
     Progress(JobId, Progress),
     /// Tasks of a job under which workers crashed.
     Crashes(JobId, Crashes),
     /// A worker that may run something.
     Worker(Incarnation, StoredWorker),
-    /// For how long no scheduler has heard of a worker.
+    /// For how long a worker has been unreachable.
     Unreachable(Incarnation, Duration),
-    /// A worker whose life is over.
+    /// An ended incarnation of a worker.
     Ended(Incarnation),
-    /// The machines of a wave whose upkeep has begun.
+    /// The machines of a wave whose maintenance has started.
     Wave(u64, Vec<MachineId>),
     /// When a scheduler first saw a wave, since 1970.
     WaveSeen(u64, Duration),
-    /// Boxes that were ordered lately or are about to be.
+    /// Boxes that were ordered recently or are about to be.
     Ordered(HashSet<MachineId>),
     /// A key was dropped.
     Dropped,
@@ -150,7 +150,7 @@
     format!("{id:016x}")
 }
 
-/// The key of what an account says of a job: the job's id, and a short hash of the account's name.
+/// The key of an account's record of a job: the job's id, and a short hash of the account's name.
 fn owned_key(key: &JobKey) -> String {
     let id = job_key(key.id);
     let Some(account) = &key.account else { return id };
@@ -158,7 +158,7 @@
     format!("{id}{OWNER_SEPARATOR}{}", &hash[..OWNER_DIGITS])
 }
 
-/// The job that such a key names.
+/// The job that a key of [`owned_key`] names.
 fn id_of_owned(key: &str) -> Result<JobId, RecordError> {
     id_of(key.split_once(OWNER_SEPARATOR).map_or(key, |(id, _)| id))
 }
@@ -167,16 +167,16 @@
     format!("{CANCEL_PREFIX}{}", owned_key(key))
 }
 
-fn worker_key(life: &Incarnation) -> String {
-    format!("{WORKER_PREFIX}{life}")
+fn worker_key(incarnation: &Incarnation) -> String {
+    format!("{WORKER_PREFIX}{incarnation}")
 }
 
-fn unreachable_key(life: &Incarnation) -> String {
-    format!("{UNREACHABLE_PREFIX}{life}")
+fn unreachable_key(incarnation: &Incarnation) -> String {
+    format!("{UNREACHABLE_PREFIX}{incarnation}")
 }
 
-fn ended_key(life: &Incarnation) -> String {
-    format!("{ENDED_PREFIX}{life}")
+fn ended_key(incarnation: &Incarnation) -> String {
+    format!("{ENDED_PREFIX}{incarnation}")
 }
 
 fn crashes_key(id: JobId) -> String {
@@ -195,7 +195,7 @@
     number.parse().map_err(|_| RecordError::Key(record.key.clone()))
 }
 
-/// How many partitions of [`JOB_TOPIC`] are in use, where a topic has so many.
+/// How many partitions of [`JOB_TOPIC`] are in use if the topic has `of_topic`.
 pub fn job_partitions(of_topic: u16) -> u16 {
     of_topic.clamp(1, MAX_JOB_PARTITIONS)
 }
@@ -211,18 +211,19 @@
     Record::set(owned_key(&key), encode(accepted))
 }
 
-/// The record that asks for a job to be cancelled; it lies in the first partition.
+/// The record that requests a job's cancellation; it belongs in the first partition.
 pub fn cancel(id: JobId, caller: &Caller) -> Record {
     let key = JobKey { id, account: caller.account().cloned() };
     Record::set(cancel_key(&key), encode(caller))
 }
 
-/// The record that lets go of a job in a partition of [`JOB_TOPIC`].
+/// The record that drops a job from a partition of [`JOB_TOPIC`].
 pub fn forget_job(key: &JobKey) -> Record {
     Record::drop_key(owned_key(key))
 }
 
-/// The records that let go of wishes to cancel a job: its account's, and those of whoever has none.
+/// The records that drop cancellation requests for a job: its account's, and those of callers
+/// without an account.
 pub fn forget_cancel(key: &JobKey) -> impl Iterator<Item = Record> {
     let anyone = JobKey { id: key.id, account: None };
     let keys = [cancel_key(key), cancel_key(&anyone)];
@@ -234,7 +235,7 @@
     Record::set(job_key(id), encode(progress))
 }
 
-/// The record that lets go of a job's progress.
+/// The record that drops a job's progress.
 pub fn forget_progress(id: JobId) -> Record {
     Record::drop_key(job_key(id))
 }
@@ -244,40 +245,40 @@
     Record::set(crashes_key(id), encode(crashes))
 }
 
-/// The record that lets go of them.
+/// The record that drops the tasks of a job under which workers crashed.
 pub fn forget_crashes(id: JobId) -> Record {
     Record::drop_key(crashes_key(id))
 }
 
 /// The record of a worker that may run something from now on.
-pub fn worker(life: &Incarnation, known: &StoredWorker) -> Record {
-    Record::set(worker_key(life), encode(known))
+pub fn worker(incarnation: &Incarnation, stored: &StoredWorker) -> Record {
+    Record::set(worker_key(incarnation), encode(stored))
 }
 
-/// The record of how long no scheduler has heard of a worker.
-pub fn unreachable(life: &Incarnation, time: Duration) -> Record {
-    Record::set(unreachable_key(life), encode(&time))
+/// The record of how long a worker has been unreachable.
+pub fn unreachable(incarnation: &Incarnation, time: Duration) -> Record {
+    Record::set(unreachable_key(incarnation), encode(&time))
 }
 
-/// The record that lets go of that.
-pub fn forget_unreachable(life: &Incarnation) -> Record {
-    Record::drop_key(unreachable_key(life))
+/// The record that drops for how long a worker has been unreachable.
+pub fn forget_unreachable(incarnation: &Incarnation) -> Record {
+    Record::drop_key(unreachable_key(incarnation))
 }
 
-/// The record of a worker whose life is over.
-pub fn ended(life: &Incarnation) -> Record {
-    // The value says nothing, but a record without one would drop the key.
-    Record::set(ended_key(life), encode(&true))
+/// The record of an ended incarnation.
+pub fn ended(incarnation: &Incarnation) -> Record {
+    // The value carries no information, but a record without one would drop the key.
+    Record::set(ended_key(incarnation), encode(&true))
 }
 
-/// The record that lets go of a worker whose life is over.
-pub fn forget_ended(life: &Incarnation) -> Record {
-    Record::drop_key(ended_key(life))
+/// The record that drops an ended incarnation.
+pub fn forget_ended(incarnation: &Incarnation) -> Record {
+    Record::drop_key(ended_key(incarnation))
 }
 
-/// The record of the machines of a wave whose upkeep has begun.
-pub fn wave(number: u64, begun: &[MachineId]) -> Record {
-    Record::set(wave_key(number), encode(&begun))
+/// The record of the machines of a wave whose maintenance has started.
+pub fn wave(number: u64, started: &[MachineId]) -> Record {
+    Record::set(wave_key(number), encode(&started))
 }
 
 /// The record of when a wave was first seen, since 1970.
@@ -285,32 +286,32 @@
     Record::set(wave_seen_key(number), encode(&at))
 }
 
-/// The record that lets go of that.
+/// The record that drops the time at which a wave was first seen.
 pub fn forget_wave_seen(number: u64) -> Record {
     Record::drop_key(wave_seen_key(number))
 }
 
-/// The record of the boxes that were ordered lately or are about to be.
+/// The record of the boxes that were ordered recently or are about to be.
 pub fn ordered(boxes: &HashSet<MachineId>) -> Record {
     Record::set(ORDERED_KEY, encode(boxes))
 }
 
-/// The record that lets go of a wave.
+/// The record that drops the progress of a wave.
 pub fn forget_wave(number: u64) -> Record {
     Record::drop_key(wave_key(number))
 }
 
-/// The record of a worker that runs nothing any more.
-pub fn forget_worker(life: &Incarnation) -> Record {
-    Record::drop_key(worker_key(life))
+/// The record that drops a worker which runs nothing any more.
+pub fn forget_worker(incarnation: &Incarnation) -> Record {
+    Record::drop_key(worker_key(incarnation))
 }
 
 impl ProgressRecord {
-    /// Reads a record of [`PROGRESS_TOPIC`].
+    /// Decodes a record of [`PROGRESS_TOPIC`].
     ///
     /// # Errors
     ///
-    /// [`RecordError`] if it is none of ours.
+    /// [`RecordError`] if its key, its value or the job in it is not valid.
     pub fn decode(record: &Record) -> Result<ProgressRecord, RecordError> {
         let Some(value) = &record.value else { return Ok(ProgressRecord::Dropped) };
         if let Some(id) = record.key.strip_prefix(WORKER_PREFIX) {
--- a/lib/src/batch/record/accepted.rs
+++ b/lib/src/batch/record/accepted.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of a job, and under whose name.
+//! Records of accepted jobs, and their keys.
 
 use std::time::Duration;
 
@@ -9,33 +9,33 @@
 
 use crate::state::id::AccountId;
 
-/// A job as it was accepted.
+/// An accepted job.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Accepted {
     /// The job.
     pub job: Job,
-    /// The queue it was handed in at.
+    /// The queue it was submitted to.
     pub queue: String,
-    /// The service that queue used then.
+    /// The service that the queue used then.
     pub service: String,
-    /// Rank of the queue; 0 comes first.
+    /// Priority of the queue; 0 comes first.
     pub priority: u32,
     /// How often a task may fail before the job fails.
     pub max_attempts: u32,
-    /// Its steps need the permission of the advice service.
+    /// Its steps need a ticket of the advice service.
     pub needs_advice: bool,
-    /// Fixed part of the objective of the job's time, in milliseconds.
+    /// Fixed part of the objective for the job's time, in milliseconds.
     pub objective_ms: u64,
-    /// Part of the objective that grows with the longest chain of work, in hundredths.
+    /// Part of the objective that grows with the critical path, in percent of it.
     pub stretch_percent: u32,
-    /// When it was accepted, since 1970, by the clock of the node that took it.
+    /// When it was accepted, since 1970, by the clock of the node that accepted it.
     pub at: Duration,
-    /// The account whose key it was handed in with; none at a queue that asks for none, and in records of before
-    /// accounts were known.
+    /// The account whose key it was submitted with; `None` at a queue that needs no key, and in
+    /// older records.
     pub account: Option<AccountId>,
 }
 
-/// A job as records of before accounts were known keep it: without the last field.
+/// An accepted job in the older form, without the account.
 #[derive(Deserialize)]
 pub(super) struct LegacyAccepted {
     job: Job,
@@ -68,8 +68,8 @@
     }
 }
 
-/// A job's record: which job, and whose. Two accounts that choose one id write two records, of which neither takes the
-/// place of the other.
+/// Identifies a job's record by job and account. Two accounts that choose the same id write two
+/// records, and neither replaces the other.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobKey {
     /// The job.
--- a/lib/src/batch/record/job.rs
+++ b/lib/src/batch/record/job.rs
@@ -1,4 +1,4 @@
-//! Records of jobs and of wishes to cancel them.
+//! Records of jobs and of cancellation requests.
 
 use spokelift_platform::job::JobId;
 use spokelift_platform::store::Record;
@@ -17,13 +17,13 @@
 pub enum JobRecord {
     /// A job was accepted.
     Accepted(JobId, Box<Accepted>),
-    /// A client wants a job cancelled.
+    /// A client requests a job's cancellation.
     Cancel(JobId, Caller),
     /// A key was dropped.
     Dropped,
 }
 
-/// Who wants a job cancelled. Records of before accounts were known say only that somebody does.
+/// Who requested the cancellation. Older records hold only `true`, which counts as the operator's.
 fn canceller(record: &Record, value: &[u8]) -> Result<Caller, RecordError> {
     if value == encode(&true) {
         return Ok(Caller::Operator);
@@ -32,19 +32,19 @@
 }
 
 fn decode_accepted(key: &str, value: &[u8]) -> Result<Accepted, RecordError> {
-    let owned: Result<Accepted, RecordError> = decode(key, value);
-    owned.or_else(|error| {
-        let ownerless: Result<LegacyAccepted, RecordError> = decode(key, value);
-        ownerless.map(Accepted::from).map_err(|_| error)
+    let current: Result<Accepted, RecordError> = decode(key, value);
+    current.or_else(|error| {
+        let legacy: Result<LegacyAccepted, RecordError> = decode(key, value);
+        legacy.map(Accepted::from).map_err(|_| error)
     })
 }
 
 impl JobRecord {
-    /// Reads a record of [`JOB_TOPIC`].
+    /// Decodes a record of [`JOB_TOPIC`].
     ///
     /// # Errors
     ///
-    /// [`RecordError`] if it is none of ours.
+    /// [`RecordError`] if its key, its value or the job in it is not valid.
     pub fn decode(record: &Record) -> Result<JobRecord, RecordError> {
         let Some(value) = &record.value else { return Ok(JobRecord::Dropped) };
         if let Some(key) = record.key.strip_prefix(CANCEL_PREFIX) {
@@ -52,7 +52,7 @@
         }
         let id = id_of_owned(&record.key)?;
         let accepted = decode_accepted(&record.key, value)?;
-        // Whoever wrote it: a job too large to keep would bring down each scheduler in turn.
+        // Checked whoever wrote it: a job too large to keep would crash each scheduler in turn.
         let unusable = |error| RecordError::Job(record.key.clone(), error);
         accepted.job.check().map_err(unusable)?;
         Ok(JobRecord::Accepted(id, Box::new(accepted)))
