--- a/lib/src/batch/admit.rs
+++ b/lib/src/batch/admit.rs
@@ -1,4 +1,4 @@
-//! Which queue a call is for, and whether it takes calls from whoever makes it.
+//! Finds the queue of a request and checks the caller's key.
 
 use hyper::header::HOST;
 use hyper::http::request::Parts;
@@ -9,24 +9,24 @@
 use crate::batch::config::Config;
 use crate::state::account::CredentialError;
 
-/// A call that a queue takes.
+/// An admitted request.
 #[derive(Clone, Debug)]
 pub struct Admitted {
     /// The queue.
     pub queue: Queue,
-    /// Who makes the call.
+    /// Who makes the request.
     pub caller: Caller,
     /// What follows the queue's prefix in the path.
     pub rest: String,
 }
 
-/// Why a call is not taken.
+/// Why a request is not admitted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Refusal {
     /// No queue has this host and path.
     #[error("no such queue")]
     NoQueue,
-    /// The queue asks for a key of an account.
+    /// The queue needs a key of an account.
     #[error("{0}")]
     Credential(CredentialError),
 }
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Whether a later configuration may take the call.
+    /// Whether a newer configuration than this node's may admit the request.
     pub fn may_be_outdated(&self) -> bool {
         matches!(self, Refusal::NoQueue | Refusal::Credential(CredentialError::Unknown))
     }
 }
 
-/// Finds the queue of a call, by its host and path, and who makes it.
+/// Finds the queue of a request, by its host and path, and its caller.
 ///
 /// ```
 /// # use hyper::Request;
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 ///
-/// [`Refusal`] says why the call is not taken.
+/// [`Refusal`] if no queue matches or the key is not valid.
 pub fn admit(config: &Config, head: &Parts) -> Result<Admitted, Refusal> {
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
     let host = host.split(':').next().unwrap_or("");
--- a/lib/src/batch/caller.rs
+++ b/lib/src/batch/caller.rs
@@ -1,4 +1,4 @@
-//! Who asks for a job, and whether it is theirs.
+//! Callers of job requests, and which jobs they may access.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,13 +6,13 @@
 use crate::batch::record::Accepted;
 use crate::state::id::AccountId;
 
-/// Who asks for a job.
+/// Who makes a request about jobs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Caller {
-    /// The site's operator.
+    /// The operator.
     #[serde(rename = "Site")]
     Operator,
-    /// Whoever calls at a queue that asks for no key.
+    /// Anyone, at a queue that needs no key.
     Anyone {
         /// The queue.
         queue: String,
@@ -22,7 +22,8 @@
 }
 
 impl Caller {
-    /// The account whose jobs its jobs are.
+    /// The account that owns the caller's jobs; `None` for the operator and for callers without a
+    /// key.
     pub fn account(&self) -> Option<&AccountId> {
         match self {
             Caller::Account(account) => Some(account),
@@ -30,10 +31,11 @@
         }
     }
 
-    /// Whether a job is there for this caller: to see, to cancel, to count.
+    /// Whether this caller may see, cancel and count a job.
     ///
-    /// A job that belongs to no account is there for whoever knows its id. Jobs of accounts are there at a queue
-    /// without keys only if it is theirs: the operator has opened it since they were handed in.
+    /// A job without an account is accessible to anyone who knows its id. A job of an account is
+    /// accessible at a queue without keys only if it was submitted there: the operator has removed
+    /// the queue's key requirement since.
     ///
     /// ```
     /// use spokelift_lib::batch::caller::Caller;
--- a/lib/src/batch/config.rs
+++ b/lib/src/batch/config.rs
@@ -1,6 +1,7 @@
-//! The configuration in force: what the operator has published, with the accounts' keys as hashes.
+//! The configuration in force, as published by the operator, with the accounts' keys as hashes.
 //!
-//! In this form it passes from node to node, so that no key is kept or sent in clear text beyond its decoding.
+//! Nodes send it to each other in this form, so that no key is stored or sent in clear text after
+//! it is decoded.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -24,12 +25,12 @@
 use crate::state::account::hash_secret;
 use crate::state::id::AccountId;
 
-/// An account, as far as it matters after its keys were read.
+/// An account, without its keys.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Account {
-    /// Its share against other accounts.
+    /// Its fair share relative to other accounts.
     pub weight: f64,
-    /// What it may have running at once.
+    /// Its quota: what it may have running at once.
     pub maximum: Maximum,
     /// How many keys it has.
     pub keys: usize,
@@ -52,16 +53,17 @@
 }
 
 impl Config {
-    /// The configuration that an operator has published.
+    /// The configuration that the operator has published.
     ///
-    /// An account that stands there twice has the keys of both and the lower of their bounds. A key that two accounts
-    /// have, or that is empty, is nobody's: it must not show one account the jobs of another.
+    /// An account that is listed twice gets the keys of both entries and the lower of each quota. A
+    /// key that is empty or belongs to two accounts is ignored: it must not show one account the
+    /// jobs of another.
     pub fn new(mut published: config::Config) -> Config {
         let mut config = Config::default();
         let mut shared = HashSet::new();
         for listed in published.accounts.iter_mut().flatten() {
             if listed.name.is_empty() {
-                log::warn!("an account without a name counts for none");
+                log::warn!("account without a name is ignored");
                 listed.keys.clear();
                 continue;
             }
@@ -69,14 +71,14 @@
             config.add_account(&id, listed);
             for key in std::mem::take(&mut listed.keys) {
                 let hash = hash_secret(key.text().trim());
-                let before = config.owners.insert(hash, id.clone());
-                if key.text().trim().is_empty() || before.is_some_and(|before| before != id) {
+                let previous = config.owners.insert(hash, id.clone());
+                if key.text().trim().is_empty() || previous.is_some_and(|previous| previous != id) {
                     shared.insert(hash);
                 }
             }
         }
         if !shared.is_empty() {
-            log::warn!(keys = shared.len(); "keys that are empty or belong to several accounts count for none");
+            log::warn!(keys = shared.len(); "empty keys and keys of several accounts are ignored");
         }
         config.owners.retain(|hash, _| !shared.contains(hash));
         for owner in config.owners.values() {
@@ -109,11 +111,11 @@
         &self.accounts
     }
 
-    /// Checks that the account of a caller may run each step of a job at all.
+    /// Checks that each step of a job can run within the quota of the caller's account.
     ///
     /// # Errors
     ///
-    /// [`OverQuota`] names the first step that it may not.
+    /// [`OverQuota`] names the first step that cannot.
     pub fn check_quota(&self, caller: &Caller, job: &Job) -> Result<(), OverQuota> {
         let account = caller.account().and_then(|id| self.accounts.get(id));
         let Some(account) = account else { return Ok(()) };
@@ -121,13 +123,14 @@
             .map_or(Ok(()), |step| Err(OverQuota(step)))
     }
 
-    /// Who a call at a queue is from.
+    /// The caller of a request to a queue.
     ///
-    /// The key is looked up by its hash, so how long that takes tells nothing of the keys there are.
+    /// The key is looked up by its hash, so that the time it takes reveals nothing about existing
+    /// keys.
     ///
     /// # Errors
     ///
-    /// [`CredentialError`] if the queue needs a key and the call bears none that is in force.
+    /// [`CredentialError`] if the queue needs a key and the request has no valid one.
     pub fn caller(&self, queue: &Queue, headers: &HeaderMap) -> Result<Caller, CredentialError> {
         if !self.needs_key(queue) {
             return Ok(Caller::Anyone { queue: queue.name.clone() });
@@ -138,15 +141,15 @@
     }
 }
 
-/// Why a job of an account cannot be served as its bound is now.
+/// The step of a job with this index exceeds the quota of its account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("step {0} is wider than its account may run")]
+#[error("step {0} exceeds the quota of its account")]
 pub struct OverQuota(pub usize);
 
-/// The lower of two bounds, of which 0 is none.
+/// The stricter of two quotas, of which a part of 0 means no limit.
 fn stricter_quota(one: Maximum, other: Maximum) -> Maximum {
     let lower = |one: u64, other: u64| match (one, other) {
-        (0, bound) | (bound, 0) => bound,
+        (0, limit) | (limit, 0) => limit,
         (one, other) => one.min(other),
     };
     Maximum {
--- a/lib/src/batch/demand.rs
+++ b/lib/src/batch/demand.rs
@@ -1,4 +1,4 @@
-//! How much work arrives for each service, and how long its tasks really run.
+//! Rate of arriving work for each service, and actual run times against estimates.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,64 +6,64 @@
 
 use crate::batch::job::Entry;
 
-/// Time in which an arrival's weight falls to 1/e. Loads turn from service to service within
-/// seconds; a machine takes about two to be moved.
+/// Time in which an arrival's weight falls to 1/e. Load shifts between services within seconds; a
+/// machine takes about two to be moved.
 const ARRIVAL_DECAY: Duration = Duration::from_millis(1_500);
-/// The same for the estimate that sees a rise first. It scatters, so it counts only where it is the
-/// higher one: a machine too many costs little, one that comes late costs jobs.
+/// The same for the estimate that follows a rise first. It is noisy, so it counts only where it is
+/// the higher one: an unneeded machine costs little, one that comes late costs jobs.
 const SHORT_ARRIVAL_DECAY: Duration = Duration::from_millis(600);
-/// Weight of the newest run in the mean of run times against guesses.
+/// Weight of the newest run in the mean ratio of run time to estimate.
 const RUN_TIME_RATIO_WEIGHT: f64 = 0.05;
-/// Bounds of that mean, so that a few odd runs do not mislead.
+/// Range to which each ratio is clamped, so that a few outliers do not distort the mean.
 const RUN_TIME_RATIO_BOUNDS: (f64, f64) = (0.3, 3.0);
 
-/// Work that arrives, for one service.
+/// Arriving work of one service.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
-    /// Weighted work, in thousandths of a core times milliseconds.
+    /// Decayed work, in thousandths of a core times milliseconds.
     work: f64,
-    /// The same with the shorter memory.
+    /// The same with the shorter decay time.
     recent_work: f64,
     at: Instant,
 }
 
-/// What is learned of arrivals and run times.
+/// Estimates of arriving work and run times.
 #[derive(Default)]
 pub struct Demand {
     arrivals: HashMap<String, Arrival>,
-    /// Mean of true run time over the client's guess, by queue.
+    /// Mean ratio of actual run time to the client's estimate, by queue.
     run_time_ratios: HashMap<String, f64>,
 }
 
 impl Demand {
-    /// A job has arrived.
+    /// Records the arrival of a job.
     pub fn record_arrival(&mut self, entry: &Entry, now: Instant) {
         let ratio = self.run_time_ratio(&entry.accepted.queue);
-        let ends =
+        let finite_steps =
             entry.accepted.job.steps.iter().filter(|step| !step.long_running && !step.best_effort);
-        let work: f64 = ends
+        let work: f64 = finite_steps
             .map(|step| f64::from(step.count) * f64::from(step.cpu) * step.estimate_ms as f64)
             .sum();
-        let rate = self.arrivals.entry(entry.accepted.service.clone());
-        let rate = rate.or_insert(Arrival { work: 0.0, recent_work: 0.0, at: now });
-        let age = now.saturating_duration_since(rate.at);
-        rate.work = decayed(rate.work, age, ARRIVAL_DECAY) + work * ratio;
-        rate.recent_work = decayed(rate.recent_work, age, SHORT_ARRIVAL_DECAY) + work * ratio;
-        rate.at = now;
+        let arrival = self.arrivals.entry(entry.accepted.service.clone());
+        let arrival = arrival.or_insert(Arrival { work: 0.0, recent_work: 0.0, at: now });
+        let age = now.saturating_duration_since(arrival.at);
+        arrival.work = decayed(arrival.work, age, ARRIVAL_DECAY) + work * ratio;
+        arrival.recent_work = decayed(arrival.recent_work, age, SHORT_ARRIVAL_DECAY) + work * ratio;
+        arrival.at = now;
     }
 
-    /// A task guessed to run for `guess` has run for `took`.
-    pub fn record_run(&mut self, queue: &str, guess: Duration, took: Duration) {
-        if guess.is_zero() {
+    /// Records a finished run that run_time `run_time`, with the client's estimate.
+    pub fn record_run(&mut self, queue: &str, estimate: Duration, run_time: Duration) {
+        if estimate.is_zero() {
             return;
         }
-        let ratio = took.as_secs_f64() / guess.as_secs_f64();
+        let ratio = run_time.as_secs_f64() / estimate.as_secs_f64();
         let mean = self.run_time_ratios.entry(queue.to_owned()).or_insert(1.0);
         *mean += RUN_TIME_RATIO_WEIGHT
             * (ratio.clamp(RUN_TIME_RATIO_BOUNDS.0, RUN_TIME_RATIO_BOUNDS.1) - *mean);
     }
 
-    /// Mean of true run time over the client's guess.
+    /// Mean ratio of actual run time to the client's estimate; 1 if no run was recorded.
     pub fn run_time_ratio(&self, queue: &str) -> f64 {
         self.run_time_ratios.get(queue).copied().unwrap_or(1.0)
     }
@@ -79,7 +79,7 @@
     }
 }
 
-/// What is left of a weighted sum after a time.
-fn decayed(work: f64, age: Duration, memory: Duration) -> f64 {
-    work * (-age.as_secs_f64() / memory.as_secs_f64()).exp()
+/// A weighted sum after `age`.
+fn decayed(work: f64, age: Duration, decay_time: Duration) -> f64 {
+    work * (-age.as_secs_f64() / decay_time.as_secs_f64()).exp()
 }
--- a/lib/src/batch/document.rs
+++ b/lib/src/batch/document.rs
@@ -1,4 +1,4 @@
-//! Jobs as operators write them, in the product's own names.
+//! Job documents of the operator, with this product's field names.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,7 +14,7 @@
     pub spec: String,
     /// The steps, in an order in which each depends on earlier ones only.
     pub steps: Vec<Step>,
-    /// When the steps run, if not once and at once.
+    /// When the steps run; without it they run once, immediately.
     #[serde(default)]
     pub schedule: Option<Schedule>,
 }
@@ -23,34 +23,34 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Schedule {
-    /// How often; at least once.
+    /// Number of repetitions; at least 1.
     pub times: u32,
-    /// When first, in milliseconds since 1970.
+    /// Time of the first repetition, in milliseconds since 1970.
     pub first_ms: u64,
-    /// Time between two, in milliseconds.
+    /// Time between two repetitions, in milliseconds.
     #[serde(default)]
     pub every_ms: u64,
 }
 
-/// Tasks of a job that are alike.
+/// Tasks of a job that have the same requirements.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Step {
     /// Number of tasks.
     pub tasks: u32,
-    /// Cores a task asks for.
+    /// Cores that a task requests.
     pub cores: f64,
-    /// Memory a task asks for, in megabytes.
+    /// Memory that a task requests, in megabytes.
     pub memory_mb: u32,
-    /// Accelerators a task asks for.
+    /// Accelerators that a task requests.
     pub gpus: u32,
-    /// A rough guess of a task's time, in milliseconds.
+    /// Rough estimate of a task's run time, in milliseconds.
     pub estimate_ms: u64,
-    /// Steps all of whose tasks must be done first.
+    /// Steps whose tasks must all be done first.
     pub after: Vec<u16>,
-    /// The tasks save their progress as they go.
+    /// The tasks save checkpoints as they run.
     pub checkpoints: bool,
-    /// The tasks work only together.
+    /// The tasks run only together.
     pub gang: bool,
     /// The tasks are slow unless they are all on one rack.
     pub same_rack: bool,
@@ -66,37 +66,37 @@
     pub lasting: bool,
     /// What the tasks run; tasks of one image behave alike.
     pub image: Option<String>,
-    /// The tail of the tasks' answer times is to stay under this, in milliseconds; 0 for none.
+    /// Limit of the tasks' tail latency, in milliseconds; 0 for none.
     pub tail_limit_ms: u64,
-    /// The tasks take only what others leave unused.
+    /// The tasks are best-effort: they use only what others leave unused.
     pub leftovers: bool,
-    /// How many tasks may be away at once for maintenance.
+    /// How many tasks may be unavailable at once because of maintenance.
     pub may_be_away: Option<u32>,
 }
 
-/// Why a job that an operator wrote cannot be used.
+/// Why a job document is rejected.
 #[derive(Debug, Error)]
 pub enum DocumentError {
     /// It does not decode.
     #[error("the job does not decode: {0}")]
     Decode(#[from] serde_json::Error),
-    /// A step asks for a number of cores that no worker can have.
+    /// A step requests a number of cores that no worker can have.
     #[error("step {step} asks for {cores} cores; accepted: 0 to {MAX_CORES}")]
     Cores {
         /// The step.
         step: usize,
-        /// What it asks for.
+        /// What it requests.
         cores: f64,
     },
-    /// It is scheduled for no time at all.
+    /// Its schedule has no repetition.
     #[error("the schedule has 0 times; accepted: 1 or more")]
     EmptySchedule,
-    /// It can be read and is not sound.
+    /// It decodes and is not a valid job.
     #[error(transparent)]
     Job(#[from] JobError),
 }
 
-/// Most cores a task may ask for: far above the largest box.
+/// Most cores that a task may request: far above the largest box.
 const MAX_CORES: u32 = 4_096;
 
 impl Job {
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     ///
-    /// [`DocumentError`] says what is wrong with it.
+    /// [`DocumentError`] if the document does not decode or is not a valid job.
     pub fn decode(text: &[u8]) -> Result<job::Job, DocumentError> {
         let document: Job = serde_json::from_slice(text)?;
         let schedule = document.schedule;
--- a/lib/src/batch/stuck.rs
+++ b/lib/src/batch/stuck.rs
@@ -1,4 +1,5 @@
-//! Tasks that last, have waited for long, and would fit on a worker of their service: why each waits.
+//! Long-running tasks that have waited for long although they would fit on a worker of their
+//! service, and why each of them waits.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -12,28 +13,29 @@
 use crate::batch::job::Entry;
 use crate::batch::place::fit::count_unfit_workers;
 
-/// How long a task that lasts may wait beside room before that is told: a start takes some milliseconds, a box
-/// that is fetched about 3 s.
+/// How long a long-running task may wait despite free resources before it is reported: a start
+/// takes some milliseconds, and moving a box about 3 s.
 const MIN_WAIT: Duration = Duration::from_millis(3_000);
-/// Most steps that are looked at and told of in a round: under a full load more of them say nothing more.
+/// Most steps that are examined and reported in a round: under full load more of them add no
+/// information.
 const MAX_STEPS: usize = 16;
 
-/// A task that waits beside room.
+/// A task that waits despite free resources.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StuckTask {
     /// The task, the first of its step.
     pub task: TaskName,
     /// For how long it has waited.
     pub waited: Duration,
-    /// What keeps it from how many workers of its service.
+    /// Each reason that keeps it from workers of its service, with the number of these workers.
     pub blockers: BTreeMap<String, usize>,
 }
 
-/// The first tasks of steps that last, in their order, that have waited for long although some worker that
-/// answers has room for them.
+/// The first waiting task of each long-running step, in rank order, that has waited for long
+/// although some responsive worker has free resources for it.
 pub fn stuck_tasks(cell: &Cell, now: Instant) -> Vec<StuckTask> {
-    let lasting = cell.ready.iter().take_while(|rank| !rank.is_finite).take(MAX_STEPS);
-    lasting.filter_map(|rank| stuck_step(cell, rank, now)).collect()
+    let long_running = cell.ready.iter().take_while(|rank| !rank.is_finite).take(MAX_STEPS);
+    long_running.filter_map(|rank| stuck_step(cell, rank, now)).collect()
 }
 
 fn stuck_step(cell: &Cell, rank: &Rank, now: Instant) -> Option<StuckTask> {
@@ -52,28 +54,30 @@
     Some(StuckTask { task, waited, blockers: count_unfit_workers(cell, task, now) })
 }
 
-/// Tells of tasks that wait beside room, each when it is found first and as its reasons change.
+/// Logs tasks that wait despite free resources, when they are found first and when their reasons
+/// change.
 #[derive(Debug, Default)]
 pub struct Reporter {
     reported: HashMap<TaskName, Vec<String>>,
 }
 
 impl Reporter {
-    /// Writes the lines that are due; returns how many tasks wait beside room for the first time.
+    /// Writes the log lines that are due; returns how many of the tasks were not reported before.
     pub fn report(&mut self, stuck: &[StuckTask]) -> usize {
-        self.reported.retain(|task, _| stuck.iter().any(|one| one.task == *task));
+        self.reported.retain(|task, _| stuck.iter().any(|stuck_task| stuck_task.task == *task));
         let mut first = 0;
-        for one in stuck {
-            let reasons: Vec<String> = one.blockers.keys().cloned().collect();
-            let before = self.reported.insert(one.task, reasons.clone());
+        for stuck_task in stuck {
+            let reasons: Vec<String> = stuck_task.blockers.keys().cloned().collect();
+            let before = self.reported.insert(stuck_task.task, reasons.clone());
             first += usize::from(before.is_none());
             if before.as_ref() != Some(&reasons) {
-                let held_by = one.blockers.iter().map(|(why, workers)| format!("{why}: {workers}"));
+                let blockers =
+                    stuck_task.blockers.iter().map(|(why, workers)| format!("{why}: {workers}"));
                 log::info!(
-                    task = one.task.to_string().as_str(),
-                    waited_ms = one.waited.as_millis() as u64,
-                    held_by = held_by.collect::<Vec<String>>().join(", ").as_str();
-                    "waits beside room"
+                    task = stuck_task.task.to_string().as_str(),
+                    waited_ms = stuck_task.waited.as_millis() as u64,
+                    held_by = blockers.collect::<Vec<String>>().join(", ").as_str();
+                    "task waits despite free resources"
                 );
             }
         }
--- a/lib/src/batch/usage.rs
+++ b/lib/src/batch/usage.rs
@@ -1,4 +1,4 @@
-//! What accounts have running, and whether more of them may start.
+//! Resource usage of accounts, and whether it is within their quotas.
 
 use std::collections::HashMap;
 use std::sync::LazyLock;
@@ -9,7 +9,7 @@
 
 use crate::state::id::AccountId;
 
-/// A sum of what tasks ask for.
+/// Sum of resources that tasks request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Processor, in thousandths of a core.
@@ -21,13 +21,17 @@
 }
 
 impl From<Resources> for Usage {
-    fn from(room: Resources) -> Usage {
-        Usage { cpu: room.cpu.into(), memory_mb: room.memory_mb.into(), gpu: room.gpu.into() }
+    fn from(resources: Resources) -> Usage {
+        Usage {
+            cpu: resources.cpu.into(),
+            memory_mb: resources.memory_mb.into(),
+            gpu: resources.gpu.into(),
+        }
     }
 }
 
 impl Usage {
-    /// What so many tasks of a step ask for, also those that take only what others leave unused.
+    /// What `tasks` tasks of a step request. Best-effort tasks count in full.
     pub fn of(step: &Step, tasks: u64) -> Usage {
         Usage {
             cpu: u64::from(step.cpu) * tasks,
@@ -45,7 +49,7 @@
         }
     }
 
-    /// What is left without the other; never less than nothing.
+    /// The difference of both; parts below zero become zero.
     pub fn minus(self, other: Usage) -> Usage {
         Usage {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -54,7 +58,7 @@
         }
     }
 
-    /// The lower of both, part by part.
+    /// The minimum of both, part by part.
     pub fn component_min(self, other: Usage) -> Usage {
         Usage {
             cpu: self.cpu.min(other.cpu),
@@ -63,81 +67,81 @@
         }
     }
 
-    /// Whether this is within a bound, of whose parts 0 is none.
+    /// Whether this is within a quota, of which a part of 0 means no limit.
     ///
     /// ```
     /// use spokelift_lib::batch::usage::Usage;
     /// use spokelift_platform::config::Maximum;
-    /// let bound = Maximum { cpu: 100, memory_mb: 0, gpu: 0 };
-    /// assert!(Usage { cpu: 100, memory_mb: 9_000, gpu: 1 }.is_within(&bound));
-    /// assert!(!Usage { cpu: 101, ..Usage::default() }.is_within(&bound));
+    /// let quota = Maximum { cpu: 100, memory_mb: 0, gpu: 0 };
+    /// assert!(Usage { cpu: 100, memory_mb: 9_000, gpu: 1 }.is_within(&quota));
+    /// assert!(!Usage { cpu: 101, ..Usage::default() }.is_within(&quota));
     /// ```
-    pub fn is_within(self, bound: &Maximum) -> bool {
-        let within = |used: u64, bound: u64| bound == 0 || used <= bound;
-        within(self.cpu, bound.cpu)
-            && within(self.memory_mb, bound.memory_mb)
-            && within(self.gpu, bound.gpu)
+    pub fn is_within(self, quota: &Maximum) -> bool {
+        let within = |used: u64, quota: u64| quota == 0 || used <= quota;
+        within(self.cpu, quota.cpu)
+            && within(self.memory_mb, quota.memory_mb)
+            && within(self.gpu, quota.gpu)
     }
 }
 
-/// The first step of a job of which no part could ever start within a bound: one of its tasks, or the whole of a gang,
-/// is above it.
+/// The first step of a job that could never start within a quota, because one of its tasks, or the
+/// whole of a gang, exceeds it; `None` if all can.
 ///
 /// ```
 /// use spokelift_lib::batch::usage::first_step_over_quota;
 /// use spokelift_platform::config::Maximum;
 /// use spokelift_platform::job::Step;
-/// let bound = Maximum { cpu: 1_000, ..Maximum::default() };
+/// let quota = Maximum { cpu: 1_000, ..Maximum::default() };
 /// let step = |gang| Step { count: 4, cpu: 500, gang, ..Step::default() };
-/// assert_eq!(first_step_over_quota(&[step(false)], &bound), None);
-/// assert_eq!(first_step_over_quota(&[step(false), step(true)], &bound), Some(1));
+/// assert_eq!(first_step_over_quota(&[step(false)], &quota), None);
+/// assert_eq!(first_step_over_quota(&[step(false), step(true)], &quota), Some(1));
 /// ```
-pub fn first_step_over_quota(steps: &[Step], bound: &Maximum) -> Option<usize> {
+pub fn first_step_over_quota(steps: &[Step], quota: &Maximum) -> Option<usize> {
     let least = |step: &Step| Usage::of(step, if step.gang { step.count.into() } else { 1 });
-    steps.iter().position(|step| step.count > 0 && !least(step).is_within(bound))
+    steps.iter().position(|step| step.count > 0 && !least(step).is_within(quota))
 }
 
-/// Stands for whoever has no account where shares are compared; it has no bound.
+/// Stands for callers without an account where fair shares are compared; it has no quota.
 static NO_ACCOUNT: LazyLock<AccountId> = LazyLock::new(|| AccountId::from(""));
 
-/// The account that a job's runs count for.
+/// The account to which a job's runs are charged.
 pub fn owner(account: Option<&AccountId>) -> AccountId {
     account.unwrap_or(&NO_ACCOUNT).clone()
 }
 
-/// A part of what an account has running: one run.
+/// Quota usage of one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// The account.
     pub account: AccountId,
-    /// What the run asks for.
+    /// What the run requests.
     pub usage: Usage,
 }
 
 impl Claim {
-    /// Whether there may be a bound to what it is a part of.
+    /// Whether the account may have a quota.
     pub fn has_quota(&self) -> bool {
         self.account != *NO_ACCOUNT
     }
 }
 
-/// What each account has running.
+/// Usage of each account.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Totals(HashMap<AccountId, Usage>);
 
 impl Totals {
-    /// What an account has running.
+    /// Usage of an account.
     pub fn of(&self, account: &AccountId) -> Usage {
         self.0.get(account).copied().unwrap_or_default()
     }
 
-    /// A run may have begun.
+    /// Adds a run that may have started.
     pub fn add(&mut self, claim: &Claim) {
         let total = self.0.entry(claim.account.clone()).or_default();
         *total = total.plus(claim.usage);
     }
 
-    /// A run is known to be gone.
+    /// Removes a run that is known to have ended.
     pub fn remove(&mut self, claim: &Claim) {
         let Some(total) = self.0.get_mut(&claim.account) else { return };
         *total = total.minus(claim.usage);
@@ -146,7 +150,7 @@
         }
     }
 
-    /// Each account that has something running.
+    /// The accounts with usage.
     pub fn iter(&self) -> impl Iterator<Item = (&AccountId, &Usage)> {
         self.0.iter()
     }
