--- a/lib/tests/test_crash_storm.rs
+++ b/lib/tests/test_crash_storm.rs
@@ -1,49 +1,49 @@
-//! Workers that crash together say little of what ran on them.
+//! Workers that crash together are weak evidence against the tasks on them.
 //!
-//! What happens: three in ten workers of a service crash in the same moment, again each 3 s. Some tasks had just
-//! begun on one of them each time, and a task that brings down its workers looks the same. They were given up after
-//! two crashes, and a job whose 24 tasks last was failed as a whole for one of them, so that a standing service ended.
-//! Why: each crash was weighed by itself, although a tenth of all workers and more crashed beside it, which no task
-//! on one of them explains.
-//! Shown by: `worker crashed` 95 times within 0.6 s, and `task given up, workers crash under it` for tasks on two of
-//! these workers, on a site on which no task brought down any worker.
+//! Guards against this failure: three in ten workers of a service crash at the same time, every
+//! 3 s. Some tasks have just started on one of them each time and look like tasks that crash their
+//! workers. They are abandoned after two crashes, and a job of 24 long-running tasks fails as a
+//! whole because of one of them. It comes about if each crash is judged alone, although a tenth of
+//! all workers or more crash beside it, which no task on one of them explains. In the log, `worker
+//! crashed` appears 95 times within 0.6 s, and tasks on two of these workers are abandoned although
+//! no task crashes workers.
 
 use spokelift_testutils::batch::play::Load;
 use spokelift_testutils::batch::play::Outcomes;
 use spokelift_testutils::batch::play::play_beside_lasting;
 
-/// Jobs that last, of six tasks each.
-const LASTING: u64 = 8;
+/// Long-running jobs, of six tasks each.
+const LONG_RUNNING_JOBS: u64 = 8;
 
-fn play_all(load: Load) -> Outcomes {
+fn run_all(load: Load) -> Outcomes {
     let mut sum = Outcomes::default();
     for seed in 1..=40 {
-        sum.add(&play_beside_lasting(load, LASTING, seed));
+        sum.add(&play_beside_lasting(load, LONG_RUNNING_JOBS, seed));
     }
     println!("{sum:?}");
     sum
 }
 
 #[test]
-fn no_job_is_given_up_for_crashes_that_come_together() {
-    let sum = play_all(Load { jobs_per_s: 14.0, poison: 0.0, crashing: 0.3 });
+fn no_job_is_abandoned_for_correlated_crashes() {
+    let sum = run_all(Load { jobs_per_s: 14.0, poison: 0.0, crashing: 0.3 });
     assert_eq!(sum.lasting_given_up, 0, "{sum:?}");
-    // One job in two thousand: a task of 0.64 s meets five such crashes in a row less often than that.
+    // One job in two thousand: a task of 0.64 s is hit by five such crashes in a row less often.
     assert!(sum.given_up * 2_000 <= sum.innocent, "{sum:?}");
     assert_eq!(sum.done + sum.given_up, sum.innocent, "{sum:?}");
 }
 
 #[test]
-fn jobs_that_last_outlive_crashes_that_come_together() {
-    // Little else runs, so nothing is heard of a worker between a start and the next crash.
-    let sum = play_all(Load { jobs_per_s: 1.0, poison: 0.0, crashing: 0.3 });
+fn long_running_jobs_survive_correlated_crashes() {
+    // Little else runs, so a worker is rarely polled between a start and the next crash.
+    let sum = run_all(Load { jobs_per_s: 1.0, poison: 0.0, crashing: 0.3 });
     assert_eq!(sum.lasting_given_up, 0, "{sum:?}");
     assert_eq!(sum.given_up, 0, "{sum:?}");
 }
 
 #[test]
-fn poison_tasks_are_given_up_within_the_budget_in_a_storm_of_crashes() {
-    let sum = play_all(Load { jobs_per_s: 14.0, poison: 0.03, crashing: 0.3 });
+fn poison_tasks_are_abandoned_within_the_limit_among_correlated_crashes() {
+    let sum = run_all(Load { jobs_per_s: 14.0, poison: 0.03, crashing: 0.3 });
     assert!(sum.poison > 50, "{sum:?}");
     assert!(sum.most_starts <= 5, "{sum:?}");
     assert_eq!(sum.poison_left, 0, "{sum:?}");
--- a/lib/tests/test_demand.rs
+++ b/lib/tests/test_demand.rs
@@ -1,4 +1,4 @@
-//! What is learned of arriving work.
+//! Estimates of arriving work.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -35,7 +35,7 @@
     Entry::new(1, accepted)
 }
 
-/// Lets jobs arrive evenly; returns when the last one has.
+/// Adds jobs at even intervals; returns the time after the last one.
 fn arrive(demand: &mut Demand, from: Instant, per_s: u32, time: Duration) -> Instant {
     let gap = Duration::from_secs(1) / per_s;
     let count = (time.as_secs_f64() * f64::from(per_s)) as u32;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_rise_is_seen_at_once_and_a_fall_slowly() {
+fn the_rate_follows_a_rise_at_once_and_a_fall_slowly() {
     let mut demand = Demand::default();
     let now = arrive(&mut demand, clock::now(), 10, Duration::from_secs(6));
     assert!((9..=12).contains(&cores(&demand, now)), "{}", cores(&demand, now));
--- a/lib/tests/test_table.rs
+++ b/lib/tests/test_table.rs
@@ -1,5 +1,5 @@
-//! The indexes of workers: they say what a look at every worker would, whatever happens, and they keep
-//! the cost of one placement away from the size of the site.
+//! The indexes of workers: they match a full count after any sequence of events, and keep the cost
+//! of one placement independent of the number of workers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -24,9 +24,9 @@
 use spokelift_testutils::batch::addr;
 
 const TOKEN: u64 = 7;
-/// Time between two rounds of placing that nothing but time asks for.
+/// Time between two rounds of placement that only the passing of time requires.
 const TICK: Duration = Duration::from_millis(100);
-/// Longest time that a suspect waits where there is room for it, and a little more.
+/// Longest time that a suspect waits despite free resources, and a little more.
 const SUSPECTS_WAIT: Duration = Duration::from_millis(1_300);
 const SERVICES: [&str; 3] = ["one", "two", "three"];
 
@@ -52,49 +52,49 @@
     Step { count, cpu: 1_000, memory_mb: 100, estimate_ms: 500, ..Step::default() }
 }
 
-/// What may happen to a worker or a job.
+/// An event at a worker or a job.
 #[derive(Clone, Debug)]
-enum Happening {
-    Meet(usize),
+enum Event {
+    Discover(usize),
     Drain(usize),
     Unlist(usize),
     Resize(usize, u32),
     Overwrite(usize),
-    Look(usize),
-    Miss(usize),
-    Bury(usize),
-    Lapse(usize),
-    Job { service: usize, tasks: u32, lasts: bool, rack: Option<usize> },
+    Poll(usize),
+    FailPoll(usize),
+    End(usize),
+    Expire(usize),
+    Job { service: usize, tasks: u32, is_long_running: bool, rack: Option<usize> },
     Cancel(u64),
     Refuse,
     Flush,
     Place,
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn event() -> impl Strategy<Value = Event> {
     let worker = 0..12_usize;
     prop_oneof![
-        3 => worker.clone().prop_map(Happening::Meet),
-        1 => worker.clone().prop_map(Happening::Drain),
-        1 => worker.clone().prop_map(Happening::Unlist),
-        2 => (worker.clone(), 0..12_000_u32).prop_map(|(number, cpu)| Happening::Resize(number, cpu)),
-        1 => worker.clone().prop_map(Happening::Overwrite),
-        8 => worker.clone().prop_map(Happening::Look),
-        2 => worker.clone().prop_map(Happening::Miss),
-        1 => worker.clone().prop_map(Happening::Bury),
-        1 => worker.prop_map(Happening::Lapse),
+        3 => worker.clone().prop_map(Event::Discover),
+        1 => worker.clone().prop_map(Event::Drain),
+        1 => worker.clone().prop_map(Event::Unlist),
+        2 => (worker.clone(), 0..12_000_u32).prop_map(|(number, cpu)| Event::Resize(number, cpu)),
+        1 => worker.clone().prop_map(Event::Overwrite),
+        8 => worker.clone().prop_map(Event::Poll),
+        2 => worker.clone().prop_map(Event::FailPoll),
+        1 => worker.clone().prop_map(Event::End),
+        1 => worker.prop_map(Event::Expire),
         4 => (0..3_usize, 1..6_u32, any::<bool>(), prop::option::of(0..4_usize)).prop_map(
-            |(service, tasks, lasts, rack)| Happening::Job { service, tasks, lasts, rack }
+            |(service, tasks, is_long_running, rack)| Event::Job { service, tasks, is_long_running, rack }
         ),
-        1 => (1..20_u64).prop_map(Happening::Cancel),
-        1 => Just(Happening::Refuse),
-        2 => Just(Happening::Flush),
-        6 => Just(Happening::Place),
+        1 => (1..20_u64).prop_map(Event::Cancel),
+        1 => Just(Event::Refuse),
+        2 => Just(Event::Flush),
+        6 => Just(Event::Place),
     ]
 }
 
-/// A scheduler's state, and what the workers run by what they were told.
-struct Bed {
+/// A scheduler's state, and what the workers run according to their orders.
+struct Fixture {
     cell: Cell,
     now: Instant,
     clock: u64,
@@ -104,30 +104,37 @@
     some_fail: bool,
 }
 
-impl Bed {
-    fn new() -> Bed {
+impl Fixture {
+    fn new() -> Fixture {
         let cell = Cell::new(TOKEN);
-        Bed { cell, now: clock::now(), clock: 1_000, jobs: 0, running: Vec::new(), some_fail: true }
+        Fixture {
+            cell,
+            now: clock::now(),
+            clock: 1_000,
+            jobs: 0,
+            running: Vec::new(),
+            some_fail: true,
+        }
     }
 
-    fn meet(&mut self, number: usize, draining: bool) {
+    fn discover(&mut self, number: usize, draining: bool) {
         let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
         self.cell.discover(peer, entry(number, draining), self.now);
     }
 
-    /// A worker answers a look; the oldest half of what it runs has ended.
-    fn look(&mut self, number: usize) {
+    /// A worker answers a poll; the oldest half of its runs has ended.
+    fn poll(&mut self, number: usize) {
         let id = format!("w{number}");
         let sent = self.now;
         self.tick();
         let processed =
             self.cell.workers.get(&id.as_str().into()).map_or(0, |worker| worker.processed_end);
-        let (mine, others): (Vec<_>, Vec<_>) =
+        let (own, others): (Vec<_>, Vec<_>) =
             self.running.drain(..).partition(|(worker, ..)| *worker == id);
         self.running = others;
-        let (over, on) = mine.split_at(mine.len() / 2);
+        let (finished, unfinished) = own.split_at(own.len() / 2);
         let some_fail = self.some_fail;
-        let ended = (processed + 1..).zip(over).map(|(number, (_, task, run))| End {
+        let ended = (processed + 1..).zip(finished).map(|(number, (_, task, run))| End {
             number,
             task: *task,
             run: *run,
@@ -135,17 +142,17 @@
             checkpoint: String::new(),
         });
         let ended = ended.collect();
-        let running = on.iter().map(|(_, task, run)| Running {
+        let running = unfinished.iter().map(|(_, task, run)| Running {
             task: *task,
             run: *run,
             checkpoint: String::new(),
             percent: 100,
             figure: 0,
         });
-        let seen =
+        let response =
             PollResponse { clock: self.clock, running: running.collect(), ended, birth_ms: None };
-        self.running.extend_from_slice(on);
-        self.cell.on_poll(&id.as_str().into(), sent, self.now, seen);
+        self.running.extend_from_slice(unfinished);
+        self.cell.on_poll(&id.as_str().into(), sent, self.now, response);
     }
 
     fn tick(&mut self) {
@@ -153,17 +160,18 @@
         self.clock += 20;
     }
 
-    /// Places what waits; the workers take all orders, but for a start if `refuse`.
+    /// Places waiting tasks; the workers accept all orders, except starts if `refuse`.
     fn place(&mut self, refuse: bool) {
         let before = self.runs();
         self.cell.place_ready(self.now, Duration::from_secs(1));
         for worker in self.cell.workers.values() {
-            let used: u32 = worker.allocations.values().map(|slot| slot.resources.cpu).sum();
+            let used: u32 =
+                worker.allocations.values().map(|allocation| allocation.resources.cpu).sum();
             let is_same =
                 before.get(&worker.peer.incarnation.to_string()) == Some(&worker.allocations.len());
             assert!(
                 is_same || used <= worker.entry.capacity.cpu,
-                "{} is over its room",
+                "{} is over its capacity",
                 worker.peer.incarnation
             );
         }
@@ -179,7 +187,7 @@
                 Order::Stop { peer, task, run } => {
                     self.cell.on_stopped(&peer.incarnation, task, run, self.now);
                     self.running
-                        .retain(|known| *known != (peer.incarnation.to_string(), task, run));
+                        .retain(|running| *running != (peer.incarnation.to_string(), task, run));
                 }
                 Order::Grant { .. } | Order::Pace { .. } | Order::Watch { .. } => {}
             }
@@ -194,154 +202,152 @@
             .collect()
     }
 
-    fn happen(&mut self, what: Happening) {
+    fn apply(&mut self, event: Event) {
         self.tick();
-        match what {
-            Happening::Meet(number) => self.meet(number, false),
-            Happening::Drain(number) => self.meet(number, true),
-            Happening::Unlist(number) => self.cell.mark_unlisted(&format!("w{number}"), None),
-            Happening::Resize(number, cpu) => {
+        match event {
+            Event::Discover(number) => self.discover(number, false),
+            Event::Drain(number) => self.discover(number, true),
+            Event::Unlist(number) => self.cell.mark_unlisted(&format!("w{number}"), None),
+            Event::Resize(number, cpu) => {
                 let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
-                let room = Resources { cpu, ..entry(number, false).capacity };
-                self.cell.discover(
-                    peer,
-                    Entry { capacity: room, ..entry(number, false) },
-                    self.now,
-                );
+                let capacity = Resources { cpu, ..entry(number, false).capacity };
+                self.cell.discover(peer, Entry { capacity, ..entry(number, false) }, self.now);
             }
-            Happening::Overwrite(number) => {
+            Event::Overwrite(number) => {
                 self.cell.record_unusable(&format!("w{number}"), "misshapen");
             }
-            Happening::Look(number) => self.look(number),
-            Happening::Miss(number) => self.cell.on_failed_poll(&format!("w{number}").into()),
-            Happening::Bury(number) => {
+            Event::Poll(number) => self.poll(number),
+            Event::FailPoll(number) => self.cell.on_failed_poll(&format!("w{number}").into()),
+            Event::End(number) => {
                 let id = format!("w{number}");
                 self.running.retain(|(worker, ..)| *worker != id);
                 self.cell.mark_ended(&id.as_str().into(), "a test");
             }
-            Happening::Lapse(number) => {
+            Event::Expire(number) => {
                 let id = format!("w{number}");
                 self.running.retain(|(worker, ..)| *worker != id);
                 self.cell.expire_runs(&id.as_str().into());
             }
-            Happening::Job { service, tasks, lasts, rack } => {
+            Event::Job { service, tasks, is_long_running, rack } => {
                 let data_rack = rack.map(|rack| format!("r1-{rack}"));
-                let step = Step { long_running: lasts, data_rack, ..step(tasks) };
+                let step = Step { long_running: is_long_running, data_rack, ..step(tasks) };
                 self.jobs += 1;
                 self.cell.admit(self.jobs, accepted(SERVICES[service], step), None);
             }
-            Happening::Cancel(job) => drop(self.cell.cancel(job)),
-            Happening::Refuse => self.place(true),
-            Happening::Flush => {
+            Event::Cancel(job) => drop(self.cell.cancel(job)),
+            Event::Refuse => self.place(true),
+            Event::Flush => {
                 let flush = self.cell.take_flush();
                 self.cell.on_flushed(&flush);
             }
-            Happening::Place => self.place(false),
+            Event::Place => self.place(false),
         }
     }
 }
 
 proptest! {
     #[test]
-    fn indexes_say_what_a_full_count_says(
-        happenings in prop::collection::vec(happening(), 1..120),
+    fn indexes_match_a_full_count(
+        events in prop::collection::vec(event(), 1..120),
     ) {
-        let mut bed = Bed::new();
-        for what in happenings {
-            let told = format!("{what:?}");
-            bed.happen(what);
-            prop_assert_eq!(bed.cell.workers.faults(), Vec::<String>::new(), "after {}", told);
+        let mut fixture = Fixture::new();
+        for event in events {
+            let after = format!("{event:?}");
+            fixture.apply(event);
+            prop_assert_eq!(fixture.cell.workers.faults(), Vec::<String>::new(), "after {}", after);
         }
     }
 }
 
-/// What waits although an open worker of its service has room for it. Under whose start a worker crashed
-/// waits for more than room; `suspects` says whether that counts.
-fn left_waiting(bed: &Bed, suspects: bool) -> Vec<String> {
-    let mut left = Vec::new();
-    for rank in bed.cell.ready.iter().filter(|rank| suspects || !bed.cell.has_waiting_suspect(rank))
+/// Steps that wait although an eligible worker of their service has enough free resources. Suspects
+/// wait for more than resources; `suspects` says whether they count.
+fn waiting_steps(fixture: &Fixture, suspects: bool) -> Vec<String> {
+    let mut steps = Vec::new();
+    for rank in
+        fixture.cell.ready.iter().filter(|rank| suspects || !fixture.cell.has_waiting_suspect(rank))
     {
-        let entry = &bed.cell.jobs[&rank.job];
+        let entry = &fixture.cell.jobs[&rank.job];
         let step = &entry.accepted.job.steps[usize::from(rank.step)];
         let service = &entry.accepted.service;
         let fits = |worker: &&spokelift_lib::batch::worker::Worker| {
-            // The end of a quarantine is seen at the next tick.
-            let over = worker.quarantine.is_none_or(|(_, until)| until + TICK <= bed.now);
-            worker.is_schedulable(bed.now)
-                && (over || suspects)
+            // The end of a quarantine takes effect at the next tick.
+            let has_ended = worker.quarantine.is_none_or(|(_, until)| until + TICK <= fixture.now);
+            worker.is_schedulable(fixture.now)
+                && (has_ended || suspects)
                 && worker.free.cpu >= step.cpu
                 && worker.free.memory_mb >= step.memory_mb
         };
-        left.extend(bed.cell.workers.of_service(service).find(fits).map(|worker| {
+        steps.extend(fixture.cell.workers.of_service(service).find(fits).map(|worker| {
             format!("{rank:?} fits on {} with {:?}", worker.peer.incarnation, worker.free)
         }));
     }
-    left
+    steps
 }
 
 proptest! {
-    /// A round of placing is made only when something may be placed that could not be before; this says
-    /// that nothing is passed over for that.
+    /// A round of placement runs only if something may be placeable that was not before. This
+    /// checks that no task is missed because of that.
     #[test]
-    fn nothing_that_could_run_waits_although_rounds_are_left_out(
-        happenings in prop::collection::vec(happening(), 1..120),
+    fn no_placeable_task_waits_although_rounds_are_skipped(
+        events in prop::collection::vec(event(), 1..120),
     ) {
-        // Rests end with time alone, which is looked at apart.
-        let mut bed = Bed { some_fail: false, ..Bed::new() };
-        let mut ticked = bed.now;
-        for what in happenings {
-            let told = format!("{what:?}");
-            if !matches!(what, Happening::Place | Happening::Refuse) {
-                bed.happen(what);
+        // Backoffs end with time alone, which is tested separately.
+        let mut fixture = Fixture { some_fail: false, ..Fixture::new() };
+        let mut ticked = fixture.now;
+        for event in events {
+            let after = format!("{event:?}");
+            if !matches!(event, Event::Place | Event::Refuse) {
+                fixture.apply(event);
             }
-            if bed.now >= ticked + TICK {
-                ticked = bed.now;
-                bed.cell.request_placement();
+            if fixture.now >= ticked + TICK {
+                ticked = fixture.now;
+                fixture.cell.request_placement();
             }
-            if bed.cell.needs_placement() {
-                bed.place(false);
+            if fixture.cell.needs_placement() {
+                fixture.place(false);
             }
-            prop_assert_eq!(left_waiting(&bed, false), Vec::<String>::new(), "after {}", told);
+            prop_assert_eq!(waiting_steps(&fixture, false), Vec::<String>::new(), "after {}", after);
         }
-        // Suspects wait for the store, and for a place by themselves, but not without end.
-        bed.happen(Happening::Flush);
-        bed.now += SUSPECTS_WAIT;
-        bed.cell.request_placement();
-        bed.place(false);
-        prop_assert_eq!(left_waiting(&bed, true), Vec::<String>::new(), "in the end");
+        // Suspects wait for the store and for a worker where they are isolated, but not
+        // indefinitely.
+        fixture.apply(Event::Flush);
+        fixture.now += SUSPECTS_WAIT;
+        fixture.cell.request_placement();
+        fixture.place(false);
+        prop_assert_eq!(waiting_steps(&fixture, true), Vec::<String>::new(), "in the end");
     }
 }
 
-/// Workers weighed for each of 200 tasks that are placed one after the other, at a site of so many
-/// workers of the service and of another one.
-fn weighed_for_each(own: usize, other: usize, rack: Option<&str>) -> f64 {
+/// Workers examined for each of 200 tasks that are placed one after the other, with `own` workers
+/// of their service and `other` workers of another one.
+fn examined_per_task(own: usize, other: usize, rack: Option<&str>) -> f64 {
     const TASKS: u32 = 200;
-    let mut bed = Bed::new();
+    let mut fixture = Fixture::new();
     for number in 0..own + other {
         let service = if number < own { "one" } else { "two" };
         let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
         let machine = Some(format!("m{number}"));
         let entry = Entry { service: service.to_owned(), machine, ..entry(number, false) };
-        bed.cell.discover(peer, entry, bed.now);
-        bed.look(number);
+        fixture.cell.discover(peer, entry, fixture.now);
+        fixture.poll(number);
     }
     for _ in 0..TASKS {
-        bed.jobs += 1;
+        fixture.jobs += 1;
         let step = Step { data_rack: rack.map(str::to_owned), ..step(1) };
-        bed.cell.admit(bed.jobs, accepted("one", step), None);
-        bed.place(false);
-        bed.tick();
+        fixture.cell.admit(fixture.jobs, accepted("one", step), None);
+        fixture.place(false);
+        fixture.tick();
     }
-    assert_eq!(bed.running.len(), TASKS as usize);
-    bed.cell.examined_workers as f64 / f64::from(TASKS)
+    assert_eq!(fixture.running.len(), TASKS as usize);
+    fixture.cell.examined_workers as f64 / f64::from(TASKS)
 }
 
-/// Before there were indexes, each task weighed every worker of the site: 1,100 here.
+/// Without indexes each task would examine every worker: 1,100 here.
 #[test]
-fn a_placement_does_not_weigh_the_whole_site() {
+fn a_placement_does_not_examine_all_workers() {
     for rack in [None, Some("r1-1")] {
-        let small = weighed_for_each(50, 50, rack);
-        let large = weighed_for_each(300, 800, rack);
+        let small = examined_per_task(50, 50, rack);
+        let large = examined_per_task(300, 800, rack);
         assert!(small <= 4.0, "{small} at 50 workers, rack {rack:?}");
         assert!(large <= small + 1.0, "{large} at 300 workers of 1,100, {small} at 50, {rack:?}");
     }
