--- a/lib/src/batch/config.rs
+++ b/lib/src/batch/config.rs
@@ -55,9 +55,9 @@
 impl Config {
     /// The configuration that the operator has published.
     ///
-    /// An account that is listed twice gets the keys of both entries and the lower of each quota. A
-    /// key that is empty or belongs to two accounts is ignored: it must not show one account the
-    /// jobs of another.
+    /// An account that is listed twice gets the keys of both entries, the lower of each quota and
+    /// the weight of the first entry. A key that is empty or belongs to two accounts is ignored: it
+    /// must not show one account the jobs of another.
     pub fn new(mut published: config::Config) -> Config {
         let mut config = Config::default();
         let mut shared = HashSet::new();
--- a/lib/tests/test_crash_load.rs
+++ b/lib/tests/test_crash_load.rs
@@ -14,8 +14,8 @@
 //! | counted, suspects started like other tasks | 503 | 638 | 20 | 3.6 |
 //! | counted, suspects isolated | 559 | 658 | 0 | 2.3 |
 //!
-//! Without poison tasks, with 30% of the workers crashing every 3 s and 9 jobs a second: 340 of 435 in
-//! time if crashes are not counted, 345 if they are.
+//! Without poison tasks, with 30% of the workers crashing every 3 s and 9 jobs a second: 340 of 435
+//! in time if crashes are not counted, 345 if they are.
 
 use spokelift_testutils::batch::play::Load;
 use spokelift_testutils::batch::play::Outcomes;
