--- a/lib/src/batch/interference.rs
+++ b/lib/src/batch/interference.rs
@@ -15,7 +15,8 @@
 const PAUSE_THRESHOLD: f64 = 0.9;
 /// Tail latency, as a fraction of the limit, below which they speed up again.
 const SPEED_UP_THRESHOLD: f64 = 0.6;
-/// How much faster a best-effort task may run after each [`PACE_STEP_INTERVAL`], in percentage points.
+/// How much faster a best-effort task may run after each [`PACE_STEP_INTERVAL`], in percentage
+/// points.
 const PACE_STEP_PERCENT: u32 = 25;
 /// Time between two increases.
 const PACE_STEP_INTERVAL: Duration = Duration::from_millis(1_000);
--- a/lib/src/batch/worker.rs
+++ b/lib/src/batch/worker.rs
@@ -50,7 +50,7 @@
 /// |---|---|
 /// | unpolled | this scheduler has no answer from it yet (`!has_token`) |
 /// | unresponsive | the last poll was not answered (`failed_polls > 0`) |
-/// | unreachable | no scheduler has had an answer for `unreachable_before`; kept in the store |
+/// | unreachable | no scheduler has an answer, for [`Worker::unreachable_for`]; kept in the store |
 /// | expired | all its leases have run out ([`Worker::expires_at`]) |
 /// | crash candidate | unresponsive and expired; it may have crashed, which is not yet certain |
 /// | recovering | it answers again, but the store still records it as unresponsive or unreachable |
--- a/lib/tests/test_crash.rs
+++ b/lib/tests/test_crash.rs
@@ -212,8 +212,9 @@
     assert_eq!(fixture.state(1), Some(JobState::Failed));
 }
 
-/// The crashes come together. A worker with a task that crashed another worker before must not count
-/// as correlated: otherwise each crash explains the others, and each task is started a fourth time.
+/// The crashes come together. A worker with a task that crashed another worker before must not
+/// count as correlated: otherwise each crash explains the others, and each task is started a fourth
+/// time.
 #[test]
 fn tasks_that_crash_their_workers_together_are_abandoned_at_the_third_crash() {
     let mut fixture = Fixture::new(8);
