--- a/cli/src/bench/batch.rs
+++ b/cli/src/bench/batch.rs
@@ -29,28 +29,28 @@
 
 use crate::args::BenchBatch;
 use crate::bench::slope::Slope;
-use crate::bench::slope::fit;
+use crate::bench::slope::fit_line;
 use crate::error::Error;
 
 /// Workers of the sites that are played.
-const SIZES: [usize; 3] = [50, 350, 1_100];
+const WORKER_COUNTS: [usize; 3] = [50, 350, 1_100];
 /// Services, among which the workers are divided evenly.
 const SERVICES: usize = 5;
 /// Time between two looks at what has happened.
-const STEP: Duration = Duration::from_millis(5);
+const TICK: Duration = Duration::from_millis(5);
 /// How long a service's demand is high; the next one's is then.
-const TURN: Duration = Duration::from_secs(5);
+const PEAK_DURATION: Duration = Duration::from_secs(5);
 /// Tasks that arrive a second for each worker of the site, in the mean: about half of what they can run.
-const TASKS_PER_WORKER: f64 = 1.3;
+const TASKS_PER_WORKER_PER_S: f64 = 1.3;
 /// Tasks of a job, what each takes, and how long it runs.
-const TASKS: u32 = 8;
-const CPU: u32 = 4_500;
-const RUNS: Duration = Duration::from_millis(800);
+const TASKS_PER_JOB: u32 = 8;
+const TASK_CPU: u32 = 4_500;
+const TASK_DURATION: Duration = Duration::from_millis(800);
 /// How long a start and a look take.
-const ANSWER: Duration = Duration::from_millis(4);
+const RESPONSE_DELAY: Duration = Duration::from_millis(4);
 /// Time between two rounds about boxes, each of which counts the loads three times.
-const BOXES: Duration = Duration::from_millis(300);
-const LOADS_IN_ROUND: u32 = 3;
+const LOADS_INTERVAL: Duration = Duration::from_millis(300);
+const LOADS_PER_INTERVAL: u32 = 3;
 
 /// One size's results.
 #[derive(Clone, Debug, Serialize)]
@@ -63,7 +63,8 @@
     micros: BTreeMap<&'static str, f64>,
     micros_in_all: f64,
     /// Workers weighed for each task.
-    weighed: f64,
+    #[serde(rename = "weighed")]
+    examined: f64,
 }
 
 /// All results.
@@ -77,10 +78,12 @@
 /// Plays the load at each size and prints what it cost.
 pub fn run(args: &BenchBatch, json: bool) -> Result<(), Error> {
     let time = Duration::from_secs(u64::from(args.seconds.clamp(2, 120)));
-    let rows: Vec<Row> =
-        SIZES.iter().map(|workers| Bed::new(*workers, args.seed).play(time)).collect();
+    let rows: Vec<Row> = WORKER_COUNTS
+        .iter()
+        .map(|workers| Simulation::new(*workers, args.seed).run(time))
+        .collect();
     let points = rows.iter().map(|row| (row.workers as f64, row.micros_in_all));
-    let report = Report { slope: fit(points), rows };
+    let report = Report { slope: fit_line(points), rows };
     println!("{}", table(&report));
     if json {
         println!("{}", serde_json::to_string(&report)?);
@@ -95,7 +98,7 @@
         let parts = parts.collect::<Vec<_>>().join(", ");
         lines.push(format!(
             "{} workers: {} tasks of {} jobs, {} rounds, {:.1} us a task ({parts}), {:.1} workers weighed",
-            row.workers, row.tasks, row.jobs, row.rounds, row.micros_in_all, row.weighed
+            row.workers, row.tasks, row.jobs, row.rounds, row.micros_in_all, row.examined
         ));
     }
     lines.push(format!(
@@ -106,77 +109,77 @@
 }
 
 /// Something that a worker tells later.
-enum News {
+enum WorkerEvent {
     Started(TaskName, Run),
     Ended(TaskName, Run),
 }
 
-struct Bed {
+struct Simulation {
     cell: Cell,
     rng: StdRng,
     workers: usize,
-    begun: Instant,
+    started_at: Instant,
     now: Instant,
     jobs: u64,
     /// What workers tell, by when.
-    news: BTreeMap<(Instant, usize), Vec<News>>,
+    events: BTreeMap<(Instant, usize), Vec<WorkerEvent>>,
     running: Vec<Vec<(TaskName, Run)>>,
     last_end: Vec<u64>,
-    spent: BTreeMap<&'static str, Duration>,
+    time_spent: BTreeMap<&'static str, Duration>,
     rounds: u64,
     tasks: u64,
 }
 
-impl Bed {
-    fn new(workers: usize, seed: u64) -> Bed {
+impl Simulation {
+    fn new(workers: usize, seed: u64) -> Simulation {
         let now = Instant::now();
-        let mut bed = Bed {
+        let mut bed = Simulation {
             cell: Cell::new(1),
             rng: StdRng::seed_from_u64(seed),
             workers,
-            begun: now,
+            started_at: now,
             now,
             jobs: 0,
-            news: BTreeMap::new(),
+            events: BTreeMap::new(),
             running: vec![Vec::new(); workers],
             last_end: vec![0; workers],
-            spent: BTreeMap::new(),
+            time_spent: BTreeMap::new(),
             rounds: 0,
             tasks: 0,
         };
         for number in 0..workers {
             let addr = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 1);
             bed.cell.discover(
-                Peer { incarnation: id(number).into(), addr },
-                entry(number, addr),
+                Peer { incarnation: worker_id(number).into(), addr },
+                worker_entry(number, addr),
                 now,
             );
-            bed.look(number, Vec::new());
+            bed.poll(number, Vec::new());
         }
-        bed.spent.clear();
+        bed.time_spent.clear();
         bed
     }
 
     /// Times a part of the work.
-    fn timed<T>(&mut self, part: &'static str, work: impl FnOnce(&mut Bed) -> T) -> T {
+    fn timed<T>(&mut self, part: &'static str, work: impl FnOnce(&mut Simulation) -> T) -> T {
         let begun = Instant::now();
         let done = work(self);
-        *self.spent.entry(part).or_default() += begun.elapsed();
+        *self.time_spent.entry(part).or_default() += begun.elapsed();
         done
     }
 
-    fn play(mut self, time: Duration) -> Row {
+    fn run(mut self, time: Duration) -> Row {
         let mut boxes_at = self.now;
-        while self.now - self.begun < time {
-            self.now += STEP;
-            self.arrive();
-            self.tell();
-            self.place();
+        while self.now - self.started_at < time {
+            self.now += TICK;
+            self.admit_jobs();
+            self.deliver_events();
+            self.place_tasks();
             self.flush();
             if self.now >= boxes_at {
-                boxes_at = self.now + BOXES;
+                boxes_at = self.now + LOADS_INTERVAL;
                 self.timed("loads", |bed| {
-                    for _ in 0..LOADS_IN_ROUND {
+                    for _ in 0..LOADS_PER_INTERVAL {
                         std::hint::black_box(loads(&bed.cell, bed.now));
                     }
                 });
@@ -185,7 +188,7 @@
         let tasks = self.tasks.max(1) as f64;
         let each = |time: &Duration| time.as_secs_f64() * 1e6 / tasks;
         let micros: BTreeMap<_, _> =
-            self.spent.iter().map(|(part, time)| (*part, each(time))).collect();
+            self.time_spent.iter().map(|(part, time)| (*part, each(time))).collect();
         Row {
             workers: self.workers,
             jobs: self.jobs,
@@ -193,39 +196,39 @@
             rounds: self.rounds,
             micros_in_all: micros.values().sum(),
             micros,
-            weighed: self.cell.examined_workers as f64 / tasks,
+            examined: self.cell.examined_workers as f64 / tasks,
         }
     }
 
     /// Jobs arrive: most for the service whose turn it is.
-    fn arrive(&mut self) {
-        let turn = (self.now - self.begun).as_millis() / TURN.as_millis();
+    fn admit_jobs(&mut self) {
+        let turn = (self.now - self.started_at).as_millis() / PEAK_DURATION.as_millis();
         let high = turn as usize % SERVICES;
-        let jobs_per_s = TASKS_PER_WORKER * self.workers as f64 / f64::from(TASKS);
+        let jobs_per_s = TASKS_PER_WORKER_PER_S * self.workers as f64 / f64::from(TASKS_PER_JOB);
         for service in 0..SERVICES {
             let share = if service == high { 0.8 } else { 0.05 };
-            if self.rng.random::<f64>() < jobs_per_s * share * STEP.as_secs_f64() {
+            if self.rng.random::<f64>() < jobs_per_s * share * TICK.as_secs_f64() {
                 self.jobs += 1;
-                let (job, accepted) = (self.jobs, accepted(service));
+                let (job, accepted) = (self.jobs, accepted_job(service));
                 self.timed("admit", |bed| bed.cell.admit(job, accepted, None));
             }
         }
     }
 
     /// Workers tell what was started and what has ended.
-    fn tell(&mut self) {
-        let later = self.news.split_off(&(self.now, usize::MAX));
-        for ((_, worker), news) in std::mem::replace(&mut self.news, later) {
+    fn deliver_events(&mut self) {
+        let later = self.events.split_off(&(self.now, usize::MAX));
+        for ((_, worker), news) in std::mem::replace(&mut self.events, later) {
             let mut ended = Vec::new();
             for told in news {
                 match told {
-                    News::Started(task, run) => {
+                    WorkerEvent::Started(task, run) => {
                         let now = self.now;
                         self.timed("start", |bed| {
-                            bed.cell.on_started(&id(worker).into(), task, run, now)
+                            bed.cell.on_started(&worker_id(worker).into(), task, run, now)
                         });
                     }
-                    News::Ended(task, run) => {
+                    WorkerEvent::Ended(task, run) => {
                         self.running[worker].retain(|known| *known != (task, run));
                         self.last_end[worker] += 1;
                         let (number, checkpoint) = (self.last_end[worker], String::new());
@@ -234,12 +237,12 @@
                 }
             }
             if !ended.is_empty() {
-                self.look(worker, ended);
+                self.poll(worker, ended);
             }
         }
     }
 
-    fn look(&mut self, worker: usize, ended: Vec<End>) {
+    fn poll(&mut self, worker: usize, ended: Vec<End>) {
         let running = self.running[worker].iter().map(|(task, run)| Running {
             task: *task,
             run: *run,
@@ -247,14 +250,16 @@
             percent: 50,
             figure: 0,
         });
-        let clock = 1_000 + (self.now - self.begun).as_micros() as u64;
+        let clock = 1_000 + (self.now - self.started_at).as_micros() as u64;
         let seen = PollResponse { clock, running: running.collect(), ended, birth_ms: None };
         let now = self.now;
-        self.timed("look", |bed| bed.cell.on_poll(&id(worker).into(), now - ANSWER, now, seen));
+        self.timed("look", |bed| {
+            bed.cell.on_poll(&worker_id(worker).into(), now - RESPONSE_DELAY, now, seen)
+        });
     }
 
-    fn place(&mut self) {
-        let (now, wall) = (self.now, self.now - self.begun);
+    fn place_tasks(&mut self) {
+        let (now, wall) = (self.now, self.now - self.started_at);
         self.timed("place", |bed| {
             if bed.cell.needs_placement() {
                 bed.rounds += 1;
@@ -267,11 +272,11 @@
                 peer.incarnation.to_string()[1..].parse().expect("ids are made from numbers");
             self.tasks += 1;
             self.running[worker].push((task, run));
-            let mut say = |after: Duration, news: News| {
-                self.news.entry((now + after, worker)).or_default().push(news);
+            let mut say = |after: Duration, news: WorkerEvent| {
+                self.events.entry((now + after, worker)).or_default().push(news);
             };
-            say(ANSWER, News::Started(task, run));
-            say(RUNS, News::Ended(task, run));
+            say(RESPONSE_DELAY, WorkerEvent::Started(task, run));
+            say(TASK_DURATION, WorkerEvent::Ended(task, run));
         }
     }
 
@@ -285,11 +290,11 @@
     }
 }
 
-fn id(number: usize) -> String {
+fn worker_id(number: usize) -> String {
     format!("w{number}")
 }
 
-fn entry(number: usize, address: SocketAddr) -> Entry {
+fn worker_entry(number: usize, address: SocketAddr) -> Entry {
     Entry {
         service: format!("service-{}", number % SERVICES),
         address,
@@ -303,12 +308,12 @@
     }
 }
 
-fn accepted(service: usize) -> Accepted {
+fn accepted_job(service: usize) -> Accepted {
     let step = Step {
-        count: TASKS,
-        cpu: CPU,
+        count: TASKS_PER_JOB,
+        cpu: TASK_CPU,
         memory_mb: 1_000,
-        estimate_ms: RUNS.as_millis() as u64,
+        estimate_ms: TASK_DURATION.as_millis() as u64,
         ..Step::default()
     };
     Accepted {
--- a/cli/src/bench/generate.rs
+++ b/cli/src/bench/generate.rs
@@ -14,20 +14,20 @@
 use spokelift_lib::state::record::Batch;
 use spokelift_lib::state::record::Body;
 use spokelift_lib::state::record::Change;
-use spokelift_lib::state::record::Claim;
 use spokelift_lib::state::record::Edit;
 use spokelift_lib::state::record::Record;
+use spokelift_lib::state::record::StepRef;
 
 /// Accounts at the size to design for, and the boxes that go with them.
-const ACCOUNTS: u32 = 260;
-const ACCOUNTS_AT_BOXES: u32 = 6400;
+const REFERENCE_ACCOUNTS: u32 = 260;
+const REFERENCE_BOXES: u32 = 6400;
 /// Services of each account.
-const SERVICES: u32 = 2;
+const SERVICES_PER_ACCOUNT: u32 = 2;
 /// Halls and boxes in a rack.
 const HALLS: u32 = 14;
-const RACK: u32 = 4;
+const BOXES_PER_RACK: u32 = 4;
 /// Each service runs on one in so many boxes of its pool.
-const SHARE: u32 = 10;
+const BOXES_PER_REPLICA: u32 = 10;
 /// Daemon number under which generated records are written.
 const WRITER: u16 = 99;
 
@@ -41,7 +41,7 @@
 
 impl Size {
     pub fn accounts(&self) -> u32 {
-        (ACCOUNTS * self.boxes / ACCOUNTS_AT_BOXES).max(self.pools)
+        (REFERENCE_ACCOUNTS * self.boxes / REFERENCE_BOXES).max(self.pools)
     }
 }
 
@@ -51,25 +51,25 @@
     pub batches: Vec<Batch>,
     pub shapes: Shapes,
     size: Size,
-    weigh: &'static str,
+    objective: &'static str,
     next_plan: PlanId,
 }
 
 impl History {
     /// Publishes a site and places its services. All boxes are at `addr`.
     pub fn new(size: Size, addr: SocketAddr, weigh: &'static str) -> History {
-        let shapes = (0..size.boxes).map(|index| (name(index).into(), shape(index, addr)));
+        let shapes = (0..size.boxes).map(|index| (box_name(index).into(), box_shape(index, addr)));
         let shapes = shapes.collect();
         let mut history = History {
             fleet: Fleet::default(),
             batches: Vec::new(),
             shapes,
             size,
-            weigh,
+            objective: weigh,
             next_plan: 1,
         };
-        history.publish();
-        history.place();
+        history.publish_site();
+        history.place_services();
         history
     }
 
@@ -85,7 +85,7 @@
         self.batches.push(batch);
     }
 
-    fn publish(&mut self) {
+    fn publish_site(&mut self) {
         let mut text = String::new();
         for account in 0..self.size.accounts() {
             text += &format!("[[account]]\nname = \"account-{account}\"\n");
@@ -106,7 +106,7 @@
 
     fn pool_text(&self, pool: u32) -> String {
         let boxes = (0..self.size.boxes).filter(|index| index % self.size.pools == pool);
-        let boxes: Vec<String> = boxes.map(|index| format!("\"{}\"", name(index))).collect();
+        let boxes: Vec<String> = boxes.map(|index| format!("\"{}\"", box_name(index))).collect();
         let owners = (0..self.size.accounts()).filter(|account| account % self.size.pools == pool);
         let owners: Vec<u32> = owners.collect();
         let shared: Vec<String> = owners.iter().map(|own| format!("\"account-{own}\"")).collect();
@@ -116,12 +116,12 @@
              max_out = {max_out}\nmax_out_per_hall = {}\nweigh = {:?}\n\
              boxes = [{}]\nshared_with = [{}]\n",
             (max_out / 2).max(1),
-            self.weigh,
+            self.objective,
             boxes.join(", "),
             shared.join(", "),
         );
         for owner in owners {
-            for service in 0..SERVICES {
+            for service in 0..SERVICES_PER_ACCOUNT {
                 text += &format!(
                     "[[service]]\nname = \"service-{service}\"\naccount = \"account-{owner}\"\n\
                      pool = \"pool-{pool}\"\nslots = 1\nmemory_mb = 64\n"
@@ -131,15 +131,15 @@
         text
     }
 
-    fn place(&mut self) {
+    fn place_services(&mut self) {
         let keys: Vec<_> = self.fleet.services.keys().cloned().collect();
         for (account, service) in keys {
             let pool = &self.fleet.services[&(account.clone(), service.clone())].pool;
-            let replicas = (self.fleet.pools[pool].boxes.len() as u32 / SHARE).max(1);
-            let plan = self.start(Intent::Place { account, service, replicas });
+            let replicas = (self.fleet.pools[pool].boxes.len() as u32 / BOXES_PER_REPLICA).max(1);
+            let plan = self.start_plan(Intent::Place { account, service, replicas });
             let steps = self.fleet.plans[&plan].steps.len() as u32;
             for step in 0..steps {
-                let claim = Claim { plan, epoch: 1, step };
+                let claim = StepRef { plan, epoch: 1, step };
                 self.append(Body::Assign(claim));
                 self.append(Body::Finish(claim, Outcome::Done));
             }
@@ -147,7 +147,7 @@
     }
 
     /// Plans, confirms and takes the duty to drive an intent.
-    pub fn start(&mut self, intent: Intent) -> PlanId {
+    pub fn start_plan(&mut self, intent: Intent) -> PlanId {
         let planner = Planner { fleet: &self.fleet, shapes: &self.shapes, scope: &Scope::Site };
         let id = self.next_plan;
         self.next_plan += 1;
@@ -159,14 +159,14 @@
     }
 
     /// Maintains every box once: a permit and an end each. Returns how many records that took.
-    pub fn wave(&mut self) -> usize {
+    pub fn append_wave(&mut self) -> usize {
         let before = self.batches.len();
         let pools: Vec<_> = self.fleet.pools.keys().cloned().collect();
         for pool in pools {
-            let plan = self.start(Intent::Maintain { pools: vec![pool] });
+            let plan = self.start_plan(Intent::Maintain { pools: vec![pool] });
             let steps = self.fleet.plans[&plan].steps.len() as u32;
             for step in 0..steps {
-                let claim = Claim { plan, epoch: 1, step };
+                let claim = StepRef { plan, epoch: 1, step };
                 self.append(Body::Permit(claim));
                 self.append(Body::Finish(claim, Outcome::Done));
             }
@@ -175,7 +175,7 @@
     }
 
     /// Changes services one at a time, in turn.
-    pub fn changes(&mut self) {
+    pub fn append_changes(&mut self) {
         let keys: Vec<_> = self.fleet.services.keys().cloned().collect();
         for index in 0..self.size.changes {
             let key = &keys[index as usize % keys.len()];
@@ -191,12 +191,12 @@
     }
 }
 
-fn name(index: u32) -> String {
+fn box_name(index: u32) -> String {
     format!("box-{index:05}")
 }
 
-fn shape(index: u32, addr: SocketAddr) -> Shape {
-    let rack = index / RACK;
+fn box_shape(index: u32, addr: SocketAddr) -> Shape {
+    let rack = index / BOXES_PER_RACK;
     Shape {
         addr,
         hall: format!("hall-{}", rack % HALLS).into(),
--- a/cli/src/bench/keys.rs
+++ b/cli/src/bench/keys.rs
@@ -9,14 +9,14 @@
 use serde::Serialize;
 use serde_json::Value;
 use spokelift_testutils::platform::site::Site;
+use spokelift_testutils::platform::site::account_key;
 use spokelift_testutils::platform::site::config::Account;
-use spokelift_testutils::platform::site::key_of;
 use tokio::time::MissedTickBehavior;
 use tokio::time::interval;
 use tokio::time::sleep;
 
 use crate::args::BenchKeys;
-use crate::bench::probe::process_seconds;
+use crate::bench::probe::process_cpu_seconds;
 use crate::error::Error;
 use crate::trial;
 
@@ -27,14 +27,14 @@
 /// The account with a good key.
 const ACCOUNT: &str = "good";
 /// Callers with a good key, and the pause of each between two calls.
-const GOOD: usize = 4;
-const GOOD_PAUSE: Duration = Duration::from_millis(10);
+const CLIENTS: usize = 4;
+const CLIENT_PAUSE: Duration = Duration::from_millis(10);
 /// Connections over which calls with unknown keys come.
-const FLOODS: u32 = 32;
+const FLOOD_CONNECTIONS: u32 = 32;
 /// Pause between tries until the accounts are in force.
-const PAUSE: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// A job that nobody has handed in.
-const PATH: &str = "/q/00000000000000aa";
+const JOB_PATH: &str = "/q/00000000000000aa";
 
 /// What one part showed.
 #[derive(Debug, Default, Serialize)]
@@ -75,31 +75,32 @@
 }
 
 async fn measure(time: Duration, unknown: u32) -> Result<Report, Error> {
-    let program = trial::daemon()?;
+    let program = trial::daemon_path()?;
     let site = Site::start(&program.to_string_lossy(), DAEMONS, BOXES, 0).await?;
     let site = Arc::new(site);
-    site.configure(2, &[Account::new(ACCOUNT, &key_of(ACCOUNT))]);
-    while site.call_as("unknown", 0, Method::GET, PATH, Value::Null).await.0 != 401 {
-        sleep(PAUSE).await;
+    site.publish_config(2, &[Account::new(ACCOUNT, &account_key(ACCOUNT))]);
+    while site.call_as("unknown", 0, Method::GET, JOB_PATH, Value::Null).await.0 != 401 {
+        sleep(POLL_INTERVAL).await;
     }
-    let alone = play(&site, time, 0).await;
-    let flooded = play(&site, time, unknown).await;
+    let alone = measure_part(&site, time, 0).await;
+    let flooded = measure_part(&site, time, unknown).await;
     let more = (flooded.cores - alone.cores).max(0.0);
     let cost_us = more / flooded.refused_per_s.max(1.0) * 1e6;
     Ok(Report { alone, flooded, cost_us })
 }
 
 /// Plays good callers beside so many calls a second with unknown keys.
-async fn play(site: &Arc<Site>, time: Duration, unknown: u32) -> Part {
+async fn measure_part(site: &Arc<Site>, time: Duration, unknown: u32) -> Part {
     let began = Instant::now();
     let until = began + time;
-    let used = || site.nodes[0].process().map_or(0.0, process_seconds);
+    let used = || site.nodes[0].pid().map_or(0.0, process_cpu_seconds);
     let before = used();
-    let floods = if unknown == 0 { 0 } else { FLOODS };
+    let floods = if unknown == 0 { 0 } else { FLOOD_CONNECTIONS };
     let floods: Vec<_> = (0..floods)
         .map(|number| tokio::spawn(flood(site.clone(), number, unknown, until)))
         .collect();
-    let good: Vec<_> = (0..GOOD).map(|_| tokio::spawn(call_well(site.clone(), until))).collect();
+    let good: Vec<_> =
+        (0..CLIENTS).map(|_| tokio::spawn(call_with_valid_key(site.clone(), until))).collect();
     let (mut times, mut harmed, mut refused) = (Vec::new(), 0, 0);
     for task in good {
         let (answers, failed) = task.await.expect("a caller does not panic");
@@ -127,31 +128,32 @@
 
 /// Calls with keys that nobody has, each another one; returns how many were refused.
 async fn flood(site: Arc<Site>, number: u32, per_s: u32, until: Instant) -> u32 {
-    let mut ticks = interval(Duration::from_secs(1) * FLOODS / per_s);
+    let mut ticks = interval(Duration::from_secs(1) * FLOOD_CONNECTIONS / per_s);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
     let (mut refused, mut call) = (0, 0);
     while Instant::now() < until {
         ticks.tick().await;
         call += 1;
         let key = format!("unknown-{number}-{call}");
-        let (status, _) = site.call_as(&key, 0, Method::GET, PATH, Value::Null).await;
+        let (status, _) = site.call_as(&key, 0, Method::GET, JOB_PATH, Value::Null).await;
         refused += u32::from(status == 401);
     }
     refused
 }
 
 /// Calls with a good key; returns how long each answer took, and how many calls were harmed.
-async fn call_well(site: Arc<Site>, until: Instant) -> (Vec<Duration>, usize) {
+async fn call_with_valid_key(site: Arc<Site>, until: Instant) -> (Vec<Duration>, usize) {
     let (mut times, mut harmed) = (Vec::new(), 0);
     while Instant::now() < until {
         let began = Instant::now();
-        let (status, _) = site.call_as(&key_of(ACCOUNT), 0, Method::GET, PATH, Value::Null).await;
+        let (status, _) =
+            site.call_as(&account_key(ACCOUNT), 0, Method::GET, JOB_PATH, Value::Null).await;
         match status {
             // Nobody has handed the job in.
             410 => times.push(began.elapsed()),
             _ => harmed += 1,
         }
-        sleep(GOOD_PAUSE).await;
+        sleep(CLIENT_PAUSE).await;
     }
     (times, harmed)
 }
--- a/cli/src/bench/plan.rs
+++ b/cli/src/bench/plan.rs
@@ -3,7 +3,7 @@
 
 mod baseline;
 mod bound;
-mod run;
+mod simulation;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,18 +21,18 @@
 use crate::bench::generate::Size;
 use crate::bench::probe;
 use crate::bench::slope::Slope;
-use crate::bench::slope::fit;
+use crate::bench::slope::fit_line;
 use crate::error::Error;
 
 /// Time declared for one box's maintenance, in virtual milliseconds.
-const DECLARED_MS: u64 = 120_000;
+const DECLARED_MAINTENANCE_MS: u64 = 120_000;
 /// When a hall or rack fails, and for how long it is gone.
 const FAIL_AT_MS: u64 = 300_000;
-const GONE_MS: u64 = 600_000;
+const OUTAGE_MS: u64 = 600_000;
 /// Share of boxes that never come back from a reboot when the fault is `blackhole`.
-const BLACKHOLE: f64 = 0.01;
+const BLACKHOLE_FRACTION: f64 = 0.01;
 /// A step whose box has not come back after so many times the declared time is given up.
-const LOST_AFTER: u64 = 3;
+const LOST_AFTER_FACTOR: u64 = 3;
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,27 +40,27 @@
     None,
     Rack,
     Hall,
-    Liars,
-    Blackhole,
+    WrongDurations,
+    NeverReturns,
 }
 
 impl Faults {
-    fn named(name: &str) -> Option<Faults> {
+    fn parse(name: &str) -> Option<Faults> {
         Some(match name {
             "none" => Faults::None,
             "rack" => Faults::Rack,
             "hall" => Faults::Hall,
-            "liars" => Faults::Liars,
-            "blackhole" => Faults::Blackhole,
+            "liars" => Faults::WrongDurations,
+            "blackhole" => Faults::NeverReturns,
             _ => return None,
         })
     }
 }
 
 /// What happens to each box, decided by the seed before anyone plans.
-pub struct Fate {
+pub struct Scenario {
     /// How long its maintenance really takes; none if it never comes back.
-    pub takes_ms: BTreeMap<BoxId, Option<u64>>,
+    pub durations_ms: BTreeMap<BoxId, Option<u64>>,
     /// Boxes that fail together, when, and when they are back.
     pub failure: Option<Failure>,
 }
@@ -68,37 +68,43 @@
 /// Boxes that fail together.
 pub struct Failure {
     pub boxes: Vec<BoxId>,
-    pub at_ms: u64,
-    pub back_ms: u64,
+    pub start_ms: u64,
+    pub end_ms: u64,
 }
 
-impl Fate {
-    fn new(fleet: &Fleet, faults: Faults, random: &mut StdRng) -> Fate {
-        let takes = fleet.boxes.keys().map(|id| (id.clone(), takes_ms(faults, random)));
+impl Scenario {
+    fn new(fleet: &Fleet, faults: Faults, random: &mut StdRng) -> Scenario {
+        let takes =
+            fleet.boxes.keys().map(|id| (id.clone(), maintenance_duration_ms(faults, random)));
         let takes_ms = takes.collect();
         let failed: Vec<BoxId> = match faults {
-            Faults::Hall => named(fleet, |entry| entry.shape.hall.as_ref() == "hall-3"),
-            Faults::Rack => named(fleet, |entry| entry.shape.rack.as_ref() == "rack-3"),
+            Faults::Hall => boxes_where(fleet, |entry| entry.shape.hall.as_ref() == "hall-3"),
+            Faults::Rack => boxes_where(fleet, |entry| entry.shape.rack.as_ref() == "rack-3"),
             _ => Vec::new(),
         };
         let failure = (!failed.is_empty()).then_some(Failure {
             boxes: failed,
-            at_ms: FAIL_AT_MS,
-            back_ms: FAIL_AT_MS + GONE_MS,
+            start_ms: FAIL_AT_MS,
+            end_ms: FAIL_AT_MS + OUTAGE_MS,
         });
-        Fate { takes_ms, failure }
+        Scenario { durations_ms: takes_ms, failure }
     }
 }
 
-fn takes_ms(faults: Faults, random: &mut StdRng) -> Option<u64> {
+fn maintenance_duration_ms(faults: Faults, random: &mut StdRng) -> Option<u64> {
     match faults {
-        Faults::Liars => Some((DECLARED_MS as f64 * random.random_range(0.4..3.0)) as u64),
-        Faults::Blackhole if random.random_bool(BLACKHOLE) => None,
-        _ => Some(DECLARED_MS),
+        Faults::WrongDurations => {
+            Some((DECLARED_MAINTENANCE_MS as f64 * random.random_range(0.4..3.0)) as u64)
+        }
+        Faults::NeverReturns if random.random_bool(BLACKHOLE_FRACTION) => None,
+        _ => Some(DECLARED_MAINTENANCE_MS),
     }
 }
 
-fn named(fleet: &Fleet, is: impl Fn(&spokelift_lib::state::fleet::Entry) -> bool) -> Vec<BoxId> {
+fn boxes_where(
+    fleet: &Fleet,
+    is: impl Fn(&spokelift_lib::state::fleet::Entry) -> bool,
+) -> Vec<BoxId> {
     let found = fleet.boxes.iter().filter(|(_, entry)| is(entry));
     found.map(|(id, _)| id.clone()).collect()
 }
@@ -135,7 +141,7 @@
 
 /// Measures and prints a table, and one line of JSON if asked to.
 pub fn run(args: &BenchPlan, json: bool) -> Result<(), Error> {
-    let faults = Faults::named(&args.faults).ok_or(Error::Value {
+    let faults = Faults::parse(&args.faults).ok_or(Error::InvalidValue {
         what: "--faults",
         value: args.faults.clone(),
         accepted: "none, rack, hall, liars or blackhole",
@@ -144,7 +150,7 @@
         "ulaanbaatar" => "buffer",
         "dakar" => "rollout",
         _ => {
-            return Err(Error::Value {
+            return Err(Error::InvalidValue {
                 what: "--site",
                 value: args.site.clone(),
                 accepted: "ulaanbaatar or dakar",
@@ -152,21 +158,21 @@
         }
     };
     if !(50..=20_000).contains(&args.boxes) || args.pools == 0 || args.pools > args.boxes / 10 {
-        return Err(Error::Value {
+        return Err(Error::InvalidValue {
             what: "--boxes or --pools",
             value: format!("{} and {}", args.boxes, args.pools),
             accepted: "50 to 20000 boxes, at least 10 for each pool",
         });
     }
     let report = measure(args, faults, weigh);
-    print(&report);
+    print_report(&report);
     if json {
         println!("{}", serde_json::to_string(&report)?);
     }
     Ok(())
 }
 
-fn history(boxes: u32, pools: u32, weigh: &'static str) -> History {
+fn generate_history(boxes: u32, pools: u32, weigh: &'static str) -> History {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
     History::new(Size { boxes, pools, changes: 0 }, nowhere, weigh)
 }
@@ -176,20 +182,20 @@
     for part in [8, 4, 2] {
         let boxes = (args.boxes / part).max(10);
         let pools = (args.pools / part).clamp(1, boxes / 10);
-        let history = history(boxes, pools, weigh);
-        plan_times.push((f64::from(boxes), run::plan_ms(&history)));
+        let history = generate_history(boxes, pools, weigh);
+        plan_times.push((f64::from(boxes), simulation::plan_ms(&history)));
     }
-    let history = history(args.boxes, args.pools, weigh);
-    let plan_ms = run::plan_ms(&history);
+    let history = generate_history(args.boxes, args.pools, weigh);
+    let plan_ms = simulation::plan_ms(&history);
     plan_times.push((f64::from(args.boxes), plan_ms));
     let mut random = StdRng::seed_from_u64(args.seed);
-    let fate = Fate::new(&history.fleet, faults, &mut random);
+    let fate = Scenario::new(&history.fleet, faults, &mut random);
     let one_at_a_time = baseline::one_at_a_time(&history.fleet, &fate, &mut random);
     let fixed_batch = baseline::fixed_batch(&history.fleet, &fate, &mut random);
-    let lower_bound = bound::lower(&history.fleet, &fate);
-    let before = probe::resident();
-    let done = run::product(history, &fate);
-    let resident = probe::resident().saturating_sub(before);
+    let lower_bound = bound::lower_bound(&history.fleet, &fate);
+    let before = probe::resident_bytes();
+    let done = simulation::simulate_product(history, &fate);
+    let resident = probe::resident_bytes().saturating_sub(before);
     Report {
         boxes: args.boxes,
         pools: args.pools,
@@ -197,7 +203,7 @@
         faults: args.faults.clone(),
         seed: args.seed,
         plan_ms,
-        plan_ms_per_box: fit(plan_times),
+        plan_ms_per_box: fit_line(plan_times),
         choose_ms_mean: done.choose_ms.iter().sum::<f64>() / done.choose_ms.len().max(1) as f64,
         choose_ms_max: done.choose_ms.iter().copied().fold(0.0, f64::max),
         choices: done.choose_ms.len(),
@@ -217,7 +223,7 @@
     (begun.elapsed().as_secs_f64() * 1000.0, done)
 }
 
-fn print(report: &Report) {
+fn print_report(report: &Report) {
     println!("way             buffer box-s   roll-out s  moves  breaches  not done");
     let rows = [
         ("product", report.product),
--- a/cli/src/bench/plan/baseline.rs
+++ b/cli/src/bench/plan/baseline.rs
@@ -9,22 +9,22 @@
 use spokelift_lib::state::fleet::Pool;
 use spokelift_lib::state::id::BoxId;
 
-use crate::bench::plan::DECLARED_MS;
-use crate::bench::plan::Fate;
-use crate::bench::plan::LOST_AFTER;
+use crate::bench::plan::DECLARED_MAINTENANCE_MS;
+use crate::bench::plan::LOST_AFTER_FACTOR;
 use crate::bench::plan::Measures;
+use crate::bench::plan::Scenario;
 
-pub fn one_at_a_time(fleet: &Fleet, fate: &Fate, random: &mut StdRng) -> Measures {
-    all_pools(fleet, fate, random, |_| 1)
+pub fn one_at_a_time(fleet: &Fleet, fate: &Scenario, random: &mut StdRng) -> Measures {
+    simulate_pools(fleet, fate, random, |_| 1)
 }
 
-pub fn fixed_batch(fleet: &Fleet, fate: &Fate, random: &mut StdRng) -> Measures {
-    all_pools(fleet, fate, random, |pool| pool.budget.max_out as usize)
+pub fn fixed_batch(fleet: &Fleet, fate: &Scenario, random: &mut StdRng) -> Measures {
+    simulate_pools(fleet, fate, random, |pool| pool.budget.max_out as usize)
 }
 
-fn all_pools(
+fn simulate_pools(
     fleet: &Fleet,
-    fate: &Fate,
+    fate: &Scenario,
     random: &mut StdRng,
     width: impl Fn(&Pool) -> usize,
 ) -> Measures {
@@ -34,8 +34,8 @@
         order.shuffle(random);
         let mut now = 0;
         for batch in order.chunks(width(pool).max(1)) {
-            sum.budget_breaches += u64::from(breaches(fleet, fate, pool, batch, now));
-            let ends = batch.iter().map(|id| end(fate, id, now, &mut sum.not_done));
+            sum.budget_breaches += u64::from(exceeds_budget(fleet, fate, pool, batch, now));
+            let ends = batch.iter().map(|id| return_time_ms(fate, id, now, &mut sum.not_done));
             let end = ends.max().unwrap_or(now);
             sum.buffer_cost_box_seconds += (end - now) as f64 / 1000.0 * batch.len() as f64;
             now = end;
@@ -46,15 +46,15 @@
 }
 
 /// When a box taken out at `now` is back, or given up.
-fn end(fate: &Fate, id: &BoxId, now: u64, not_done: &mut u64) -> u64 {
-    let Some(takes) = fate.takes_ms[id] else {
+fn return_time_ms(fate: &Scenario, id: &BoxId, now: u64, not_done: &mut u64) -> u64 {
+    let Some(takes) = fate.durations_ms[id] else {
         *not_done += 1;
-        return now + DECLARED_MS * LOST_AFTER;
+        return now + DECLARED_MAINTENANCE_MS * LOST_AFTER_FACTOR;
     };
     match &fate.failure {
         // It cannot come back before its hall or rack does.
         Some(failure) if failure.boxes.contains(id) && failure.overlaps(now, now + takes) => {
-            failure.back_ms + takes
+            failure.end_ms + takes
         }
         _ => now + takes,
     }
@@ -62,16 +62,16 @@
 
 impl crate::bench::plan::Failure {
     fn overlaps(&self, from: u64, to: u64) -> bool {
-        from < self.back_ms && to > self.at_ms
+        from < self.end_ms && to > self.start_ms
     }
 
     pub fn is_down(&self, now: u64) -> bool {
-        (self.at_ms..self.back_ms).contains(&now)
+        (self.start_ms..self.end_ms).contains(&now)
     }
 }
 
 /// Whether taking the batch out exceeds the pool's budget, with what has failed.
-fn breaches(fleet: &Fleet, fate: &Fate, pool: &Pool, batch: &[&BoxId], now: u64) -> bool {
+fn exceeds_budget(fleet: &Fleet, fate: &Scenario, pool: &Pool, batch: &[&BoxId], now: u64) -> bool {
     let failed = fate.failure.iter().filter(|failure| failure.is_down(now));
     let failed = failed.flat_map(|failure| &failure.boxes);
     let failed = failed.filter(|id| pool.boxes.contains(*id) && !batch.contains(id));
--- a/cli/src/bench/plan/bound.rs
+++ b/cli/src/bench/plan/bound.rs
@@ -11,27 +11,29 @@
 use spokelift_lib::state::fleet::Fleet;
 use spokelift_lib::state::fleet::Pool;
 
-use crate::bench::plan::Fate;
 use crate::bench::plan::Measures;
+use crate::bench::plan::Scenario;
 
-pub fn lower(fleet: &Fleet, fate: &Fate) -> Measures {
+pub fn lower_bound(fleet: &Fleet, fate: &Scenario) -> Measures {
     let mut rollout_ms = 0;
     let mut buffer_ms = 0;
     for pool in fleet.pools.values() {
         let mut all = Vec::new();
         let mut halls: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
         for id in &pool.boxes {
-            if let Some(takes) = fate.takes_ms[id] {
+            if let Some(takes) = fate.durations_ms[id] {
                 all.push(takes);
                 halls.entry(&fleet.boxes[id].shape.hall).or_default().push(takes);
             }
         }
         buffer_ms += all.iter().sum::<u64>();
         let limit = pool.budget.max_out;
-        rollout_ms = rollout_ms.max(least(&all, limit)).max(with_failure(pool, fate, &all, limit));
+        rollout_ms = rollout_ms
+            .max(min_rollout_ms(&all, limit))
+            .max(min_rollout_with_failure_ms(pool, fate, &all, limit));
         for takes in halls.values() {
             let limit = pool.budget.max_out_per_hall.unwrap_or(u32::MAX);
-            rollout_ms = rollout_ms.max(least(takes, limit));
+            rollout_ms = rollout_ms.max(min_rollout_ms(takes, limit));
         }
     }
     Measures {
@@ -41,7 +43,7 @@
     }
 }
 
-fn least(takes: &[u64], limit: u32) -> u64 {
+fn min_rollout_ms(takes: &[u64], limit: u32) -> u64 {
     let limit = u64::from(limit.max(1));
     let longest = takes.iter().copied().max().unwrap_or(0);
     let shortest = takes.iter().copied().min().unwrap_or(0);
@@ -53,7 +55,7 @@
 /// The least time in which all the work fits under the budget that a failure leaves.
 ///
 /// What was out when the hall failed may go on beyond the budget, for as long as the longest takes.
-fn with_failure(pool: &Pool, fate: &Fate, takes: &[u64], limit: u32) -> u64 {
+fn min_rollout_with_failure_ms(pool: &Pool, fate: &Scenario, takes: &[u64], limit: u32) -> u64 {
     let work = takes.iter().sum::<u64>();
     let longest = takes.iter().copied().max().unwrap_or(0);
     let Some(failure) = &fate.failure else {
@@ -61,16 +63,16 @@
     };
     let limit = u64::from(limit.max(1));
     let failed = failure.boxes.iter().filter(|id| pool.boxes.contains(*id)).count() as u64;
-    let at_ms = (failure.at_ms + longest).min(failure.back_ms);
+    let at_ms = (failure.start_ms + longest).min(failure.end_ms);
     let before = limit * at_ms;
     if work <= before {
         return work.div_ceil(limit);
     }
     let meanwhile = limit.saturating_sub(failed);
-    let gone_ms = failure.back_ms - at_ms;
+    let gone_ms = failure.end_ms - at_ms;
     let left = work - before;
     if left <= meanwhile * gone_ms {
         return at_ms + left.div_ceil(meanwhile);
     }
-    failure.back_ms + (left - meanwhile * gone_ms).div_ceil(limit)
+    failure.end_ms + (left - meanwhile * gone_ms).div_ceil(limit)
 }
--- a/cli/src/bench/slope.rs
+++ b/cli/src/bench/slope.rs
@@ -12,7 +12,7 @@
 }
 
 /// Fits a line through `(size, value)` pairs.
-pub fn fit(points: impl IntoIterator<Item = (f64, f64)>) -> Slope {
+pub fn fit_line(points: impl IntoIterator<Item = (f64, f64)>) -> Slope {
     let points: Vec<(f64, f64)> = points.into_iter().collect();
     let count = points.len() as f64;
     let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
--- a/cli/src/bench/state.rs
+++ b/cli/src/bench/state.rs
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use spokelift_lib::metrics::Totals;
 use spokelift_lib::protocol::api::Published;
-use spokelift_lib::protocol::boxes::Listed;
+use spokelift_lib::protocol::boxes::ListedBox;
 use spokelift_lib::protocol::call::HEALTH;
 use spokelift_lib::protocol::wire::derive_key;
 use spokelift_lib::protocol::worker::Status;
@@ -31,7 +31,7 @@
 use spokelift_lib::transport::dial::full;
 use spokelift_lib::transport::serve::serve;
 use spokelift_testutils::boxes::Boxes;
-use spokelift_testutils::entry::Entry;
+use spokelift_testutils::daemon::Daemon;
 use spokelift_testutils::log::Log;
 use spokelift_testutils::proxy::Link;
 use spokelift_testutils::proxy::Proxy;
@@ -44,7 +44,7 @@
 use crate::bench::generate::Size;
 use crate::bench::probe;
 use crate::bench::slope::Slope;
-use crate::bench::slope::fit;
+use crate::bench::slope::fit_line;
 use crate::client::Client;
 use crate::error::Error;
 use crate::output::pairs;
@@ -54,20 +54,20 @@
 /// Batches between two snapshots, as the daemons have it by default.
 const SNAPSHOT_EVERY: usize = 2000;
 /// Time between two snapshots, as the daemons have it by default.
-const SNAPSHOT_S: f64 = 600.0;
+const SNAPSHOT_PERIOD_S: f64 = 600.0;
 /// How long the cost of control is measured without changes, and then with them.
-const MEASURED: Duration = Duration::from_secs(6);
+const MEASURE_TIME: Duration = Duration::from_secs(6);
 /// Changes made while the cost of control is measured.
 const LIVE_CHANGES: usize = 30;
 /// Secret of the site operator.
 const SECRET: &str = "bench-site-secret";
 const DAY_S: f64 = 86_400.0;
 /// Every box is maintained once in five weeks.
-const MAINTENANCE_S: f64 = 35.0 * DAY_S;
+const MAINTENANCE_PERIOD_S: f64 = 35.0 * DAY_S;
 /// Boxes that fail in a day at 6,400.
 const FAILURES_PER_BOX_DAY: f64 = 41.0 / 6400.0;
 /// Most time a daemon may take to be ready.
-const PATIENCE: Duration = Duration::from_secs(120);
+const READY_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// One size's results.
 #[derive(Clone, Debug, Serialize)]
@@ -90,7 +90,7 @@
 
 /// Encoded bytes of one of each kind of object, at the largest size.
 #[derive(Clone, Copy, Debug, Serialize)]
-struct BytesEach {
+struct ObjectBytes {
     account: f64,
     pool: f64,
     service: f64,
@@ -99,21 +99,21 @@
     verdict: f64,
 }
 
-impl BytesEach {
-    fn of(fleet: &Fleet) -> BytesEach {
+impl ObjectBytes {
+    fn measure(fleet: &Fleet) -> ObjectBytes {
         let steps = fleet.plans.values().map(|plan| plan.steps.len()).sum::<usize>();
-        BytesEach {
-            account: each(&fleet.accounts, fleet.accounts.len()),
-            pool: each(&fleet.pools, fleet.pools.len()),
-            service: each(&fleet.services, fleet.services.len()),
-            placed_box: each(&fleet.boxes, fleet.boxes.len()),
-            plan_step: each(&fleet.plans, steps),
-            verdict: each(&fleet.verdicts, fleet.verdicts.len()),
+        ObjectBytes {
+            account: bytes_per_object(&fleet.accounts, fleet.accounts.len()),
+            pool: bytes_per_object(&fleet.pools, fleet.pools.len()),
+            service: bytes_per_object(&fleet.services, fleet.services.len()),
+            placed_box: bytes_per_object(&fleet.boxes, fleet.boxes.len()),
+            plan_step: bytes_per_object(&fleet.plans, steps),
+            verdict: bytes_per_object(&fleet.verdicts, fleet.verdicts.len()),
         }
     }
 }
 
-fn each<T: Serialize>(objects: &T, count: usize) -> f64 {
+fn bytes_per_object<T: Serialize>(objects: &T, count: usize) -> f64 {
     let bytes = postcard::experimental::serialized_size(objects).unwrap_or(0);
     bytes as f64 / count.max(1) as f64
 }
@@ -158,7 +158,7 @@
     control_bytes_per_s: f64,
     core_percent: f64,
     baseline_ready_ms: f64,
-    bytes_each: BytesEach,
+    bytes_each: ObjectBytes,
     control: Control,
     sizes: Vec<Row>,
     slopes: Slopes,
@@ -166,19 +166,19 @@
 
 /// Measures at four sizes and prints a table, and one line of JSON if asked to.
 pub fn run(args: &BenchState, json: bool) -> Result<(), Error> {
-    check("--boxes", args.boxes, 64, 20_000, "64 to 20000")?;
-    check("--pools", args.pools, 1, 500, "1 to 500")?;
-    check("--changes", args.changes, 100, 100_000, "100 to 100000")?;
+    check_range("--boxes", args.boxes, 64, 20_000, "64 to 20000")?;
+    check_range("--pools", args.pools, 1, 500, "1 to 500")?;
+    check_range("--changes", args.changes, 100, 100_000, "100 to 100000")?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let report = runtime.block_on(measure(args))?;
-    print(&report);
+    print_report(&report);
     if json {
         println!("{}", serde_json::to_string(&report)?);
     }
     Ok(())
 }
 
-fn check(
+fn check_range(
     what: &'static str,
     value: u32,
     min: u32,
@@ -188,11 +188,11 @@
     if (min..=max).contains(&value) {
         return Ok(());
     }
-    Err(Error::Value { what, value: value.to_string(), accepted })
+    Err(Error::InvalidValue { what, value: value.to_string(), accepted })
 }
 
 async fn measure(args: &BenchState) -> Result<Report, Error> {
-    let target = start_target().await?;
+    let target = start_worker_stub().await?;
     let mut sizes = Vec::new();
     let mut bytes_each = None;
     for part in [8, 4, 2, 1] {
@@ -201,21 +201,21 @@
             pools: (args.pools / part).max(1),
             changes: args.changes / part,
         };
-        let mut history = History::new(size, target.link.addr, "buffer");
-        sizes.push(row(size, &mut history, &target).await?);
+        let mut history = History::new(size, target.proxy.addr, "buffer");
+        sizes.push(measure_size(size, &mut history, &target).await?);
         if part == 1 {
-            bytes_each = Some(BytesEach::of(&history.fleet));
+            bytes_each = Some(ObjectBytes::measure(&history.fleet));
         }
     }
     let bytes_each = bytes_each.expect("the largest size was measured");
-    Ok(report(args, sizes, bytes_each))
+    Ok(build_report(args, sizes, bytes_each))
 }
 
-fn report(args: &BenchState, sizes: Vec<Row>, bytes_each: BytesEach) -> Report {
+fn build_report(args: &BenchState, sizes: Vec<Row>, bytes_each: ObjectBytes) -> Report {
     let full = sizes.last().expect("four sizes were measured").clone();
     let control = full.control;
     let by_boxes =
-        |value: fn(&Row) -> f64| fit(sizes.iter().map(|row| (row.boxes.into(), value(row))));
+        |value: fn(&Row) -> f64| fit_line(sizes.iter().map(|row| (row.boxes.into(), value(row))));
     let slopes = Slopes {
         snapshot_bytes_per_box: by_boxes(|row| row.snapshot_bytes as f64),
         ready_ms_per_box: by_boxes(|row| row.ready_ms),
@@ -226,14 +226,14 @@
         core_ms_per_change_per_box: by_boxes(|row| row.control.core_ms_per_change),
     };
     let changes_per_s = f64::from(args.changes) / DAY_S;
-    let chunks = full.snapshot_bytes.div_ceil(snapshot::CHUNK) as f64;
+    let chunks = full.snapshot_bytes.div_ceil(snapshot::CHUNK_BYTES) as f64;
     let boxes = f64::from(args.boxes);
     let appends_per_s_mean = changes_per_s * control.appends_per_change
-        + 2.0 * boxes / MAINTENANCE_S
+        + 2.0 * boxes / MAINTENANCE_PERIOD_S
         + 2.0 * boxes * FAILURES_PER_BOX_DAY / DAY_S
-        + (1.0 + chunks) / SNAPSHOT_S;
+        + (1.0 + chunks) / SNAPSHOT_PERIOD_S;
     // Snapshots go to the log once and come back from it on every daemon, in base64.
-    let snapshot_bytes_per_s = full.snapshot_bytes as f64 * 4.0 / 3.0 / SNAPSHOT_S;
+    let snapshot_bytes_per_s = full.snapshot_bytes as f64 * 4.0 / 3.0 / SNAPSHOT_PERIOD_S;
     Report {
         boxes: args.boxes,
         pools: args.pools,
@@ -255,25 +255,31 @@
     }
 }
 
-async fn row(size: Size, history: &mut History, target: &Target) -> Result<Row, Error> {
-    let wave = history.wave();
+async fn measure_size(
+    size: Size,
+    history: &mut History,
+    target: &WorkerStub,
+) -> Result<Row, Error> {
+    let wave = history.append_wave();
     let before_changes = history.batches.len();
-    history.changes();
-    let encoded: Vec<Bytes> = history.batches.iter().map(encode).collect();
+    history.append_changes();
+    let encoded: Vec<Bytes> = history.batches.iter().map(encode_batch).collect();
     let wave_from = before_changes - wave;
-    let before = probe::resident();
+    let before = probe::resident_bytes();
     let mut fleet = Fleet::default();
     fold(&mut fleet, &encoded[..wave_from]);
-    let wave_apply_per_s = rate(wave, || fold(&mut fleet, &encoded[wave_from..before_changes]));
-    let apply_per_s = rate(size.changes as usize, || fold(&mut fleet, &encoded[before_changes..]));
-    let fleet_mb = megabytes(probe::resident().saturating_sub(before));
+    let wave_apply_per_s =
+        measure_rate(wave, || fold(&mut fleet, &encoded[wave_from..before_changes]));
+    let apply_per_s =
+        measure_rate(size.changes as usize, || fold(&mut fleet, &encoded[before_changes..]));
+    let fleet_mb = megabytes(probe::resident_bytes().saturating_sub(before));
     assert_eq!(fleet, history.fleet, "a second fold of the same records differs");
     let begun = Instant::now();
     let state = snapshot::encode(&fleet);
     let encode_ms = millis(begun.elapsed());
     let tail_from = encoded.len().saturating_sub(SNAPSHOT_EVERY);
-    let (ready_ms, resident_mb) = ready(&with_snapshot(history, tail_from)).await?;
-    let (baseline_ready_ms, _) = ready(&encoded).await?;
+    let (ready_ms, resident_mb) = measure_ready(&truncated_log(history, tail_from)).await?;
+    let (baseline_ready_ms, _) = measure_ready(&encoded).await?;
     Ok(Row {
         boxes: size.boxes,
         pools: size.pools,
@@ -292,7 +298,7 @@
     })
 }
 
-fn encode(batch: &Batch) -> Bytes {
+fn encode_batch(batch: &Batch) -> Bytes {
     batch.encode().expect("generated batches are below the limit").into()
 }
 
@@ -303,7 +309,7 @@
     }
 }
 
-fn rate(count: usize, work: impl FnOnce()) -> f64 {
+fn measure_rate(count: usize, work: impl FnOnce()) -> f64 {
     let begun = Instant::now();
     work();
     count as f64 / begun.elapsed().as_secs_f64()
@@ -319,9 +325,9 @@
 
 /// The same history as a log that has let go of what is before a snapshot: nothing, the chunks,
 /// and the batches after them. Offsets are kept by empty records in place of those let go.
-fn with_snapshot(history: &History, tail_from: usize) -> Vec<Bytes> {
+fn truncated_log(history: &History, tail_from: usize) -> Vec<Bytes> {
     let mut fleet = Fleet::default();
-    let earlier: Vec<Bytes> = history.batches[..tail_from].iter().map(encode).collect();
+    let earlier: Vec<Bytes> = history.batches[..tail_from].iter().map(encode_batch).collect();
     fold(&mut fleet, &earlier);
     let after = fleet.marked;
     let mut log = vec![Bytes::new(); tail_from];
@@ -332,20 +338,20 @@
         records: vec![Record { id: 1, body: Body::Mark { after } }],
     };
     fleet.apply(fleet.next, &mark);
-    log.push(encode(&mark));
+    log.push(encode_batch(&mark));
     let state = snapshot::encode(&fleet);
     for (index, chunk) in snapshot::split(&state, fleet.marked).into_iter().enumerate() {
         let records = vec![Record { id: index as u128 + 2, body: Body::Snapshot(chunk) }];
         let sequence = index as u64 + 2;
-        log.push(encode(&Batch { writer: 98, incarnation: 1, sequence, records }));
+        log.push(encode_batch(&Batch { writer: 98, incarnation: 1, sequence, records }));
     }
-    log.extend(history.batches[tail_from..].iter().map(encode));
+    log.extend(history.batches[tail_from..].iter().map(encode_batch));
     log
 }
 
 /// Starts one empty daemon on a log and waits until it serves. Returns the time and the memory
 /// that took.
-async fn ready(records: &[Bytes]) -> Result<(f64, f64), Error> {
+async fn measure_ready(records: &[Bytes]) -> Result<(f64, f64), Error> {
     let log = Log::start().await?;
     records.iter().for_each(|record| log.put(record.clone()));
     let gone = records.iter().take_while(|record| record.is_empty()).count();
@@ -354,19 +360,19 @@
     log.retain_from(kept_from);
     let boxes = Boxes::start(Vec::new()).await?;
     let settings = settings(0, &[], log.addr, boxes.addr);
-    let before = probe::resident();
+    let before = probe::resident_bytes();
     let begun = Instant::now();
-    let entry = start(settings)?;
-    until_serving(entry.addrs.call).await?;
+    let entry = start_daemon(settings)?;
+    wait_until_serving(entry.addrs.call).await?;
     let ready_ms = millis(begun.elapsed());
-    let resident_mb = megabytes(probe::resident().saturating_sub(before));
-    stop(entry).await;
+    let resident_mb = megabytes(probe::resident_bytes().saturating_sub(before));
+    stop_daemon(entry).await;
     log.stop();
     boxes.stop();
     Ok((ready_ms, resident_mb))
 }
 
-async fn until_serving(addr: SocketAddr) -> Result<(), Error> {
+async fn wait_until_serving(addr: SocketAddr) -> Result<(), Error> {
     let dialer = Dialer::new(Duration::from_secs(1));
     let begun = Instant::now();
     loop {
@@ -375,7 +381,7 @@
         if answer.is_ok_and(|answer| answer.status().is_success()) {
             return Ok(());
         }
-        if begun.elapsed() > PATIENCE {
+        if begun.elapsed() > READY_TIMEOUT {
             let late = std::io::Error::new(std::io::ErrorKind::TimedOut, "a daemon is not ready");
             return Err(Error::Trial(late));
         }
@@ -383,23 +389,23 @@
     }
 }
 
-fn start(settings: Settings) -> std::io::Result<Entry> {
-    let started = std::thread::spawn(move || Entry::start(settings)).join();
+fn start_daemon(settings: Settings) -> std::io::Result<Daemon> {
+    let started = std::thread::spawn(move || Daemon::start(settings)).join();
     started.unwrap_or_else(|_| Err(std::io::Error::other("the daemon's thread panicked")))
 }
 
-async fn stop(entry: Entry) {
+async fn stop_daemon(entry: Daemon) {
     let killed = entry.kill();
     let _ = tokio::task::spawn_blocking(move || killed.join()).await;
 }
 
 /// Six daemons on the full state: bytes, processor time and appends, idle and with changes.
-async fn measure_control(history: &History, target: &Target) -> Result<Control, Error> {
+async fn measure_control(history: &History, target: &WorkerStub) -> Result<Control, Error> {
     let log = Log::start().await?;
     let tail_from = history.batches.len().saturating_sub(SNAPSHOT_EVERY);
-    with_snapshot(history, tail_from).into_iter().for_each(|record| log.put(record));
+    truncated_log(history, tail_from).into_iter().for_each(|record| log.put(record));
     log.retain_from(tail_from as u64 + 1);
-    let listed = history.shapes.iter().map(|(name, shape)| Listed {
+    let listed = history.shapes.iter().map(|(name, shape)| ListedBox {
         name: name.clone(),
         addr: shape.addr,
         hall: shape.hall.clone(),
@@ -417,58 +423,58 @@
     }
     let mut entries = Vec::new();
     for id in 0..DAEMONS {
-        let entry = start(settings(id, &links, log_link.addr, boxes_link.addr))?;
+        let entry = start_daemon(settings(id, &links, log_link.addr, boxes_link.addr))?;
         links[usize::from(id)].set_upstream(entry.addrs.peer);
         entries.push(entry);
     }
     for entry in &entries {
-        until_serving(entry.addrs.call).await?;
+        wait_until_serving(entry.addrs.call).await?;
     }
     // The first polls of all boxes and the whole box list are behind it by then.
-    sleep(MEASURED).await;
+    sleep(MEASURE_TIME).await;
     let target = target.clone();
-    let site = Measured { log, log_link, boxes_link, entries, target };
+    let site = Testbed { log, log_link, boxes_link, entries, worker_stub: target };
     let control = site.measure().await;
     for entry in site.entries {
-        stop(entry).await;
+        stop_daemon(entry).await;
     }
     control
 }
 
-struct Measured {
+struct Testbed {
     log: Log,
     log_link: Proxy,
     boxes_link: Proxy,
-    entries: Vec<Entry>,
-    target: Target,
+    entries: Vec<Daemon>,
+    worker_stub: WorkerStub,
 }
 
 #[derive(Clone, Copy)]
-struct Reading {
+struct Sample {
     peer_bytes: f64,
     log_bytes: f64,
     list_bytes: f64,
-    polled_bytes: f64,
+    poll_bytes: f64,
     polls: f64,
     core_s: f64,
     appends: f64,
 }
 
-impl Reading {
-    fn bytes(&self) -> f64 {
-        self.peer_bytes + self.log_bytes + self.list_bytes + self.polled_bytes
+impl Sample {
+    fn total_bytes(&self) -> f64 {
+        self.peer_bytes + self.log_bytes + self.list_bytes + self.poll_bytes
     }
 }
 
-impl Measured {
+impl Testbed {
     async fn measure(&self) -> Result<Control, Error> {
         let daemons = f64::from(DAEMONS);
-        let first = self.read().await?;
-        sleep(MEASURED).await;
-        let idle = self.read().await?;
+        let first = self.sample().await?;
+        sleep(MEASURE_TIME).await;
+        let idle = self.sample().await?;
         let client = self.client(0);
         let mut in_force = Duration::ZERO;
-        let pause = MEASURED / LIVE_CHANGES as u32;
+        let pause = MEASURE_TIME / LIVE_CHANGES as u32;
         let busy_from = Instant::now();
         for index in 0..LIVE_CHANGES {
             let text = format!(
@@ -483,21 +489,22 @@
             sleep(pause).await;
         }
         let busy_s = busy_from.elapsed().as_secs_f64();
-        let busy = self.read().await?;
-        let idle_s = MEASURED.as_secs_f64();
-        let per_s = |part: fn(&Reading) -> f64| (part(&idle) - part(&first)) / idle_s / daemons;
-        let idle_bytes_per_s = per_s(Reading::bytes);
+        let busy = self.sample().await?;
+        let idle_s = MEASURE_TIME.as_secs_f64();
+        let per_s = |part: fn(&Sample) -> f64| (part(&idle) - part(&first)) / idle_s / daemons;
+        let idle_bytes_per_s = per_s(Sample::total_bytes);
         let idle_core = (idle.core_s - first.core_s) / idle_s / daemons;
         let changes = LIVE_CHANGES as f64;
-        let more_bytes = (busy.bytes() - idle.bytes()) / daemons - idle_bytes_per_s * busy_s;
+        let more_bytes =
+            (busy.total_bytes() - idle.total_bytes()) / daemons - idle_bytes_per_s * busy_s;
         let more_core = (busy.core_s - idle.core_s) / daemons - idle_core * busy_s;
         Ok(Control {
             idle_bytes_per_s,
             idle_peer_bytes_per_s: per_s(|reading| reading.peer_bytes),
             idle_log_bytes_per_s: per_s(|reading| reading.log_bytes),
             idle_list_bytes_per_s: per_s(|reading| reading.list_bytes),
-            idle_poll_bytes_per_s: per_s(|reading| reading.polled_bytes),
-            bytes_per_poll: (idle.polled_bytes - first.polled_bytes) / (idle.polls - first.polls),
+            idle_poll_bytes_per_s: per_s(|reading| reading.poll_bytes),
+            bytes_per_poll: (idle.poll_bytes - first.poll_bytes) / (idle.polls - first.polls),
             bytes_per_change: (more_bytes / changes).max(0.0),
             idle_core_percent: idle_core * 100.0,
             core_ms_per_change: (more_core * 1000.0 / changes).max(0.0),
@@ -510,33 +517,33 @@
         Client::new(self.entries[daemon].addrs.operate, &format!("site:{SECRET}"))
     }
 
-    async fn read(&self) -> Result<Reading, Error> {
+    async fn sample(&self) -> Result<Sample, Error> {
         let mut peers = 0;
         for daemon in 0..self.entries.len() {
             let client = self.client(daemon);
             let totals: Totals = client.get("/v1/counters").await?;
             peers += totals.get("peer.sent.bytes").copied().unwrap_or(0);
         }
-        Ok(Reading {
+        Ok(Sample {
             peer_bytes: peers as f64,
-            log_bytes: self.log_link.passed() as f64,
-            list_bytes: self.boxes_link.passed() as f64,
-            polled_bytes: self.target.link.passed() as f64,
-            polls: self.target.polls.load(Ordering::SeqCst) as f64,
-            core_s: probe::thread_seconds("entry-"),
-            appends: self.log.served().0 as f64,
+            log_bytes: self.log_link.forwarded_bytes() as f64,
+            list_bytes: self.boxes_link.forwarded_bytes() as f64,
+            poll_bytes: self.worker_stub.proxy.forwarded_bytes() as f64,
+            polls: self.worker_stub.polls.load(Ordering::SeqCst) as f64,
+            core_s: probe::thread_cpu_seconds("entry-"),
+            appends: self.log.request_counts().0 as f64,
         })
     }
 }
 
 /// A stand-in for every worker at once: it always says that it knows more than whoever asks.
 #[derive(Clone)]
-struct Target {
-    link: Proxy,
+struct WorkerStub {
+    proxy: Proxy,
     polls: Arc<AtomicU64>,
 }
 
-async fn start_target() -> std::io::Result<Target> {
+async fn start_worker_stub() -> std::io::Result<WorkerStub> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let link = Proxy::start(listener.local_addr()?).await?;
     let (stop, stopped) = watch::channel(false);
@@ -559,7 +566,7 @@
         let _stop = stop;
         serve(listener, stopped, handler).await;
     });
-    Ok(Target { link, polls })
+    Ok(WorkerStub { proxy: link, polls })
 }
 
 fn settings(id: u16, links: &[Link], log: SocketAddr, boxes: SocketAddr) -> Settings {
@@ -585,7 +592,7 @@
     settings
 }
 
-fn print(report: &Report) {
+fn print_report(report: &Report) {
     println!(
         "boxes   records  apply/s   wave/s  snapshot KB  ready ms  replay ms  resident MB  \
          bytes/s  core %  ms/change"
--- a/cli/src/bin/spokeliftd.rs
+++ b/cli/src/bin/spokeliftd.rs
@@ -8,13 +8,13 @@
 
 use argh::FromArgs;
 use miette::Diagnostic;
-use spokelift_cli::USAGE;
+use spokelift_cli::EXIT_USAGE;
 use spokelift_cli::read_args;
 use spokelift_cli::report;
 use spokelift_lib::daemon;
 use spokelift_lib::daemon::Sockets;
-use spokelift_lib::log_limit::Limited;
 use spokelift_lib::log_limit::Pipe;
+use spokelift_lib::log_limit::RateLimited;
 use spokelift_lib::settings::NodeSettings;
 use spokelift_lib::settings::Setting;
 use spokelift_lib::settings::Settings;
@@ -163,42 +163,43 @@
         let (pipe, progress) = Pipe::new(io::stdout());
         let logger = logger.target(env_logger::Target::Pipe(Box::new(pipe))).build();
         log::set_max_level(logger.filter());
-        log::set_boxed_logger(Box::new(Limited::new(logger))).expect("no logger was set before");
-        let code = platform(&args);
-        progress.settle();
+        log::set_boxed_logger(Box::new(RateLimited::new(logger)))
+            .expect("no logger was set before");
+        let code = run_platform(&args);
+        progress.wait_written();
         return code;
     }
     logger.init();
     let settings = match Settings::resolve(|setting| args.value(setting)) {
         Ok(settings) => settings,
-        Err(error) => return unusable(&error),
+        Err(error) => return report_usage_error(&error),
     };
     if args.check {
         println!("the settings can be used");
         return ExitCode::SUCCESS;
     }
-    run(settings)
+    run_site(settings)
 }
 
 /// Shows why the settings cannot be used.
-fn unusable(error: &dyn Diagnostic) -> ExitCode {
+fn report_usage_error(error: &dyn Diagnostic) -> ExitCode {
     report(error);
-    ExitCode::from(USAGE)
+    ExitCode::from(EXIT_USAGE)
 }
 
 /// Runs on the users' platform.
-fn platform(args: &Args) -> ExitCode {
-    let Some(path) = std::env::var_os(spokelift_platform::settings::VARIABLE) else {
-        eprintln!("{} is not set", spokelift_platform::settings::VARIABLE);
-        return ExitCode::from(USAGE);
+fn run_platform(args: &Args) -> ExitCode {
+    let Some(path) = std::env::var_os(spokelift_platform::settings::FILE_VARIABLE) else {
+        eprintln!("{} is not set", spokelift_platform::settings::FILE_VARIABLE);
+        return ExitCode::from(EXIT_USAGE);
     };
     let settings = match spokelift_platform::settings::Settings::read(path.as_ref()) {
         Ok(settings) => settings,
-        Err(error) => return unusable(&error),
+        Err(error) => return report_usage_error(&error),
     };
     let options = match NodeSettings::resolve(|setting| args.value(setting)) {
         Ok(options) => options,
-        Err(error) => return unusable(&error),
+        Err(error) => return report_usage_error(&error),
     };
     if args.check {
         println!("the settings can be used");
@@ -206,7 +207,7 @@
     }
     // One thread: these boxes have a share of one core, and each wake-up of another is charged.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    finish(runtime, serve_platform(settings, options))
+    run_to_completion(runtime, serve_platform(settings, options))
 }
 
 /// Serves until SIGTERM. Nothing in the settings changes while the process runs, so SIGHUP is
@@ -234,13 +235,13 @@
 }
 
 /// Runs as a daemon of a site.
-fn run(settings: Settings) -> ExitCode {
+fn run_site(settings: Settings) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    finish(runtime, serve(settings))
+    run_to_completion(runtime, serve_site(settings))
 }
 
 /// Serves on a runtime to the end; tells on standard error why that failed.
-fn finish(
+fn run_to_completion(
     runtime: io::Result<Runtime>,
     serving: impl Future<Output = Result<(), Box<dyn std::error::Error>>>,
 ) -> ExitCode {
@@ -258,7 +259,7 @@
 }
 
 /// Serves until SIGTERM or SIGINT. Prints the addresses bound as one line of JSON.
-async fn serve(settings: Settings) -> Result<(), Box<dyn std::error::Error>> {
+async fn serve_site(settings: Settings) -> Result<(), Box<dyn std::error::Error>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let sockets = Sockets::bind(&settings).await?;
--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -14,9 +14,9 @@
 use crate::error::Error;
 
 /// How long a daemon may take to answer; longer than it waits for the log and its peers.
-const WAIT: Duration = Duration::from_secs(15);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 /// Largest answer, in bytes.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// A daemon and the credential to use there.
 #[derive(Clone)]
@@ -59,14 +59,15 @@
             .uri(path)
             .header(AUTHORIZATION, format!("Bearer {}", self.key))
             .body(full(body));
-        let request = request.map_err(|_| Error::Value {
+        let request = request.map_err(|_| Error::InvalidValue {
             what: "the credential or id",
             value: path.to_owned(),
             accepted: "printable characters without spaces",
         })?;
-        let answer = self.dialer.exchange(self.daemon, request, MAX_ANSWER, WAIT).await;
+        let answer =
+            self.dialer.exchange(self.daemon, request, MAX_RESPONSE_BYTES, REQUEST_TIMEOUT).await;
         let daemon = self.daemon;
-        let answer = answer.map_err(|source| Error::Daemon { daemon, source })?;
+        let answer = answer.map_err(|source| Error::Unreachable { daemon, source })?;
         if answer.status().is_success() {
             return Ok(serde_json::from_slice(answer.body())?);
         }
--- a/cli/src/command.rs
+++ b/cli/src/command.rs
@@ -35,7 +35,7 @@
 use crate::trial;
 
 /// Pause between two looks at a plan that is watched.
-const WATCH: Duration = Duration::from_millis(500);
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Carries out a command.
 pub fn run(args: Args) -> Result<(), Error> {
@@ -49,7 +49,7 @@
         }
         _ => {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-            runtime.block_on(ask(args))
+            runtime.block_on(run_remote(args))
         }
     }
 }
@@ -63,31 +63,32 @@
 
 fn client(args: &Args) -> Result<Client, Error> {
     let daemon = daemon(args)?;
-    let key = or_variable(&args.key, "the credential", "key", "SPOKELIFT_KEY")?;
+    let key = flag_or_variable(&args.key, "the credential", "key", "SPOKELIFT_KEY")?;
     Ok(Client::new(daemon, &key))
 }
 
 fn daemon(args: &Args) -> Result<SocketAddr, Error> {
-    let daemon = or_variable(&args.daemon, "the daemon's address", "daemon", "SPOKELIFT_DAEMON")?;
+    let daemon =
+        flag_or_variable(&args.daemon, "the daemon's address", "daemon", "SPOKELIFT_DAEMON")?;
     let addr: Result<SocketAddr, _> = daemon.parse();
-    addr.map_err(|_| Error::Value {
+    addr.map_err(|_| Error::InvalidValue {
         what: "the daemon's address",
         value: daemon,
         accepted: "IP:PORT",
     })
 }
 
-fn or_variable(
+fn flag_or_variable(
     given: &Option<String>,
     what: &'static str,
     flag: &'static str,
     variable: &'static str,
 ) -> Result<String, Error> {
     let value = given.clone().or_else(|| std::env::var(variable).ok());
-    value.ok_or(Error::Missing { what, flag, variable })
+    value.ok_or(Error::MissingSetting { what, flag, variable })
 }
 
-async fn ask(args: Args) -> Result<(), Error> {
+async fn run_remote(args: Args) -> Result<(), Error> {
     let client = client(&args)?;
     let json = args.json;
     match args.command {
@@ -107,7 +108,7 @@
                 WaveAction::Resume(wave) => format!("/v1/plans/{}/resume", wave.id),
                 WaveAction::Abort(wave) => format!("/v1/plans/{}/abort", wave.id),
             };
-            act(&client, json, &path).await
+            post_plan_action(&client, json, &path).await
         }
         Command::Status(_) => {
             show(json, &client.get::<StatusView>("/v1/status").await?, output::status)
@@ -149,15 +150,15 @@
 async fn publish(client: &Client, path: &Path) -> Result<Published, Error> {
     let read = std::fs::read_to_string(path);
     let text = read.map_err(|source| Error::File { path: path.to_owned(), source })?;
-    Document::parse(&text).map_err(|faults| in_file(path, &text, faults))?;
+    Document::parse(&text).map_err(|faults| config_error(path, &text, faults))?;
     let published = client.post("/v1/publish", text.clone().into_bytes()).await;
     published.map_err(|error| match error {
-        Error::Api { error: ApiError::Config { faults } } => in_file(path, &text, faults),
+        Error::Api { error: ApiError::Config { faults } } => config_error(path, &text, faults),
         error => error,
     })
 }
 
-fn in_file(path: &Path, text: &str, faults: Vec<Fault>) -> Error {
+fn config_error(path: &Path, text: &str, faults: Vec<Fault>) -> Error {
     let faults = faults.into_iter().map(|fault| FileFault::new(path, text, fault));
     Error::Config { path: path.to_owned(), faults: faults.collect() }
 }
@@ -188,16 +189,16 @@
             show(json, &client.get::<PlanView>(&path).await?, output::plan)
         }
         PlanAction::Confirm(plan) => {
-            act(client, json, &format!("/v1/plans/{}/confirm", plan.id)).await
+            post_plan_action(client, json, &format!("/v1/plans/{}/confirm", plan.id)).await
         }
         PlanAction::Cancel(plan) => {
-            act(client, json, &format!("/v1/plans/{}/abort", plan.id)).await
+            post_plan_action(client, json, &format!("/v1/plans/{}/abort", plan.id)).await
         }
         PlanAction::Watch(plan) => watch(client, json, &plan.id).await,
     }
 }
 
-async fn act(client: &Client, json: bool, path: &str) -> Result<(), Error> {
+async fn post_plan_action(client: &Client, json: bool, path: &str) -> Result<(), Error> {
     let plan: PlanView = client.post(path, Vec::new()).await?;
     show(json, &plan, output::progress_line)
 }
@@ -216,6 +217,6 @@
         if plan.phase.is_over() {
             return Ok(());
         }
-        tokio::time::sleep(WATCH).await;
+        tokio::time::sleep(WATCH_INTERVAL).await;
     }
 }
--- a/cli/src/command/batch.rs
+++ b/cli/src/command/batch.rs
@@ -21,31 +21,31 @@
     let json = args.json;
     match action {
         BatchAction::Accounts(_) => {
-            let accounts: view::account::Accounts = viewer.get(&path("accounts")).await?;
+            let accounts: view::account::Accounts = viewer.get(&api_path("accounts")).await?;
             show(json, &accounts, output::batch_accounts)
         }
         BatchAction::Services(_) => {
-            let services: Vec<view::Service> = viewer.get(&path("services")).await?;
+            let services: Vec<view::Service> = viewer.get(&api_path("services")).await?;
             show(json, &services, |services| output::batch_services(services))
         }
         BatchAction::Queues(_) => {
-            let queues: Vec<view::Queue> = viewer.get(&path("queues")).await?;
+            let queues: Vec<view::Queue> = viewer.get(&api_path("queues")).await?;
             show(json, &queues, |queues| output::batch_queues(queues))
         }
         BatchAction::Workers(_) => {
-            let workers: Vec<view::Worker> = viewer.get(&path("workers")).await?;
+            let workers: Vec<view::Worker> = viewer.get(&api_path("workers")).await?;
             show(json, &workers, |workers| output::batch_workers(workers))
         }
         BatchAction::Shares(_) => {
-            let shares: Vec<view::Shard> = viewer.get(&path("shares")).await?;
+            let shares: Vec<view::Shard> = viewer.get(&api_path("shares")).await?;
             show(json, &shares, |shares| output::batch_shares(shares))
         }
         BatchAction::Waves(_) => {
-            let waves: Vec<view::Wave> = viewer.get(&path("waves")).await?;
+            let waves: Vec<view::Wave> = viewer.get(&api_path("waves")).await?;
             show(json, &waves, |waves| output::batch_waves(waves))
         }
         BatchAction::Explain(explain) => {
-            let job: view::Job = viewer.get(&path(&format!("jobs/{}", explain.job))).await?;
+            let job: view::Job = viewer.get(&api_path(&format!("jobs/{}", explain.job))).await?;
             show(json, &job, output::batch_job)
         }
         BatchAction::Submit(submit) => {
@@ -53,14 +53,14 @@
             show(json, &submitted, |submitted| submitted.id.clone())
         }
         BatchAction::Cancel(cancel) => {
-            let path = path(&format!("jobs/{}", cancel.job));
+            let path = api_path(&format!("jobs/{}", cancel.job));
             let cancelled: view::Cancelled = client(args)?.delete(&path).await?;
             show(json, &cancelled, output::batch_cancelled)
         }
     }
 }
 
-fn path(rest: &str) -> String {
+fn api_path(rest: &str) -> String {
     format!("{}{rest}", view::PATH)
 }
 
@@ -71,7 +71,7 @@
     let job: Job = toml::from_str(&text)
         .map_err(|source| Error::Job { path: submit.file.clone(), source: source.into() })?;
     let id = submit.id.clone().unwrap_or_else(|| format!("{:016x}", rand::random::<u64>()));
-    let path = path(&format!("queues/{}/jobs/{id}", submit.queue));
+    let path = api_path(&format!("queues/{}/jobs/{id}", submit.queue));
     client.post(&path, to_json(&job)?).await
 }
 
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -17,11 +17,11 @@
     /// A setting of the tool is missing.
     #[error("{what} is not set")]
     #[diagnostic(help("give --{flag} or set {variable}"))]
-    Missing { what: &'static str, flag: &'static str, variable: &'static str },
+    MissingSetting { what: &'static str, flag: &'static str, variable: &'static str },
     /// A value on the command line cannot be used.
     #[error("{what} is {value:?}")]
     #[diagnostic(help("accepted: {accepted}"))]
-    Value { what: &'static str, value: String, accepted: &'static str },
+    InvalidValue { what: &'static str, value: String, accepted: &'static str },
     /// A file cannot be read.
     #[error("cannot read {}", path.display())]
     #[diagnostic(help("check the path and its permissions"))]
@@ -35,7 +35,7 @@
     #[diagnostic(help(
         "another daemon of the site may answer; a change may have taken effect: look before asking again"
     ))]
-    Daemon {
+    Unreachable {
         daemon: SocketAddr,
         #[source]
         source: ExchangeError,
@@ -43,7 +43,7 @@
     /// The daemon's answer cannot be read.
     #[error("the daemon's answer cannot be read")]
     #[diagnostic(help("the daemon may be of another version"))]
-    Answer(#[from] serde_json::Error),
+    InvalidResponse(#[from] serde_json::Error),
     /// The configuration file has faults.
     #[error("{} has {} fault(s); nothing was published", path.display(), faults.len())]
     #[diagnostic(help("mend the file and publish it again"))]
@@ -67,7 +67,7 @@
     /// The daemon's program is not there.
     #[error("there is no {}", path.display())]
     #[diagnostic(help("build both programs: cargo build --release"))]
-    NoDaemon { path: PathBuf },
+    MissingProgram { path: PathBuf },
     /// A trial could not be run.
     #[error("the trial could not be run: {0}")]
     Trial(#[from] std::io::Error),
@@ -125,11 +125,11 @@
     /// Exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
-            Error::Missing { .. } | Error::Value { .. } => 2,
-            Error::NoDaemon { .. }
+            Error::MissingSetting { .. } | Error::InvalidValue { .. } => 2,
+            Error::MissingProgram { .. }
             | Error::File { .. }
-            | Error::Answer(_)
-            | Error::Daemon { .. }
+            | Error::InvalidResponse(_)
+            | Error::Unreachable { .. }
             | Error::Trial(_) => 1,
             Error::Config { .. } | Error::Job { .. } => 3,
             Error::Api { error } => match error {
--- a/cli/src/lib.rs
+++ b/cli/src/lib.rs
@@ -8,7 +8,7 @@
 use miette::GraphicalReportHandler;
 
 /// Exit code for settings or a command line that cannot be used.
-pub const USAGE: u8 = 2;
+pub const EXIT_USAGE: u8 = 2;
 
 /// Reads the process's command line as that of `program`; prints help or what is wrong with it, and
 /// gives the exit code to end with.
@@ -22,7 +22,7 @@
         }
         Err(()) => {
             eprintln!("{}", exit.output);
-            ExitCode::from(USAGE)
+            ExitCode::from(EXIT_USAGE)
         }
     })
 }
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -35,7 +35,7 @@
     value.to_string()
 }
 
-fn yes(value: bool, word: &str) -> String {
+fn word_or_dash(value: bool, word: &str) -> String {
     if value { word.to_owned() } else { "-".to_owned() }
 }
 
@@ -43,15 +43,15 @@
 pub fn pools(pools: &[PoolView]) -> String {
     let row = |pool: &PoolView| {
         let out = format!("{}/{}", pool.out, pool.max_out);
-        vec![cell(&pool.name), cell(&pool.account), cell(pool.boxes), out, weigh(pool)]
+        vec![cell(&pool.name), cell(&pool.account), cell(pool.boxes), out, objective(pool)]
     };
     table(&["POOL", "ACCOUNT", "BOXES", "OUT", "FIRST"], pools.iter().map(row))
 }
 
-fn weigh(pool: &PoolView) -> String {
-    match pool.weigh {
-        spokelift_lib::state::fleet::Weigh::Buffer => cell("buffer"),
-        spokelift_lib::state::fleet::Weigh::Rollout => cell("roll-out"),
+fn objective(pool: &PoolView) -> String {
+    match pool.objective {
+        spokelift_lib::state::fleet::Objective::Buffer => cell("buffer"),
+        spokelift_lib::state::fleet::Objective::Rollout => cell("roll-out"),
     }
 }
 
@@ -128,7 +128,7 @@
 
 /// One line on how far a plan is.
 pub fn progress_line(plan: &PlanView) -> String {
-    let begun = plan.steps.iter().filter(|step| step.progress.is_begun()).count();
+    let begun = plan.steps.iter().filter(|step| step.progress.is_under_way()).count();
     let failed = plan.steps.iter().filter(|step| is_failed(step)).count();
     let steps = plan.steps.len();
     let phase = phase(plan.phase);
@@ -217,7 +217,7 @@
     let peers: Vec<String> = peers.collect();
     let rows = [
         ("daemon", cell(status.id)),
-        ("serving", yes(status.serving, "yes")),
+        ("serving", word_or_dash(status.serving, "yes")),
         ("basis", status.basis.clone()),
         ("applied", cell(status.next)),
         ("configured", cell(status.configured)),
--- a/cli/src/trial/batch.rs
+++ b/cli/src/trial/batch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use spokelift_testutils::platform::soak;
-use spokelift_testutils::platform::soak::HAS_ACCOUNTS_FROM;
+use spokelift_testutils::platform::soak::ACCOUNTS_FROM_SEED;
 use spokelift_testutils::platform::soak::MACHINES;
 use spokelift_testutils::platform::soak::NODES;
 use spokelift_testutils::platform::soak::Report;
@@ -13,19 +13,19 @@
 use crate::error::Error;
 
 /// Name of the daemon's program, which is built into the same directory as this one.
-const DAEMON: &str = "spokeliftd";
+const DAEMON_PROGRAM: &str = "spokeliftd";
 /// How long faults may go on, in seconds.
-pub const SECONDS: std::ops::RangeInclusive<u64> = 2..=600;
+pub const FAULT_SECONDS: std::ops::RangeInclusive<u64> = 2..=600;
 
 /// Plays the faults of a seed and prints what came of it.
-pub async fn play(args: &Trial, json: bool) -> Result<(), Error> {
-    let program = daemon()?;
-    let first = if args.accounts { HAS_ACCOUNTS_FROM } else { 0 };
+pub async fn run(args: &Trial, json: bool) -> Result<(), Error> {
+    let program = daemon_path()?;
+    let first = if args.accounts { ACCOUNTS_FROM_SEED } else { 0 };
     let seed = args.seed.saturating_add(first);
     let seconds = args.seconds;
     println!("seed {seed}: {NODES} daemons, {MACHINES} boxes, faults for {seconds} s");
     let program = program.to_string_lossy();
-    let report = soak::play(&program, seed, Duration::from_secs(seconds)).await?;
+    let report = soak::run(&program, seed, Duration::from_secs(seconds)).await?;
     println!("{}", table(&report));
     if json {
         println!("{}", serde_json::to_string(&report)?);
@@ -37,11 +37,11 @@
 }
 
 /// The daemon's program.
-pub fn daemon() -> Result<PathBuf, Error> {
-    let path = std::env::current_exe()?.with_file_name(DAEMON);
+pub fn daemon_path() -> Result<PathBuf, Error> {
+    let path = std::env::current_exe()?.with_file_name(DAEMON_PROGRAM);
     match path.exists() {
         true => Ok(path),
-        false => Err(Error::NoDaemon { path }),
+        false => Err(Error::MissingProgram { path }),
     }
 }
 
--- a/cli/src/trial/log_file.rs
+++ b/cli/src/trial/log_file.rs
@@ -19,7 +19,7 @@
 }
 
 /// Keeps the log of a trial that failed and says where it is; removes it otherwise.
-pub fn settle(failed: bool) {
+pub fn keep_or_remove(failed: bool) {
     let path = path();
     if failed {
         println!("what the daemons wrote is kept in {}", path.display());
--- a/cli/src/trial/report.rs
+++ b/cli/src/trial/report.rs
@@ -39,7 +39,7 @@
     }
 
     /// Names of what must hold and did not.
-    pub fn broken(&self) -> Vec<String> {
+    pub fn violations(&self) -> Vec<String> {
         let mut broken: Vec<String> =
             self.counts.violations().into_iter().map(str::to_owned).collect();
         if !self.plans_done {
--- a/cli/src/trial/stage.rs
+++ b/cli/src/trial/testbed.rs
@@ -19,10 +19,10 @@
 use spokelift_testutils::caller;
 use spokelift_testutils::caller::Balancer;
 use spokelift_testutils::caller::Call;
-use spokelift_testutils::entry::Entry;
+use spokelift_testutils::daemon::Daemon;
 use spokelift_testutils::kills::Kills;
 use spokelift_testutils::ledger::Ledger;
-use spokelift_testutils::ledger::Told;
+use spokelift_testutils::ledger::Outcome;
 use spokelift_testutils::log::Log;
 use spokelift_testutils::ports;
 use spokelift_testutils::site::Site;
@@ -36,20 +36,20 @@
 /// Daemons of a site.
 pub const DAEMONS: u16 = 6;
 /// Time a worker's reboot takes.
-const REBOOT: Duration = Duration::from_millis(600);
+const REBOOT_TIME: Duration = Duration::from_millis(600);
 /// Time between the balancer's health checks.
-const HEALTH_EVERY: Duration = Duration::from_millis(200);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// The site operator's secret.
 const SITE_SECRET: &str = "trial-site-secret";
 /// A key that is published in mid-trial.
 const NEW_KEY: &str = "a-new-caller-secret";
 /// Longest wait for the stage to be ready.
-const PATIENCE: Duration = Duration::from_secs(15);
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
 /// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The stand-ins and the daemons.
-pub struct Stage {
+pub struct Testbed {
     pub site: Site,
     pub ledger: Ledger,
     pub balancer: Arc<Balancer>,
@@ -57,22 +57,22 @@
     boxes: Boxes,
     workers: Vec<Worker>,
     settings: Vec<Settings>,
-    entries: Vec<Option<Entry>>,
+    entries: Vec<Option<Daemon>>,
     /// When daemons were killed.
-    pub killed: Arc<Kills>,
+    pub kills: Arc<Kills>,
     /// When the trial began; times in its account of harm count from here.
-    pub begun: Instant,
-    checks: AbortHandle,
+    pub started_at: Instant,
+    health_checks: AbortHandle,
 }
 
-impl Stage {
+impl Testbed {
     /// Starts everything.
-    pub async fn set(site: Site) -> std::io::Result<Stage> {
+    pub async fn start(site: Site) -> std::io::Result<Testbed> {
         let ledger = Ledger::new(site.ledger_pools());
         let log = Log::start().await?;
         let mut workers = Vec::new();
         for listed in site.boxes() {
-            workers.push(Worker::start(listed, ledger.clone(), REBOOT).await?);
+            workers.push(Worker::start(listed, ledger.clone(), REBOOT_TIME).await?);
         }
         let listed = workers.iter().map(|worker| worker.listed.clone());
         let boxes = Boxes::start(listed.collect()).await?;
@@ -84,10 +84,11 @@
         let addrs = settings.iter().map(|settings| settings.call_addr);
         let balancer = Arc::new(Balancer::new(addrs.collect()));
         let checked = balancer.clone();
-        let checks = tokio::spawn(async move { checked.keep_checking(HEALTH_EVERY).await });
+        let checks =
+            tokio::spawn(async move { checked.keep_checking(HEALTH_CHECK_INTERVAL).await });
         let checks = checks.abort_handle();
         let killed = Arc::new(Kills::new(DAEMONS.into()));
-        Ok(Stage {
+        Ok(Testbed {
             site,
             ledger,
             balancer,
@@ -96,21 +97,21 @@
             workers,
             settings,
             entries,
-            killed,
-            begun: Instant::now(),
-            checks,
+            kills: killed,
+            started_at: Instant::now(),
+            health_checks: checks,
         })
     }
 
     /// Waits until something holds; gives up after a while, and what follows will tell.
-    pub async fn until(&self, what: &str, holds: impl Fn(&Stage) -> bool) {
+    pub async fn wait_until(&self, what: &str, holds: impl Fn(&Testbed) -> bool) {
         let begun = Instant::now();
         while !holds(self) {
-            if begun.elapsed() > PATIENCE {
+            if begun.elapsed() > READY_TIMEOUT {
                 println!("gave up waiting until {what}");
                 return;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -134,7 +135,7 @@
     }
 
     /// Waits until the new key is good at every entry box, as its callers see it.
-    pub async fn new_key_everywhere(&self) {
+    pub async fn wait_for_new_key(&self) {
         let dialer = Dialer::new(Duration::from_secs(1));
         let pool = &self.site.pools[0];
         let begun = Instant::now();
@@ -148,11 +149,12 @@
                     run_ms: 1,
                     body: Bytes::new(),
                 };
-                let told = caller::call_on(&self.ledger, &dialer, settings.call_addr, &call).await;
-                if told == Told::Answered || begun.elapsed() > PATIENCE {
+                let told =
+                    caller::call_and_record(&self.ledger, &dialer, settings.call_addr, &call).await;
+                if told == Outcome::Answered || begun.elapsed() > READY_TIMEOUT {
                     break;
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
     }
@@ -170,14 +172,14 @@
     /// Kills a daemon.
     pub fn kill_daemon(&mut self, daemon: usize) {
         if let Some(entry) = self.entries[daemon].take() {
-            self.killed.begin(daemon);
-            let begun = self.begun;
+            self.kills.record_started(daemon);
+            let begun = self.started_at;
             println!("kills daemon {daemon} at {} ms", begun.elapsed().as_millis());
             let killed = entry.kill();
-            let kills = self.killed.clone();
+            let kills = self.kills.clone();
             std::thread::spawn(move || {
                 let over = killed.join().is_ok();
-                kills.end(daemon);
+                kills.record_ended(daemon);
                 println!("daemon {daemon} is gone at {} ms ({over})", begun.elapsed().as_millis());
             });
         }
@@ -190,11 +192,14 @@
     }
 
     /// Stops a daemon as an operator would, under load.
-    pub async fn stop_one(&mut self, daemon: usize) {
+    pub async fn stop_daemon(&mut self, daemon: usize) {
         if let Some(entry) = self.entries[daemon].take() {
-            println!("stops daemon {daemon} at {} ms", self.begun.elapsed().as_millis());
+            println!("stops daemon {daemon} at {} ms", self.started_at.elapsed().as_millis());
             entry.stop().await;
-            println!("stopped daemon {daemon} under load, {} ms", self.begun.elapsed().as_millis());
+            println!(
+                "stopped daemon {daemon} under load, {} ms",
+                self.started_at.elapsed().as_millis()
+            );
         }
     }
 
@@ -214,8 +219,8 @@
     }
 
     /// Ends everything.
-    pub async fn strike(mut self) {
-        self.checks.abort();
+    pub async fn stop_all(mut self) {
+        self.health_checks.abort();
         for entry in self.entries.iter_mut().filter_map(Option::take) {
             // Waiting for the thread lets its sockets close before the process ends.
             let killed = entry.kill();
@@ -230,9 +235,9 @@
 }
 
 /// Starts a daemon away from the current runtime.
-fn start_entry(settings: &Settings) -> std::io::Result<Entry> {
+fn start_entry(settings: &Settings) -> std::io::Result<Daemon> {
     let settings = settings.clone();
-    let started = std::thread::spawn(move || Entry::start(settings)).join();
+    let started = std::thread::spawn(move || Daemon::start(settings)).join();
     started.unwrap_or_else(|_| Err(std::io::Error::other("the daemon's thread panicked")))
 }
 
@@ -256,12 +261,12 @@
             peer_addr,
             peers: peers.collect(),
             peer_key: derive_key("trial-peer-secret"),
-            log,
-            boxes,
-            site_key: hash_secret(SITE_SECRET),
+            log_addr: log,
+            box_list_addr: boxes,
+            site_key_hash: hash_secret(SITE_SECRET),
             max_age: Duration::from_millis(2500),
-            heartbeat: Duration::from_millis(250),
-            poll: Duration::from_millis(300),
+            heartbeat_interval: Duration::from_millis(250),
+            poll_interval: Duration::from_millis(300),
             poll_bytes_per_s: 30_000,
             appends_per_s: 12,
             queue_limit: 128,
--- a/cli/tests/test_accounts.rs
+++ b/cli/tests/test_accounts.rs
@@ -35,7 +35,7 @@
 }
 
 fn assert_sound(site: &Site) {
-    assert_eq!(site.ledger.faults(), Vec::<String>::new());
+    assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
 
 /// Two accounts, one of them with two keys.
@@ -48,7 +48,7 @@
 /// Waits until each node asks for a key.
 async fn until_keys_count(site: &Site) {
     for node in 0..site.nodes.len() {
-        site.until("a call without a key is refused", async |site| {
+        site.wait_until("a call without a key is refused", async |site| {
             site.call_with(&[], node, Method::GET, &path(99), Value::Null).await.0 == 401
         })
         .await;
@@ -58,7 +58,7 @@
 #[tokio::test]
 async fn a_call_bears_a_key_of_an_account() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
-    site.configure(2, &accounts());
+    site.publish_config(2, &accounts());
     until_keys_count(&site).await;
     let post = |headers: Vec<(&'static str, &'static [u8])>| {
         let site = &site;
@@ -71,17 +71,17 @@
     assert_eq!(post(vec![("authorization", b"Bearer \xff\xfe")]).await, 401);
     let good: (&str, &[u8]) = ("authorization", b"Bearer key-of-first");
     assert_eq!(post(vec![good, good]).await, 401, "two keys name nobody");
-    assert_eq!(site.ledger.starts(), 0);
+    assert_eq!(site.ledger.start_count(), 0);
     assert_eq!(post(vec![("authorization", b"bearer key-of-first")]).await, 200);
     assert_eq!(post(vec![good]).await, 200);
-    site.until("the job has run", async |site| site.ledger.done() == 1).await;
+    site.wait_until("the job has run", async |site| site.ledger.done_count() == 1).await;
     assert_sound(&site);
 }
 
 #[tokio::test]
 async fn a_job_belongs_to_its_account() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
-    site.configure(2, &accounts());
+    site.publish_config(2, &accounts());
     until_keys_count(&site).await;
     let call = async |key: &str, method: Method, body: Value| {
         site.call_as(key, 1, method, &path(1), body).await.0
@@ -91,7 +91,7 @@
         "steps": [{ "count": 1, "cpu": 500, "memMb": 100, "estimateMs": 100, "longRunning": true }],
     });
     assert_eq!(call("key-of-first", Method::POST, lasting.clone()).await, 200);
-    site.until("it runs", async |site| site.ledger.running(&id(1)) == 1).await;
+    site.wait_until("it runs", async |site| site.ledger.running_tasks(&id(1)) == 1).await;
     assert_eq!(call("key-of-first", Method::GET, Value::Null).await, 200);
     assert_eq!(call("second-key-of-first", Method::GET, Value::Null).await, 200);
     assert_eq!(call("key-of-other", Method::GET, Value::Null).await, 410);
@@ -106,7 +106,7 @@
         let node = usize::from(site.nodes[1].is_running());
         site.call_as("second-key-of-first", node, Method::GET, &path(1), Value::Null).await.0 == 200
     };
-    site.until("the next holder knows it", seen).await;
+    site.wait_until("the next holder knows it", seen).await;
     let node = usize::from(site.nodes[1].is_running());
     let (status, _) =
         site.call_as("key-of-other", node, Method::DELETE, &path(1), Value::Null).await;
@@ -114,7 +114,7 @@
     let (status, _) =
         site.call_as("second-key-of-first", node, Method::DELETE, &path(1), Value::Null).await;
     assert_eq!(status, 200);
-    site.until("it is gone", async |site| site.ledger.running(&id(1)) == 0).await;
+    site.wait_until("it is gone", async |site| site.ledger.running_tasks(&id(1)) == 0).await;
     assert_sound(&site);
 }
 
@@ -123,13 +123,13 @@
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     let mut accounts = accounts();
     accounts[0].maximum = (2_000, 0);
-    site.configure(2, &accounts);
+    site.publish_config(2, &accounts);
     until_keys_count(&site).await;
     let (status, _) = site.call_as("key-of-first", 0, Method::POST, &path(1), job(8, 150)).await;
     assert_eq!(status, 200);
     let mut most = 0;
-    while site.ledger.done() < 8 {
-        most = most.max(site.ledger.running(&id(1)));
+    while site.ledger.done_count() < 8 {
+        most = most.max(site.ledger.running_tasks(&id(1)));
         sleep(PAUSE).await;
     }
     assert_eq!(most, 2, "tasks at once");
@@ -139,14 +139,14 @@
 #[tokio::test]
 async fn a_node_that_the_store_does_not_answer_learns_of_a_new_key() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
-    site.configure(2, &accounts());
+    site.publish_config(2, &accounts());
     until_keys_count(&site).await;
     let cut = (0..3).find(|node| site.leader() != Some(*node)).unwrap();
-    site.nodes[cut].door.set(Fault::Silent);
+    site.nodes[cut].store_endpoint.set_fault(Fault::Unresponsive);
     let mut later = accounts();
     later[1].keys = vec!["new-key-of-other".to_owned()];
-    site.configure(3, &later);
-    site.until("the new key counts there", async |site| {
+    site.publish_config(3, &later);
+    site.wait_until("the new key counts there", async |site| {
         let path = path(9);
         site.call_as("new-key-of-other", cut, Method::GET, &path, Value::Null).await.0 == 410
     })
@@ -161,7 +161,7 @@
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     let mut accounts = accounts();
     accounts[0].maximum = (2_000, 0);
-    site.configure(2, &accounts);
+    site.publish_config(2, &accounts);
     until_keys_count(&site).await;
     let gang = json!({ "count": 3, "cpu": 1000, "memMb": 100, "estimateMs": 10, "gang": true });
     let gang = json!({ "spec": "ms=10 cpu=1000 mem=100", "steps": [gang] });
@@ -171,13 +171,13 @@
     assert_eq!(submit("key-of-first", 1, gang.clone()).await, 429);
     assert_eq!(submit("key-of-other", 2, gang).await, 200);
     assert_eq!(submit("key-of-first", 3, job(5, 60_000)).await, 200);
-    site.until("two of five run", async |site| site.ledger.running(&id(3)) == 2).await;
-    let shown = site.view("accounts").await.unwrap();
+    site.wait_until("two of five run", async |site| site.ledger.running_tasks(&id(3)) == 2).await;
+    let shown = site.operator_view("accounts").await.unwrap();
     let shown: Accounts = serde_json::from_str(&shown).unwrap();
     let first = &shown.accounts[0];
     assert_eq!((shown.version, first.name.as_str(), first.keys), (2, "first", 2));
     assert_eq!((first.cores, first.most_cores, first.held), (2.0, 2.0, 3));
-    let explained = site.view(&format!("jobs/{}", id(3))).await.unwrap();
+    let explained = site.operator_view(&format!("jobs/{}", id(3))).await.unwrap();
     assert!(explained.contains("its account is at its bound"), "{explained}");
     assert!(!explained.contains("key-of-first") && !format!("{shown:?}").contains("key-of-first"));
     assert_sound(&site);
--- a/cli/tests/test_bad_input.rs
+++ b/cli/tests/test_bad_input.rs
@@ -12,7 +12,7 @@
 use hyper::header::AUTHORIZATION;
 use spokelift_lib::transport::dial::full;
 use spokelift_testutils::fixture::Fixture;
-use spokelift_testutils::ledger::Told;
+use spokelift_testutils::ledger::Outcome;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeliftd");
 
@@ -24,8 +24,8 @@
 
 /// Another account's request is served as before.
 async fn assert_undisturbed(fixture: &Fixture, token: u64) {
-    let call = fixture.call_of("donors", "recall", token);
-    assert_matches!(fixture.call(0, &call).await, Told::Answered);
+    let call = fixture.build_call("donors", "recall", token);
+    assert_matches!(fixture.call(0, &call).await, Outcome::Answered);
 }
 
 #[tokio::test]
@@ -61,13 +61,13 @@
         ("[[account]]\nname = \"a\"\n[[account]]\nname = \"a\"\n", "twice"),
     ];
     for (text, expected) in cases {
-        let before = fixture.log.next();
-        let (status, answer) = fixture.operate(0, "POST", "/v1/publish", text).await;
+        let before = fixture.log.next_offset();
+        let (status, answer) = fixture.call_operator_api(0, "POST", "/v1/publish", text).await;
         assert_eq!((status, &answer["error"]), (422, &"config".into()), "{text}: {answer}");
         let faults = answer["faults"].as_array().unwrap();
         let found = faults.iter().find(|fault| fault["kind"]["fault"] == expected);
         assert!(found.is_some_and(|fault| !fault["span"].is_null()), "{text}: {answer}");
-        assert_eq!(fixture.log.next(), before, "nothing is sent: {text}");
+        assert_eq!(fixture.log.next_offset(), before, "nothing is sent: {text}");
     }
     let counted = fixture.counter(0, "operate.refused.config").await;
     assert_eq!(counted, cases.len() as u64);
@@ -78,10 +78,10 @@
 async fn a_box_claimed_by_two_pools_of_one_file_is_refused() {
     let fixture = Fixture::start(PROGRAM, 1, &[]).await.unwrap();
     let twice = fixture.site.config().replace("\"box-008\"", "\"box-000\"");
-    let (status, answer) = fixture.operate(0, "POST", "/v1/publish", &twice).await;
+    let (status, answer) = fixture.call_operator_api(0, "POST", "/v1/publish", &twice).await;
     assert_eq!(status, 422, "{answer}");
     assert_eq!(answer["faults"][0]["kind"]["fault"], "claimed-twice");
-    let (_, boxes) = fixture.operate(0, "GET", "/v1/boxes", "").await;
+    let (_, boxes) = fixture.call_operator_api(0, "GET", "/v1/boxes", "").await;
     assert_eq!(boxes.as_array().unwrap().len(), 0, "all or nothing");
 }
 
@@ -98,10 +98,10 @@
         (r#"{"place":{"account":"clinics","service":"booking","replicas":8}}"#, "nothing"),
     ];
     for (intent, expected) in cases {
-        let (status, answer) = fixture.operate(0, "POST", "/v1/intents", intent).await;
+        let (status, answer) = fixture.call_operator_api(0, "POST", "/v1/intents", intent).await;
         assert_eq!((status, &answer["cause"]["reason"]), (422, &expected.into()), "{answer}");
     }
-    let (status, answer) = fixture.operate(0, "POST", "/v1/intents", "{").await;
+    let (status, answer) = fixture.call_operator_api(0, "POST", "/v1/intents", "{").await;
     assert_eq!((status, &answer["error"]), (400, &"malformed".into()));
     assert_eq!(fixture.counter(0, "operate.refused.plan").await, cases.len() as u64);
 }
@@ -109,30 +109,30 @@
 #[tokio::test]
 async fn strangers_get_one_answer_whatever_exists() {
     let fixture = small_site().await;
-    let plan = fixture.proposed(0, r#"{"maintain":{"pools":["front"]}}"#).await;
+    let plan = fixture.propose(0, r#"{"maintain":{"pools":["front"]}}"#).await;
     let donors = "donors:donors-operator-secret";
     for (method, path, body) in [
         ("GET", format!("/v1/plans/{plan}"), String::new()),
         ("POST", format!("/v1/plans/{plan}/confirm"), String::new()),
         ("POST", format!("/v1/plans/{plan}/abort"), String::new()),
     ] {
-        let real = fixture.operate_as(donors, 0, method, &path, &body).await;
+        let real = fixture.call_operator_api_as(donors, 0, method, &path, &body).await;
         let none = path.replace(&plan, "00000000000000ff");
-        let none = fixture.operate_as(donors, 0, method, &none, &body).await;
+        let none = fixture.call_operator_api_as(donors, 0, method, &none, &body).await;
         assert_eq!(real, none, "{path}");
         assert_eq!(real.0, 404);
     }
     let theirs = r#"{"maintain":{"pools":["front"]}}"#;
     let none = r#"{"maintain":{"pools":["fromm"]}}"#;
-    let theirs = fixture.operate_as(donors, 0, "POST", "/v1/intents", theirs).await;
-    let none = fixture.operate_as(donors, 0, "POST", "/v1/intents", none).await;
+    let theirs = fixture.call_operator_api_as(donors, 0, "POST", "/v1/intents", theirs).await;
+    let none = fixture.call_operator_api_as(donors, 0, "POST", "/v1/intents", none).await;
     assert_eq!(theirs.1.to_string().replace("front", "fromm"), none.1.to_string());
-    let (_, pools) = fixture.operate_as(donors, 0, "GET", "/v1/pools", "").await;
+    let (_, pools) = fixture.call_operator_api_as(donors, 0, "GET", "/v1/pools", "").await;
     assert_eq!(pools.as_array().unwrap().len(), 1);
-    let (_, counters) = fixture.operate_as(donors, 0, "GET", "/v1/counters", "").await;
+    let (_, counters) = fixture.call_operator_api_as(donors, 0, "GET", "/v1/counters", "").await;
     assert!(counters.as_object().unwrap().keys().all(|name| name.starts_with("account.donors.")));
     for key in ["clinics:wrong", "nobody:wrong", "clinics:clinics-caller-secret"] {
-        let (status, answer) = fixture.operate_as(key, 0, "GET", "/v1/pools", "").await;
+        let (status, answer) = fixture.call_operator_api_as(key, 0, "GET", "/v1/pools", "").await;
         assert_eq!((status, &answer["error"]), (401, &"credential".into()));
     }
     assert_eq!(fixture.counter(0, "operate.refused.credential").await, 3);
@@ -157,7 +157,7 @@
             .header("spokelift-repeatable", repeatable)
             .body(full("x"))
             .unwrap();
-        let answer = fixture.raw_call(0, request).await.unwrap();
+        let answer = fixture.send_raw(0, request).await.unwrap();
         assert_eq!(answer.headers()["spokelift-outcome"], "not-run");
         assert_eq!(answer.headers()["spokelift-reason"], expected, "{path} {credential}");
     }
@@ -175,15 +175,15 @@
         .header(AUTHORIZATION, "Bearer clinics:clinics-caller-secret")
         .body(full(vec![b'x'; 100_001]))
         .unwrap();
-    let answer = fixture.raw_call(0, request).await.unwrap();
+    let answer = fixture.send_raw(0, request).await.unwrap();
     assert_eq!(answer.headers()["spokelift-reason"], "too-large");
     assert_eq!(answer.headers()["connection"], "close");
-    let mut call = fixture.call_of("clinics", "booking", 5);
+    let mut call = fixture.build_call("clinics", "booking", 5);
     call.body = vec![b'x'; 100_001].into();
-    assert_matches!(fixture.call(0, &call).await, Told::NotRun);
-    call = fixture.call_of("clinics", "booking", 6);
+    assert_matches!(fixture.call(0, &call).await, Outcome::NotRun);
+    call = fixture.build_call("clinics", "booking", 6);
     call.body = vec![b'x'; 100_000].into();
-    assert_matches!(fixture.call(0, &call).await, Told::Answered);
+    assert_matches!(fixture.call(0, &call).await, Outcome::Answered);
     assert_eq!(fixture.counter(0, "call.refused.too-large").await, 2);
     assert!(fixture.ledger.counts().violations().is_empty());
 }
@@ -205,7 +205,9 @@
         let _ = stream.read_to_end(&mut answer);
     }
     fixture
-        .until("both are counted", async || fixture.counter(0, "call.refused.half-sent").await == 2)
+        .wait_until("both are counted", async || {
+            fixture.counter(0, "call.refused.half-sent").await == 2
+        })
         .await;
     let counts = fixture.ledger.counts();
     assert_eq!(counts.requests, 0, "no worker has seen token 77: {counts:?}");
@@ -228,43 +230,43 @@
         let _ = stream.read_to_end(&mut answer);
     }
     fixture
-        .until("all datagrams are counted", async || {
+        .wait_until("all datagrams are counted", async || {
             let size = fixture.counter(0, "peer.dropped.size").await;
             let seal = fixture.counter(0, "peer.dropped.seal").await;
             size + seal == 8
         })
         .await;
     assert_undisturbed(&fixture, 1).await;
-    assert_eq!(fixture.daemon(0).ended().unwrap(), None);
+    assert_eq!(fixture.daemon(0).exit_success().unwrap(), None);
 }
 
 #[tokio::test]
 async fn a_datagram_replayed_or_from_a_stranger_changes_nothing() {
     let fixture = Fixture::start(PROGRAM, 2, &[]).await.unwrap();
     let link = fixture.peer_links[1][0].clone().unwrap().datagrams;
-    fixture.until("heartbeats are recorded", async || link.seen().len() > 20).await;
-    let recorded = link.seen();
+    fixture.wait_until("heartbeats are recorded", async || link.received().len() > 20).await;
+    let recorded = link.received();
     let before = fixture.counter(0, "peer.dropped.replay").await;
     for bytes in recorded.iter().rev().take(5) {
         link.send(bytes).await.unwrap();
     }
     fixture
-        .until("replays are counted", async || {
+        .wait_until("replays are counted", async || {
             fixture.counter(0, "peer.dropped.replay").await >= before + 5
         })
         .await;
-    fixture.until_serving().await;
+    fixture.wait_until_serving().await;
 }
 
 #[tokio::test]
 async fn a_quota_limits_what_an_account_places_and_no_other() {
     let fixture = small_site().await;
     let quota = "[[account]]\nname = \"clinics\"\nquota_slots = 50\n";
-    let (status, answer) = fixture.operate(0, "POST", "/v1/publish", quota).await;
+    let (status, answer) = fixture.call_operator_api(0, "POST", "/v1/publish", quota).await;
     assert_eq!(status, 200, "{answer}");
     let service = "[[service]]\nname = \"screening\"\naccount = \"clinics\"\npool = \"front\"\n\
                    slots = 2\n";
-    let (status, answer) = fixture.operate(0, "POST", "/v1/publish", service).await;
+    let (status, answer) = fixture.call_operator_api(0, "POST", "/v1/publish", service).await;
     assert_eq!(status, 200, "{answer}");
     // Eight jobs of booking take up 48 slots.
     let place = |replicas| {
@@ -272,16 +274,17 @@
             r#"{{"place":{{"account":"clinics","service":"screening","replicas":{replicas}}}}}"#
         )
     };
-    let (status, answer) = fixture.operate(0, "POST", "/v1/intents", &place(2)).await;
+    let (status, answer) = fixture.call_operator_api(0, "POST", "/v1/intents", &place(2)).await;
     assert_eq!((status, &answer["cause"]["reason"]), (422, &"quota".into()), "{answer}");
     // A quota that is lowered after the plan was made ends the step; nothing is asked again.
-    let plan = fixture.proposed(0, &place(1)).await;
-    let (status, _) = fixture.operate(0, "POST", "/v1/publish", &quota.replace("50", "48")).await;
+    let plan = fixture.propose(0, &place(1)).await;
+    let (status, _) =
+        fixture.call_operator_api(0, "POST", "/v1/publish", &quota.replace("50", "48")).await;
     assert_eq!(status, 200);
     let (status, answer) =
-        fixture.operate(0, "POST", &format!("/v1/plans/{plan}/confirm"), "").await;
+        fixture.call_operator_api(0, "POST", &format!("/v1/plans/{plan}/confirm"), "").await;
     assert_eq!(status, 200, "{answer}");
-    fixture.until_over(0, &plan).await;
+    fixture.wait_until_plan_ended(0, &plan).await;
     let step = fixture.plan(0, &plan).await["steps"][0].clone();
     assert_eq!(step["progress"]["over"]["outcome"], "refused", "{step}");
     assert_undisturbed(&fixture, 1).await;
--- a/cli/tests/test_begin.rs
+++ b/cli/tests/test_begin.rs
@@ -45,12 +45,12 @@
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     let node = (0..3).find(|node| site.leader() != Some(*node)).unwrap();
     site.nodes[node].kill();
-    site.until("the node is gone", async |site| !site.nodes[node].is_running()).await;
+    site.wait_until("the node is gone", async |site| !site.nodes[node].is_running()).await;
     assert_eq!(site.submit(node, &id(0), job()).await, 0, "nothing listens there");
     site.nodes[node].start().unwrap();
     let answers = hand_in(&site, node).await;
     let (taken, _) = answers.last_key_value().unwrap();
-    site.until_succeeded(&id(*taken)).await;
+    site.wait_until_succeeded(&id(*taken)).await;
     for (number, status) in &answers {
         // No answer, or one that says that the job was not taken.
         assert!(matches!(status, 0 | 200 | 429 | 503), "job {number} got {status}");
@@ -58,5 +58,5 @@
         assert_eq!(starts, u32::from(*status == 200), "job {number} got {status}");
     }
     assert_eq!(site.ledger.starts_of(&id(0)), 0);
-    assert_eq!(site.ledger.faults(), Vec::<String>::new());
+    assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
--- a/cli/tests/test_cli.rs
+++ b/cli/tests/test_cli.rs
@@ -2,9 +2,9 @@
 
 use std::process::Output;
 
-use spokelift_testutils::file::File;
 use spokelift_testutils::fixture::Fixture;
 use spokelift_testutils::fixture::SITE_KEY;
+use spokelift_testutils::temp_file::TempFile;
 use tokio::process::Command;
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_spokeliftd");
@@ -49,7 +49,7 @@
 #[tokio::test]
 async fn a_tour_from_publishing_to_a_finished_wave() {
     let fixture = Fixture::start(DAEMON, 1, &[]).await.unwrap();
-    let file = File::new("tour.toml", &fixture.site.config());
+    let file = TempFile::new("tour.toml", &fixture.site.config());
     let published = run(&fixture, &["publish", file.path()]).await;
     assert_eq!(code(&published), 0, "{}", stderr(&published));
     insta::assert_snapshot!("publish", settled(&stdout(&published), file.path()));
@@ -62,7 +62,7 @@
     assert_eq!(code(&plan), 0, "{}", stderr(&plan));
     insta::assert_snapshot!("place", settled(&stdout(&plan), file.path()));
     let id = stdout(&plan)[5..21].to_owned();
-    let (_, jobs) = fixture.operate(0, "GET", "/v1/jobs", "").await;
+    let (_, jobs) = fixture.call_operator_api(0, "GET", "/v1/jobs", "").await;
     assert_eq!(jobs[0]["placed"], 0, "nothing changes before the plan is confirmed");
     assert_eq!(code(&run(&fixture, &["plan", "confirm", &id]).await), 0);
     let watched = run(&fixture, &["plan", "watch", &id]).await;
@@ -91,14 +91,14 @@
     let fixture = Fixture::start(DAEMON, 1, &[]).await.unwrap();
     fixture.set_up().await;
     let intent = r#"{"move":{"from":"front","to":"outreach","boxes":1}}"#;
-    let first = fixture.proposed(0, intent).await;
-    let second = fixture.proposed(0, intent).await;
+    let first = fixture.propose(0, intent).await;
+    let second = fixture.propose(0, intent).await;
     assert_eq!(code(&run(&fixture, &["plan", "confirm", &first]).await), 0);
     let refused = run(&fixture, &["plan", "confirm", &second]).await;
     assert_eq!(code(&refused), 4);
     assert!(stderr(&refused).contains("pool front changed at"), "{}", stderr(&refused));
-    fixture.until_over(0, &first).await;
-    let (_, pools) = fixture.operate(0, "GET", "/v1/pools", "").await;
+    fixture.wait_until_plan_ended(0, &first).await;
+    let (_, pools) = fixture.call_operator_api(0, "GET", "/v1/pools", "").await;
     assert_eq!((&pools[0]["boxes"], &pools[1]["boxes"]), (&7.into(), &5.into()));
     assert_eq!(fixture.plan(0, &second).await["phase"], "proposed");
     assert_eq!(code(&run(&fixture, &["plan", "cancel", &second]).await), 0);
@@ -111,11 +111,11 @@
                 account = \"clinics\"\nmax_out = 5\nboxes = [\"box-000\", \"box-100\"]\n\n\
                 [[service]]\nname = \"booking\"\naccount = \"clinics\"\npool = \"back\"\n\
                 slots = 0\n";
-    let file = File::new("faults.toml", text);
+    let file = TempFile::new("faults.toml", text);
     let refused = run(&fixture, &["publish", file.path()]).await;
     assert_eq!(code(&refused), 3);
     insta::assert_snapshot!("faults", settled(&stderr(&refused), file.path()));
-    let file = File::new("syntax.toml", "[[pool]]\nname = \"front\ncolour = 1\n");
+    let file = TempFile::new("syntax.toml", "[[pool]]\nname = \"front\ncolour = 1\n");
     let refused = run(&fixture, &["publish", file.path()]).await;
     assert_eq!(code(&refused), 3);
     insta::assert_snapshot!("syntax", settled(&stderr(&refused), file.path()));
--- a/cli/tests/test_deviant.rs
+++ b/cli/tests/test_deviant.rs
@@ -40,26 +40,26 @@
     fixture.log_links[2].set_upstream(other.addr);
     fixture.start_daemon(2).unwrap();
     let basis = async || {
-        let (_, status) = fixture.operate(2, "GET", "/v1/status", "").await;
+        let (_, status) = fixture.call_operator_api(2, "GET", "/v1/status", "").await;
         status["basis"] == "log"
     };
-    fixture.until("daemon 2 has read the other log", basis).await;
+    fixture.wait_until("daemon 2 has read the other log", basis).await;
     // From here on it reads the true log again, which has grown meanwhile at most.
     fixture.log_links[2].set_upstream(fixture.log.addr);
     other.stop();
     fixture.log_links[2]
-        .set(spokelift_testutils::proxy::Fault { refuse: true, ..Default::default() });
-    fixture.log_links[2].set(spokelift_testutils::proxy::Fault::default());
+        .set_fault(spokelift_testutils::proxy::Fault { refuse: true, ..Default::default() });
+    fixture.log_links[2].set_fault(spokelift_testutils::proxy::Fault::default());
     // Enough changes for another snapshot mark.
     for round in 0..20 {
         let text =
             fixture.site.config().replace("max_out = 2", &format!("max_out = {}", 1 + round % 2));
-        let (status, answer) = fixture.operate(0, "POST", "/v1/publish", &text).await;
+        let (status, answer) = fixture.call_operator_api(0, "POST", "/v1/publish", &text).await;
         assert_eq!(status, 200, "{answer}");
     }
     let rebuilt = async || fixture.counter(2, "snapshot.rebuilt").await == 1;
-    fixture.until("daemon 2 has rebuilt itself", rebuilt).await;
+    fixture.wait_until("daemon 2 has rebuilt itself", rebuilt).await;
     assert_eq!(fixture.counter(0, "snapshot.deviant").await, 0);
     assert_eq!(fixture.counter(1, "snapshot.deviant").await, 0);
-    fixture.until_serving().await;
+    fixture.wait_until_serving().await;
 }
--- a/cli/tests/test_lost_worker.rs
+++ b/cli/tests/test_lost_worker.rs
@@ -19,25 +19,26 @@
 async fn a_worker_lost_beside_a_takeover_does_not_hold_up_its_service_over_all_later_ones() {
     let site = Site::start(PROGRAM, NODES, 2, 0).await.unwrap();
     for worker in site.machines.workers() {
-        worker.resize(0, true);
+        worker.set_cpu(0, true);
     }
     let step = json!({ "count": 4, "cpu": 500, "memMb": 100, "estimateMs": 100 });
-    site.insist(JOB, json!({ "spec": "ms=100 cpu=500 mem=100", "steps": [step] })).await;
+    site.submit_until_accepted(JOB, json!({ "spec": "ms=100 cpu=500 mem=100", "steps": [step] }))
+        .await;
     let mut lost = Vec::new();
     let mut is_done = false;
     while !is_done && lost.len() + 1 < NODES {
         let not_lost = async |site: &Site| site.leader().is_some_and(|node| !lost.contains(&node));
-        site.until("another node leads", not_lost).await;
+        site.wait_until("another node leads", not_lost).await;
         let leader = site.leader().expect("a node leads");
         site.nodes[leader].signal(Signal::SIGKILL).unwrap();
         if lost.is_empty() {
-            site.machines.lose("m-0");
-            site.machines.worker("m-1").expect("a worker lives there").resize(8_000, true);
+            site.machines.crash_for_good("m-0");
+            site.machines.worker("m-1").expect("a worker lives there").set_cpu(8_000, true);
         }
         lost.push(leader);
         sleep(BETWEEN).await;
         is_done = site.ledger.starts_of(JOB) == 4;
     }
     assert!(is_done, "no task was started while {} leaders were lost", lost.len());
-    assert_eq!(site.ledger.faults(), Vec::<String>::new());
+    assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
--- a/cli/tests/test_platform.rs
+++ b/cli/tests/test_platform.rs
@@ -12,16 +12,16 @@
 use spokelift_lib::batch::leader::TAKEOVER_TIMEOUT;
 use spokelift_platform::store::Record;
 use spokelift_platform::store::WORKER_TOPIC;
-use spokelift_testutils::file::File;
-use spokelift_testutils::platform::advice::GOOD_MACHINE;
+use spokelift_testutils::platform::advice::ADVISED_MACHINE;
 use spokelift_testutils::platform::site::Site;
 use spokelift_testutils::platform::site::node::SITE_KEY;
 use spokelift_testutils::platform::store::Fault;
 use spokelift_testutils::platform::worker;
 use spokelift_testutils::ports;
 use spokelift_testutils::proxy;
+use spokelift_testutils::proxy::Direction;
 use spokelift_testutils::proxy::Flow;
-use spokelift_testutils::proxy::Silence;
+use spokelift_testutils::temp_file::TempFile;
 use tokio::time::sleep;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeliftd");
@@ -47,14 +47,14 @@
 }
 
 fn assert_sound(site: &Site) {
-    assert_eq!(site.ledger.faults(), Vec::<String>::new());
+    assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
 
 /// Each node reads the addresses of the others a few times; by the third time all have written theirs.
 async fn until_nodes_know_each_other(site: &Site) {
     let reads = 3 * site.nodes.len();
-    let read = async |site: &Site| site.store.read_whole("keyed.nodes") >= reads;
-    site.until("the nodes know each other", read).await;
+    let read = async |site: &Site| site.store.full_reads("keyed.nodes") >= reads;
+    site.wait_until("the nodes know each other", read).await;
 }
 
 #[tokio::test]
@@ -62,27 +62,27 @@
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     assert_eq!(site.submit(0, &id(1), job(4, 100)).await, 200);
     assert_eq!(site.submit(1, &id(1), job(4, 100)).await, 200);
-    site.until_succeeded(&id(1)).await;
-    assert_eq!(site.ledger.starts(), 8);
-    assert_eq!(site.state(0, &id(2)).await, Err(410));
+    site.wait_until_succeeded(&id(1)).await;
+    assert_eq!(site.ledger.start_count(), 8);
+    assert_eq!(site.job_state(0, &id(2)).await, Err(410));
     assert_eq!(site.cancel(0, &id(2)).await, 410);
     assert_eq!(site.submit(0, &id(3), json!({ "spec": "x", "steps": [] })).await, 400);
     assert_eq!(site.submit(0, &id(3), json!("no job")).await, 400);
     assert_eq!(site.submit(0, "not-an-id", job(1, 1)).await, 404);
     let large = json!({ "spec": "x".repeat(300_000), "steps": [] });
     assert_eq!(site.submit(0, &id(3), large).await, 413);
-    assert_eq!(site.state(0, &id(3)).await, Err(410));
+    assert_eq!(site.job_state(0, &id(3)).await, Err(410));
     assert_sound(&site);
 }
 
 #[tokio::test]
 async fn a_cancelled_job_is_gone_from_the_workers() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
-    site.insist(&id(1), lasting(4)).await;
-    site.until("all tasks run", async |site| site.ledger.running(&id(1)) == 4).await;
+    site.submit_until_accepted(&id(1), lasting(4)).await;
+    site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&id(1)) == 4).await;
     assert_eq!(site.cancel(1, &id(1)).await, 200);
-    site.until("no task runs", async |site| site.ledger.running(&id(1)) == 0).await;
-    assert_eq!(site.state(0, &id(1)).await, Ok("canceled".to_owned()));
+    site.wait_until("no task runs", async |site| site.ledger.running_tasks(&id(1)) == 0).await;
+    assert_eq!(site.job_state(0, &id(1)).await, Ok("canceled".to_owned()));
     assert_sound(&site);
 }
 
@@ -90,24 +90,24 @@
 async fn jobs_survive_the_death_of_the_scheduler() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     for number in 0..8 {
-        site.insist(&id(number), job(4, 400)).await;
+        site.submit_until_accepted(&id(number), job(4, 400)).await;
     }
     let leader = site.leader().unwrap();
     site.nodes[leader].kill();
     for number in 0..8 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
-    assert_eq!(site.ledger.done(), 64);
+    assert_eq!(site.ledger.done_count(), 64);
     assert_sound(&site);
 }
 
 #[tokio::test]
 async fn a_strong_node_takes_the_lead_before_weak_ones() {
-    let site = Site::start_uneven(PROGRAM, &[0.1, 0.1, 0.5, 0.1], 3, 0).await.unwrap();
+    let site = Site::start_with_cpu_shares(PROGRAM, &[0.1, 0.1, 0.5, 0.1], 3, 0).await.unwrap();
     assert_eq!(site.leader(), Some(2));
-    site.insist(&id(1), lasting(2)).await;
+    site.submit_until_accepted(&id(1), lasting(2)).await;
     site.nodes[2].kill();
-    site.until("a weak node leads", async |site| site.leader() != Some(2)).await;
+    site.wait_until("a weak node leads", async |site| site.leader() != Some(2)).await;
     // The last holder, which is weak, does not take the lead back before the strong one.
     for node in &site.nodes {
         node.kill();
@@ -115,8 +115,8 @@
     for node in &site.nodes {
         node.start().unwrap();
     }
-    site.until("the strong node leads", async |site| site.leader() == Some(2)).await;
-    site.until("all tasks run", async |site| site.ledger.running(&id(1)) == 2).await;
+    site.wait_until("the strong node leads", async |site| site.leader() == Some(2)).await;
+    site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&id(1)) == 2).await;
     assert_sound(&site);
 }
 
@@ -125,13 +125,13 @@
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     let leader = site.leader().unwrap();
     for number in 0..8 {
-        site.insist(&id(number), job(4, 300)).await;
+        site.submit_until_accepted(&id(number), job(4, 300)).await;
     }
     site.nodes[leader].signal(Signal::SIGSTOP).unwrap();
-    site.until("another node leads", async |site| site.leader() != Some(leader)).await;
+    site.wait_until("another node leads", async |site| site.leader() != Some(leader)).await;
     for number in 8..12 {
         let job = job(4, 300);
-        site.until("a running node takes the job", async |site| {
+        site.wait_until("a running node takes the job", async |site| {
             let node = (leader + 1) % 3;
             site.submit(node, &id(number), job.clone()).await == 200
         })
@@ -139,7 +139,7 @@
     }
     site.nodes[leader].signal(Signal::SIGCONT).unwrap();
     for number in 0..12 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     assert_sound(&site);
 }
@@ -148,10 +148,10 @@
 async fn a_scheduler_that_the_store_turns_away_goes_on_through_another_node() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     until_nodes_know_each_other(&site).await;
-    site.insist(&id(1), job(4, 600)).await;
+    site.submit_until_accepted(&id(1), job(4, 600)).await;
     let leader = site.leader().unwrap();
-    for (number, fault) in [Fault::Busy, Fault::Silent].into_iter().enumerate() {
-        site.nodes[leader].door.set(fault);
+    for (number, fault) in [Fault::Busy, Fault::Unresponsive].into_iter().enumerate() {
+        site.nodes[leader].store_endpoint.set_fault(fault);
         // Twice the silence after which another node would claim the lead.
         let until = Instant::now() + TAKEOVER_TIMEOUT * 2;
         let mut next = 100 * (number as u64 + 1);
@@ -159,13 +159,13 @@
             next += 1;
             let taken =
                 async |site: &Site| site.submit(leader, &id(next), job(2, 100)).await == 200;
-            site.until("the node that is turned away takes a job", taken).await;
-            site.until_succeeded(&id(next)).await;
+            site.wait_until("the node that is turned away takes a job", taken).await;
+            site.wait_until_succeeded(&id(next)).await;
         }
         assert_eq!(site.leader(), Some(leader));
-        site.nodes[leader].door.set(Fault::None);
+        site.nodes[leader].store_endpoint.set_fault(Fault::None);
     }
-    site.until_succeeded(&id(1)).await;
+    site.wait_until_succeeded(&id(1)).await;
     assert_sound(&site);
 }
 
@@ -176,18 +176,23 @@
     let leader = site.leader().unwrap();
     // Longer than an append waits until a peer is asked as well, which the store refuses then.
     let late = Flow::Delay(Duration::from_millis(400));
-    site.nodes[leader].store_line.set(proxy::Fault { answer: late, ..proxy::Fault::default() });
-    let before = site.store.appends("keyed.lead");
-    site.until("the lead is renewed", async |site| site.store.appends("keyed.lead") > before + 8)
-        .await;
+    site.nodes[leader]
+        .store_proxy
+        .set_fault(proxy::Fault { answer: late, ..proxy::Fault::default() });
+    let before = site.store.append_count("keyed.lead");
+    site.wait_until("the lead is renewed", async |site| {
+        site.store.append_count("keyed.lead") > before + 8
+    })
+    .await;
     for number in 0..12 {
-        site.insist(&id(number), job(8, 500)).await;
+        site.submit_until_accepted(&id(number), job(8, 500)).await;
     }
-    site.until("a machine was moved", async |site| site.machines.in_pool("work") > 2).await;
+    site.wait_until("a machine was moved", async |site| site.machines.count_in_pool("work") > 2)
+        .await;
     let metrics = site.metrics(leader).await.unwrap();
     assert!(!metrics.contains("lead_renew_failed"), "{metrics}");
     for number in 0..12 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     assert_eq!(site.leader(), Some(leader));
     assert_sound(&site);
@@ -197,7 +202,7 @@
 async fn a_job_that_comes_while_the_store_is_silent_is_refused_for_certain() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     for node in &site.nodes {
-        node.door.set(Fault::Silent);
+        node.store_endpoint.set_fault(Fault::Unresponsive);
     }
     // Nobody knows what became of the one that was under way.
     assert_eq!(site.submit(0, &id(1), job(1, 10)).await, 504);
@@ -205,12 +210,12 @@
         assert_eq!(site.submit(0, &id(number), job(1, 10)).await, 503);
     }
     for node in &site.nodes {
-        node.door.set(Fault::None);
+        node.store_endpoint.set_fault(Fault::None);
     }
-    site.insist(&id(9), job(1, 10)).await;
-    site.until_succeeded(&id(9)).await;
+    site.submit_until_accepted(&id(9), job(1, 10)).await;
+    site.wait_until_succeeded(&id(9)).await;
     for number in 2..8 {
-        assert_eq!(site.state(0, &id(number)).await, Err(410));
+        assert_eq!(site.job_state(0, &id(number)).await, Err(410));
     }
     assert_sound(&site);
 }
@@ -219,7 +224,7 @@
 async fn what_was_accepted_survives_the_death_of_all() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     for number in 0..6 {
-        site.insist(&id(number), job(4, 300)).await;
+        site.submit_until_accepted(&id(number), job(4, 300)).await;
     }
     for node in &site.nodes {
         node.kill();
@@ -228,9 +233,9 @@
         node.start().unwrap();
     }
     for number in 0..6 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
-    assert_eq!(site.ledger.done(), 48);
+    assert_eq!(site.ledger.done_count(), 48);
     assert_sound(&site);
 }
 
@@ -239,7 +244,7 @@
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     for fault in [Fault::LosesAnswers, Fault::Late] {
         for node in &site.nodes {
-            node.door.set(fault);
+            node.store_endpoint.set_fault(fault);
         }
         let first = if fault == Fault::Late { 10 } else { 0 };
         for number in first..first + 4 {
@@ -247,11 +252,11 @@
         }
         sleep(Duration::from_millis(500)).await;
         for node in &site.nodes {
-            node.door.set(Fault::None);
+            node.store_endpoint.set_fault(Fault::None);
         }
         for number in first..first + 4 {
-            site.insist(&id(number), job(2, 100)).await;
-            site.until_succeeded(&id(number)).await;
+            site.submit_until_accepted(&id(number), job(2, 100)).await;
+            site.wait_until_succeeded(&id(number)).await;
         }
     }
     assert_sound(&site);
@@ -260,20 +265,20 @@
 #[tokio::test]
 async fn a_store_that_is_away_stops_no_running_job() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
-    site.insist(&id(1), job(4, 1_000)).await;
+    site.submit_until_accepted(&id(1), job(4, 1_000)).await;
     for node in &site.nodes {
-        node.door.set(Fault::Busy);
+        node.store_endpoint.set_fault(Fault::Busy);
     }
     let refused = site.submit(0, &id(2), job(1, 100)).await;
     assert_eq!(refused, 503);
-    site.until("the second step has begun", async |site| site.ledger.starts() == 8).await;
+    site.wait_until("the second step has begun", async |site| site.ledger.start_count() == 8).await;
     sleep(Duration::from_millis(1_500)).await;
     for node in &site.nodes {
-        node.door.set(Fault::None);
+        node.store_endpoint.set_fault(Fault::None);
     }
-    site.until_succeeded(&id(1)).await;
-    assert_eq!(site.state(0, &id(2)).await, Err(410));
-    assert_eq!(site.ledger.starts(), 8);
+    site.wait_until_succeeded(&id(1)).await;
+    assert_eq!(site.job_state(0, &id(2)).await, Err(410));
+    assert_eq!(site.ledger.start_count(), 8);
     assert_sound(&site);
 }
 
@@ -281,15 +286,15 @@
 async fn jobs_that_come_together_at_a_slow_store_are_written_together() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     site.store.set_append_time(Duration::from_millis(100));
-    let before = site.store.appends("keyed.jobs");
+    let before = site.store.append_count("keyed.jobs");
     let jobs = 1..=60;
-    let insist = async |number: u64| site.insist(&id(number), job(1, 10)).await;
+    let insist = async |number: u64| site.submit_until_accepted(&id(number), job(1, 10)).await;
     join_all(jobs.clone().map(insist)).await;
-    let appends = site.store.appends("keyed.jobs") - before;
+    let appends = site.store.append_count("keyed.jobs") - before;
     assert!(appends <= 30, "60 jobs took {appends} appends");
     site.store.set_append_time(Duration::ZERO);
     for number in jobs {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     assert_sound(&site);
 }
@@ -311,7 +316,7 @@
         node.start().unwrap();
     }
     for number in 0..4 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     assert_sound(&site);
 }
@@ -320,7 +325,7 @@
 async fn a_job_is_refused_after_one_try_once_the_store_is_known_to_be_away() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     for node in &site.nodes {
-        node.door.set(Fault::Busy);
+        node.store_endpoint.set_fault(Fault::Busy);
     }
     // By the end of the first refusal it is known.
     assert_eq!(site.submit(0, &id(1), job(1, 10)).await, 503);
@@ -335,12 +340,12 @@
     }
     assert_eq!(failed().await - before, 6);
     for node in &site.nodes {
-        node.door.set(Fault::None);
+        node.store_endpoint.set_fault(Fault::None);
     }
-    site.insist(&id(9), job(1, 10)).await;
-    site.until_succeeded(&id(9)).await;
+    site.submit_until_accepted(&id(9), job(1, 10)).await;
+    site.wait_until_succeeded(&id(9)).await;
     // What was refused has not run.
-    assert_eq!(site.ledger.starts(), 2);
+    assert_eq!(site.ledger.start_count(), 2);
     assert_sound(&site);
 }
 
@@ -348,11 +353,11 @@
 async fn a_store_that_forgets_its_history_costs_no_job() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     for number in 0..4 {
-        site.insist(&id(number), job(4, 300)).await;
-        site.store.forget_history();
+        site.submit_until_accepted(&id(number), job(4, 300)).await;
+        site.store.compact();
     }
     for number in 0..4 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     assert_sound(&site);
 }
@@ -361,12 +366,12 @@
 async fn tasks_of_a_crashed_worker_run_elsewhere() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     for number in 0..6 {
-        site.insist(&id(number), job(4, 500)).await;
+        site.submit_until_accepted(&id(number), job(4, 500)).await;
     }
-    site.until("tasks run", async |site| site.ledger.starts() > 4).await;
+    site.wait_until("tasks run", async |site| site.ledger.start_count() > 4).await;
     site.machines.crash("m-0").await;
     for number in 0..6 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     assert_sound(&site);
 }
@@ -382,20 +387,20 @@
     let site = Site::start(PROGRAM, 2, 6, 0).await.unwrap();
     let mut poison = job(2, 300);
     poison["spec"] = json!("ms=300 cpu=1000 mem=100 kills=10");
-    site.insist(&id(1), poison).await;
+    site.submit_until_accepted(&id(1), poison).await;
     for number in 2..8 {
-        site.insist(&id(number), job(4, 300)).await;
+        site.submit_until_accepted(&id(number), job(4, 300)).await;
     }
     let over = async |site: &Site| {
-        let failed = site.state(0, &id(1)).await.is_ok_and(|state| state == "failed");
-        failed || !site.ledger.faults().is_empty()
+        let failed = site.job_state(0, &id(1)).await.is_ok_and(|state| state == "failed");
+        failed || !site.ledger.violations().is_empty()
     };
-    site.until("the job has failed", over).await;
+    site.wait_until("the job has failed", over).await;
     for number in 2..8 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     assert_sound(&site);
-    assert!(site.ledger.crashes_of(&id(1)) >= 2, "no task is given up for one crash");
+    assert!(site.ledger.crashes_by_job(&id(1)) >= 2, "no task is given up for one crash");
     let (code, shown) = tool(&site, 0, &["batch", "explain", &id(1)]);
     assert_eq!(code, Some(0), "{shown}");
     assert!(
@@ -410,12 +415,13 @@
 #[tokio::test]
 async fn tasks_of_a_worker_that_is_cut_off_wait_for_its_lease() {
     let site = Site::start(PROGRAM, 2, 3, 0).await.unwrap();
-    site.insist(&id(1), lasting(3)).await;
-    site.until("all tasks run", async |site| site.ledger.running(&id(1)) == 3).await;
+    site.submit_until_accepted(&id(1), lasting(3)).await;
+    site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&id(1)) == 3).await;
     let worker = site.machines.workers().into_iter().find(|worker| !worker.is_idle()).unwrap();
-    worker.set(worker::Fault::Cut);
-    site.until("its tasks have lapsed", async |_| worker.is_idle()).await;
-    site.until("all tasks run elsewhere", async |site| site.ledger.running(&id(1)) == 3).await;
+    worker.set_fault(worker::Fault::Disconnected);
+    site.wait_until("its tasks have lapsed", async |_| worker.is_idle()).await;
+    site.wait_until("all tasks run elsewhere", async |site| site.ledger.running_tasks(&id(1)) == 3)
+        .await;
     assert_sound(&site);
 }
 
@@ -423,13 +429,13 @@
 async fn a_start_without_an_answer_is_not_repeated_elsewhere_while_it_may_run() {
     let site = Site::start(PROGRAM, 2, 3, 0).await.unwrap();
     for worker in site.machines.workers().iter().take(2) {
-        worker.set(worker::Fault::LosesStarts);
+        worker.set_fault(worker::Fault::LosesStartAnswers);
     }
     for number in 0..4 {
-        site.insist(&id(number), job(3, 200)).await;
+        site.submit_until_accepted(&id(number), job(3, 200)).await;
     }
     for number in 0..4 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     assert_sound(&site);
 }
@@ -438,12 +444,12 @@
 async fn a_run_whose_start_had_no_answer_is_found_and_goes_on() {
     let site = Site::start(PROGRAM, 2, 3, 0).await.unwrap();
     for worker in site.machines.workers() {
-        worker.set(worker::Fault::LosesStarts);
+        worker.set_fault(worker::Fault::LosesStartAnswers);
     }
-    site.insist(&id(1), job(3, 1_500)).await;
-    site.until_succeeded(&id(1)).await;
+    site.submit_until_accepted(&id(1), job(3, 1_500)).await;
+    site.wait_until_succeeded(&id(1)).await;
     // None of the runs was stopped and started again.
-    assert_eq!(site.ledger.starts(), 6);
+    assert_eq!(site.ledger.start_count(), 6);
     assert_sound(&site);
 }
 
@@ -451,29 +457,29 @@
 async fn a_worker_that_is_slow_to_answer_is_given_more_time() {
     let site = Site::start(PROGRAM, 2, 3, 0).await.unwrap();
     for worker in site.machines.workers() {
-        worker.set(worker::Fault::SlowStarts);
+        worker.set_fault(worker::Fault::SlowStarts);
     }
-    site.insist(&id(1), job(6, 100)).await;
-    site.until_succeeded(&id(1)).await;
+    site.submit_until_accepted(&id(1), job(6, 100)).await;
+    site.wait_until_succeeded(&id(1)).await;
     assert_sound(&site);
 }
 
 #[tokio::test]
 async fn a_worker_that_fails_everything_is_told_from_a_job_that_fails() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
-    site.machines.worker("m-0").unwrap().set(worker::Fault::FailsAll);
+    site.machines.worker("m-0").unwrap().set_fault(worker::Fault::FailsAll);
     for number in 0..10 {
-        site.insist(&id(number), job(4, 50)).await;
+        site.submit_until_accepted(&id(number), job(4, 50)).await;
     }
     for number in 0..10 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     for worker in site.machines.workers() {
-        worker.set(worker::Fault::FailsAll);
+        worker.set_fault(worker::Fault::FailsAll);
     }
-    site.insist(&id(20), job(1, 50)).await;
-    site.until("the job has failed", async |site| {
-        site.state(0, &id(20)).await.is_ok_and(|state| state == "failed")
+    site.submit_until_accepted(&id(20), job(1, 50)).await;
+    site.wait_until("the job has failed", async |site| {
+        site.job_state(0, &id(20)).await.is_ok_and(|state| state == "failed")
     })
     .await;
     assert_sound(&site);
@@ -482,15 +488,16 @@
 #[tokio::test]
 async fn a_wave_keeps_within_its_bound_and_spares_tasks_that_last() {
     let site = Site::start(PROGRAM, 2, 6, 2).await.unwrap();
-    site.insist(&id(1), lasting(4)).await;
-    site.until("all tasks run", async |site| site.ledger.running(&id(1)) == 4).await;
+    site.submit_until_accepted(&id(1), lasting(4)).await;
+    site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&id(1)) == 4).await;
     let machines: Vec<String> = (0..5).map(|number| format!("m-{number}")).collect();
-    site.wave(7, &machines, 2);
-    site.until("the wave has succeeded", async |site| site.wave_is_over(7)).await;
-    let (begun, most_down) = site.machines.upkept(7);
+    site.request_wave(7, &machines, 2);
+    site.wait_until("the wave has succeeded", async |site| site.has_wave_succeeded(7)).await;
+    let (begun, most_down) = site.machines.maintenance_counts(7);
     assert_eq!(begun, 5);
     assert!(most_down <= 2, "{most_down} machines were down at once");
-    site.until("all tasks run again", async |site| site.ledger.running(&id(1)) == 4).await;
+    site.wait_until("all tasks run again", async |site| site.ledger.running_tasks(&id(1)) == 4)
+        .await;
     assert_sound(&site);
 }
 
@@ -498,9 +505,9 @@
 async fn a_wave_ends_whose_machines_are_switched_off() {
     let site = Site::start(PROGRAM, 2, 2, 4).await.unwrap();
     let machines: Vec<String> = (0..6).map(|number| format!("m-{number}")).collect();
-    site.wave(7, &machines, 2);
-    site.until("the wave has succeeded", async |site| site.wave_is_over(7)).await;
-    let (begun, most_down) = site.machines.upkept(7);
+    site.request_wave(7, &machines, 2);
+    site.wait_until("the wave has succeeded", async |site| site.has_wave_succeeded(7)).await;
+    let (begun, most_down) = site.machines.maintenance_counts(7);
     assert_eq!(begun, 6);
     assert!(most_down <= 2, "{most_down} machines were down at once");
 }
@@ -510,9 +517,9 @@
     let site = Site::start(PROGRAM, 2, 6, 0).await.unwrap();
     site.machines.lose_orders(1);
     let machines: Vec<String> = (0..3).map(|number| format!("m-{number}")).collect();
-    site.wave(7, &machines, 1);
-    site.until("the wave has succeeded", async |site| site.wave_is_over(7)).await;
-    let (begun, most_down) = site.machines.upkept(7);
+    site.request_wave(7, &machines, 1);
+    site.wait_until("the wave has succeeded", async |site| site.has_wave_succeeded(7)).await;
+    let (begun, most_down) = site.machines.maintenance_counts(7);
     assert_eq!(begun, 3);
     assert!(most_down <= 1, "{most_down} machines were down at once");
 }
@@ -522,30 +529,32 @@
     let site = Site::start(PROGRAM, 2, 3, 0).await.unwrap();
     let machines: Vec<String> = (0..3).map(|number| format!("m-{number}")).collect();
     for machine in &machines[..2] {
-        site.machines.note_upkept(7, machine);
+        site.machines.record_maintained(7, machine);
     }
-    site.wave(7, &machines, 1);
-    site.until("the wave has succeeded", async |site| site.wave_is_over(7)).await;
+    site.request_wave(7, &machines, 1);
+    site.wait_until("the wave has succeeded", async |site| site.has_wave_succeeded(7)).await;
     // The workers that lived on take work.
-    site.insist(&id(1), job(24, 100)).await;
-    site.until_succeeded(&id(1)).await;
+    site.submit_until_accepted(&id(1), job(24, 100)).await;
+    site.wait_until_succeeded(&id(1)).await;
     assert_sound(&site);
 }
 
 #[tokio::test]
 async fn idle_machines_are_switched_off_and_come_back_for_work() {
     let site = Site::start(PROGRAM, 2, 9, 0).await.unwrap();
-    site.insist(&id(1), lasting(2)).await;
+    site.submit_until_accepted(&id(1), lasting(2)).await;
     // Three are kept beside what the tasks that last need.
-    site.until("idle machines are off", async |site| site.machines.in_pool("work") == 4).await;
+    site.wait_until("idle machines are off", async |site| site.machines.count_in_pool("work") == 4)
+        .await;
     for number in 2..14 {
-        site.insist(&id(number), job(8, 500)).await;
+        site.submit_until_accepted(&id(number), job(8, 500)).await;
     }
-    site.until("machines are back", async |site| site.machines.in_pool("work") > 6).await;
+    site.wait_until("machines are back", async |site| site.machines.count_in_pool("work") > 6)
+        .await;
     for number in 2..14 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
-    assert_eq!(site.ledger.running(&id(1)), 2);
+    assert_eq!(site.ledger.running_tasks(&id(1)), 2);
     assert_sound(&site);
 }
 
@@ -555,9 +564,13 @@
     let step = json!({
         "count": 2, "cpu": 1000, "memMb": 100, "estimateMs": 100, "requires": "r1-2",
     });
-    site.insist(&id(1), json!({ "spec": "ms=100 cpu=1000 mem=100", "steps": [step] })).await;
-    site.until_succeeded(&id(1)).await;
-    assert_eq!(site.machines.in_pool("work"), 3, "{}", site.account());
+    site.submit_until_accepted(
+        &id(1),
+        json!({ "spec": "ms=100 cpu=1000 mem=100", "steps": [step] }),
+    )
+    .await;
+    site.wait_until_succeeded(&id(1)).await;
+    assert_eq!(site.machines.count_in_pool("work"), 3, "{}", site.diagnostics());
     assert_sound(&site);
 }
 
@@ -565,11 +578,12 @@
 async fn machines_move_to_the_service_that_is_short_of_them() {
     let site = Site::start(PROGRAM, 2, 2, 3).await.unwrap();
     for number in 0..12 {
-        site.insist(&id(number), job(8, 500)).await;
+        site.submit_until_accepted(&id(number), job(8, 500)).await;
     }
-    site.until("a machine was moved", async |site| site.machines.in_pool("work") > 2).await;
+    site.wait_until("a machine was moved", async |site| site.machines.count_in_pool("work") > 2)
+        .await;
     for number in 0..12 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     assert_sound(&site);
 }
@@ -585,13 +599,14 @@
         counter(site, 0, ahead).await + counter(site, 1, ahead).await
     };
     for number in 0..16 {
-        site.insist(&id(number), job(8, 700)).await;
+        site.submit_until_accepted(&id(number), job(8, 700)).await;
     }
-    site.until("all are announced", async |site| ahead(site).await > 0).await;
-    site.until("machines were moved", async |site| site.machines.in_pool("work") > 4).await;
+    site.wait_until("all are announced", async |site| ahead(site).await > 0).await;
+    site.wait_until("machines were moved", async |site| site.machines.count_in_pool("work") > 4)
+        .await;
     site.store.set_append_time(Duration::ZERO);
     for number in 0..16 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     assert!(ahead(&site).await <= 2, "once is enough for each scheduler");
     assert_sound(&site);
@@ -601,18 +616,23 @@
 async fn after_a_planned_stop_the_next_scheduler_moves_machines_at_once() {
     // Longer than anything is awaited here.
     let turn_gap = Duration::from_secs(600);
-    let site = Site::start_with_turn_gap(PROGRAM, 2, 2, 4, turn_gap).await.unwrap();
+    let site = Site::start_with_handover_gap(PROGRAM, 2, 2, 4, turn_gap).await.unwrap();
     // Tasks that last, so that what one scheduler fetches is needed under the next one as well.
-    site.insist(&id(0), lasting(40)).await;
-    site.until("the first moves machines", async |site| site.machines.in_pool("work") > 2).await;
+    site.submit_until_accepted(&id(0), lasting(40)).await;
+    site.wait_until("the first moves machines", async |site| {
+        site.machines.count_in_pool("work") > 2
+    })
+    .await;
     let leader = site.leader().unwrap();
     site.nodes[leader].signal(Signal::SIGTERM).unwrap();
-    assert_eq!(site.nodes[leader].ended(Duration::from_secs(10)).await, Some(true));
-    let before = site.machines.in_pool("work");
+    assert_eq!(site.nodes[leader].wait_for_exit(Duration::from_secs(10)).await, Some(true));
+    let before = site.machines.count_in_pool("work");
     assert!(before < 6, "nothing is left to be moved");
-    site.insist(&id(1), lasting(60)).await;
-    site.until("the next moves machines", async |site| site.machines.in_pool("work") > before)
-        .await;
+    site.submit_until_accepted(&id(1), lasting(60)).await;
+    site.wait_until("the next moves machines", async |site| {
+        site.machines.count_in_pool("work") > before
+    })
+    .await;
     assert_sound(&site);
 }
 
@@ -620,17 +640,17 @@
 async fn a_planned_stop_hands_over_and_ends_well() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     for number in 0..4 {
-        site.insist(&id(number), job(4, 500)).await;
+        site.submit_until_accepted(&id(number), job(4, 500)).await;
     }
     let leader = site.leader().unwrap();
     site.nodes[leader].signal(Signal::SIGTERM).unwrap();
     // It still answers while the platform takes it out.
-    assert!(site.state(leader, &id(0)).await.is_ok());
-    assert_eq!(site.nodes[leader].ended(Duration::from_secs(10)).await, Some(true));
+    assert!(site.job_state(leader, &id(0)).await.is_ok());
+    assert_eq!(site.nodes[leader].wait_for_exit(Duration::from_secs(10)).await, Some(true));
     assert_ne!(site.leader(), Some(leader));
     site.nodes[leader].start().unwrap();
     for number in 0..4 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     assert_sound(&site);
 }
@@ -643,21 +663,21 @@
         let job = json!({ "spec": "ms=400 needs-ticket", "steps": [step] });
         assert_eq!(site.submit_to("advised", 0, &id(number), job).await, 200);
     }
-    site.until("a task runs", async |site| site.ledger.starts() > 0).await;
-    let good = site.machines.worker(GOOD_MACHINE).unwrap();
+    site.wait_until("a task runs", async |site| site.ledger.start_count() > 0).await;
+    let good = site.machines.worker(ADVISED_MACHINE).unwrap();
     assert!(!good.is_idle());
     assert!(site.machines.workers().iter().all(|worker| worker.id == good.id || worker.is_idle()));
     for number in 0..4 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
-    assert_eq!(site.ledger.starts(), 12);
+    assert_eq!(site.ledger.start_count(), 12);
     assert_sound(&site);
 }
 
 /// What the tool prints.
 fn tool(site: &Site, node: usize, words: &[&str]) -> (Option<i32>, String) {
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_spokelift"));
-    command.arg("--daemon").arg(site.nodes[node].operate_addr.to_string()).args(words);
+    command.arg("--daemon").arg(site.nodes[node].operator_addr.to_string()).args(words);
     command.env("NO_COLOR", "1").stdout(Stdio::piped()).stderr(Stdio::piped());
     let output = ports::spawn(&mut command).unwrap().wait_with_output().unwrap();
     let text = [output.stdout, output.stderr].concat();
@@ -668,8 +688,8 @@
 async fn operators_see_why_a_job_waits() {
     let site = Site::start(PROGRAM, 2, 2, 0).await.unwrap();
     let large = json!({ "spec": "ms=100", "steps": [{ "count": 1, "cpu": 64_000, "memMb": 100 }] });
-    site.insist(&id(1), large).await;
-    site.until("both know who leads", async |site| site.pending(1).await.is_some()).await;
+    site.submit_until_accepted(&id(1), large).await;
+    site.wait_until("both know who leads", async |site| site.pending_jobs(1).await.is_some()).await;
     for node in 0..2 {
         let (code, text) = tool(&site, node, &["batch", "explain", &id(1)]);
         assert_eq!(code, Some(0), "{text}");
@@ -690,27 +710,27 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_submit_and_cancel_jobs_in_the_products_own_names() {
     let site = Site::start(PROGRAM, 2, 3, 0).await.unwrap();
-    site.until("both know who leads", async |site| site.pending(1).await.is_some()).await;
+    site.wait_until("both know who leads", async |site| site.pending_jobs(1).await.is_some()).await;
     let short = "spec = \"ms=100\"\n[[steps]]\ntasks = 2\ncores = 1.0\nmemory_mb = 100\n\
                  [[steps]]\ntasks = 3\ncores = 0.5\nafter = [0]\n";
-    let short = File::new("short.toml", short);
+    let short = TempFile::new("short.toml", short);
     for node in 0..2 {
         let words = ["--key", SITE_KEY, "batch", "submit", "q", short.path()];
         let (code, text) = tool(&site, node, &words);
         assert_eq!(code, Some(0), "{text}");
-        site.until_succeeded(text.trim()).await;
+        site.wait_until_succeeded(text.trim()).await;
     }
-    assert_eq!(site.ledger.starts(), 10);
+    assert_eq!(site.ledger.start_count(), 10);
     let lasting = "spec = \"x\"\n[[steps]]\ntasks = 3\ncores = 0.5\nlasting = true\n";
-    let lasting = File::new("lasting.toml", lasting);
+    let lasting = TempFile::new("lasting.toml", lasting);
     let (job, words) = (id(7), ["batch", "submit", "q", lasting.path(), "--id", &id(7)]);
     let (code, text) = tool(&site, 0, &[&["--key", SITE_KEY], &words[..]].concat());
     assert_eq!((code, text.trim()), (Some(0), job.as_str()));
-    site.until("all tasks run", async |site| site.ledger.running(&job) == 3).await;
+    site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&job) == 3).await;
     let cancel = ["--key", SITE_KEY, "batch", "cancel", &job];
     let (code, text) = tool(&site, 1, &cancel);
     assert_eq!((code, text.trim()), (Some(0), "canceled"));
-    site.until("no task runs", async |site| site.ledger.running(&job) == 0).await;
+    site.wait_until("no task runs", async |site| site.ledger.running_tasks(&job) == 0).await;
     let (code, _) = tool(&site, 1, &["--key", SITE_KEY, "batch", "cancel", &id(8)]);
     assert_eq!(code, Some(3));
     assert_sound(&site);
@@ -719,9 +739,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn changes_need_the_credential_of_the_site_and_a_sound_job() {
     let site = Site::start(PROGRAM, 1, 2, 0).await.unwrap();
-    let sound = File::new("sound.toml", "spec = \"x\"\n[[steps]]\ntasks = 1\n");
+    let sound = TempFile::new("sound.toml", "spec = \"x\"\n[[steps]]\ntasks = 1\n");
     let refused = |key: &str, queue: &str, text: &str, why: &str| {
-        let file = File::new("refused.toml", text);
+        let file = TempFile::new("refused.toml", text);
         let words = ["--key", key, "batch", "submit", queue, file.path()];
         let (code, printed) = tool(&site, 0, &words);
         assert_eq!(code, Some(3), "{printed}");
@@ -739,15 +759,15 @@
     refused(SITE_KEY, "q", &never, "0 times");
     let (code, _) = tool(&site, 0, &["--key", "site:another", "batch", "cancel", &id(1)]);
     assert_eq!(code, Some(3));
-    assert_eq!(site.ledger.starts(), 0);
+    assert_eq!(site.ledger.start_count(), 0);
     assert_sound(&site);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics_count_and_show_how_long_things_take() {
     let site = Site::start(PROGRAM, 1, 2, 0).await.unwrap();
-    site.insist(&id(1), job(2, 50)).await;
-    site.until_succeeded(&id(1)).await;
+    site.submit_until_accepted(&id(1), job(2, 50)).await;
+    site.wait_until_succeeded(&id(1)).await;
     let text = site.metrics(0).await.unwrap();
     assert!(text.contains("batch_client_POST_200 1\n"), "{text}");
     assert!(text.contains("batch_client_POST_ms_count 1\n"), "{text}");
@@ -760,8 +780,8 @@
 async fn operators_see_how_far_a_wave_is() {
     let site = Site::start(PROGRAM, 1, 3, 0).await.unwrap();
     let machines: Vec<String> = (0..2).map(|number| format!("m-{number}")).collect();
-    site.wave(4, &machines, 1);
-    site.until("the wave is over", async |site| {
+    site.request_wave(4, &machines, 1);
+    site.wait_until("the wave is over", async |site| {
         let (code, text) = tool(site, 0, &["--json", "batch", "waves"]);
         let waves: Value = serde_json::from_str(&text).unwrap_or_default();
         code == Some(0) && waves[0]["over"] == true && waves[0]["begun"] == 2
@@ -790,18 +810,20 @@
     for number in 1..=JOBS {
         assert_eq!(site.submit(0, &id(number), job(16, 600)).await, 200);
     }
-    site.until("boxes have come", async |site| site.machines.in_pool("work") >= 12).await;
+    site.wait_until("boxes have come", async |site| site.machines.count_in_pool("work") >= 12)
+        .await;
     for number in 1..=JOBS {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
-    let opened = site.machines_line.opened();
+    let opened = site.machines_proxy.connection_count();
     assert!(opened > 4, "{opened} connections for orders side by side");
     // All that are to go have gone: of orders that are under way side by side as the silence begins none has an answer.
-    site.until("boxes have gone", async |site| site.machines.in_pool("work") <= 3).await;
-    site.machines_line.silence_open(Silence::Both);
+    site.wait_until("boxes have gone", async |site| site.machines.count_in_pool("work") <= 3).await;
+    site.machines_proxy.black_hole_open(Direction::Both);
     // More than those boxes bear, until it is cancelled.
     assert_eq!(site.submit(0, &id(JOBS + 1), lasting(100)).await, 200);
-    site.until("boxes have come again", async |site| site.machines.in_pool("work") >= 7).await;
+    site.wait_until("boxes have come again", async |site| site.machines.count_in_pool("work") >= 7)
+        .await;
     let unanswered = counter(&site, 0, "call_machines_unknown").await;
     assert!(unanswered <= 3, "{unanswered} calls about boxes without an answer");
     assert_sound(&site);
@@ -820,24 +842,24 @@
         site.store.put(WORKER_TOPIC, Record::set(*key, value.clone()));
     }
     for number in 0..4 {
-        site.insist(&id(number), job(3, 100)).await;
+        site.submit_until_accepted(&id(number), job(3, 100)).await;
     }
     for number in 0..4 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     let holder = site.leader().unwrap();
     let shown = |node: usize| tool(&site, node, &["batch", "workers"]).1;
     for why in ["unusable entry: unreadable", "unusable entry: state", "unusable entry: misshapen"]
     {
-        site.until(why, async |_| shown(holder).contains(why)).await;
+        site.wait_until(why, async |_| shown(holder).contains(why)).await;
     }
     // The next scheduler waits for none of them.
     site.nodes[holder].kill();
     for number in 4..8 {
-        site.insist(&id(number), job(3, 100)).await;
+        site.submit_until_accepted(&id(number), job(3, 100)).await;
     }
     for number in 4..8 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     assert_sound(&site);
 }
@@ -849,24 +871,24 @@
     let rooms = [8_000, 2_000, 6_000, 1_000];
     let submits = async {
         for number in 0..40 {
-            site.insist(&id(number), job(8, 400)).await;
+            site.submit_until_accepted(&id(number), job(8, 400)).await;
             sleep(Duration::from_millis(250)).await;
         }
     };
     let resizes = async {
         for round in 0..rooms.len() {
             for (number, worker) in site.machines.workers().iter().enumerate() {
-                worker.resize(rooms[(round + number) % rooms.len()], false);
+                worker.set_cpu(rooms[(round + number) % rooms.len()], false);
             }
             sleep(Duration::from_secs(3)).await;
         }
         for worker in site.machines.workers() {
-            worker.resize(8_000, false);
+            worker.set_cpu(8_000, false);
         }
     };
     tokio::join!(submits, resizes);
     for number in 0..40 {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
     assert_sound(&site);
 }
--- a/cli/tests/test_ready.rs
+++ b/cli/tests/test_ready.rs
@@ -24,22 +24,22 @@
     }
     fixture.kill_daemon(0);
     fixture.kill_daemon(1);
-    let end = fixture.log.next();
+    let end = fixture.log.next_offset();
     fixture.log.set_faults(Faults { delay: Duration::from_millis(150), ..Faults::default() });
     fixture.start_daemon(0).unwrap();
     fixture.start_daemon(1).unwrap();
     let mut partial = 0;
     let served = async || {
         for id in [0, 1] {
-            let (_, status) = fixture.operate(id, "GET", "/v1/status", "").await;
+            let (_, status) = fixture.call_operator_api(id, "GET", "/v1/status", "").await;
             let next = status["next"].as_u64().unwrap_or(0);
             partial += u64::from(next > 0 && next < end);
             let early = status["serving"] == true && next < end;
             assert!(!early, "daemon {id} serves at {next} of {end}");
         }
-        let (_, status) = fixture.operate(0, "GET", "/v1/status", "").await;
+        let (_, status) = fixture.call_operator_api(0, "GET", "/v1/status", "").await;
         status["serving"] == true
     };
-    fixture.until("daemon 0 serves", served).await;
+    fixture.wait_until("daemon 0 serves", served).await;
     assert!(partial > 0, "no daemon was seen with part of the log");
 }
--- a/cli/tests/test_reborn.rs
+++ b/cli/tests/test_reborn.rs
@@ -13,9 +13,9 @@
 use serde_json::json;
 use spokelift_testutils::platform::site::Site;
 use spokelift_testutils::platform::store;
-use spokelift_testutils::platform::worker::Birth;
 use spokelift_testutils::platform::worker::Fault;
-use spokelift_testutils::platform::worker::LATE_START;
+use spokelift_testutils::platform::worker::LATE_START_DELAY;
+use spokelift_testutils::platform::worker::StartOptions;
 use tokio::time::sleep;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeliftd");
@@ -35,21 +35,21 @@
 }
 
 fn assert_sound(site: &Site) {
-    assert_eq!(site.ledger.faults(), Vec::<String>::new());
+    assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
 
 /// A site with one worker that has told of so many ends, some of which its scheduler has acknowledged.
 async fn site_after(ends: u32) -> Site {
     let site = Site::start(PROGRAM, 1, 1, 0).await.unwrap();
-    site.insist(&id(1), job(ends, 50)).await;
-    site.until_succeeded(&id(1)).await;
+    site.submit_until_accepted(&id(1), job(ends, 50)).await;
+    site.wait_until_succeeded(&id(1)).await;
     site
 }
 
 /// A later life whose clock is ahead of the one before.
-fn ahead(site: &Site) -> Birth {
+fn ahead(site: &Site) -> StartOptions {
     let before = site.machines.worker("m-0").expect("a worker lives there");
-    Birth { clock_ms: before.clock() + AHEAD, ..Birth::default() }
+    StartOptions { clock_ms: before.clock_ms() + AHEAD, ..StartOptions::default() }
 }
 
 /// What happens: a task is done on a later life, and is started again there after one or two looks.
@@ -59,9 +59,9 @@
 #[tokio::test]
 async fn a_task_that_a_later_life_has_done_is_not_started_again() {
     let site = site_after(12).await;
-    site.machines.start_again("m-0", PAUSE, ahead(&site)).await;
-    site.insist(&id(2), job(4, 100)).await;
-    site.until_succeeded(&id(2)).await;
+    site.machines.restart("m-0", PAUSE, ahead(&site)).await;
+    site.submit_until_accepted(&id(2), job(4, 100)).await;
+    site.wait_until_succeeded(&id(2)).await;
     assert_sound(&site);
     assert_eq!(site.ledger.starts_of(&id(2)), 4);
 }
@@ -72,13 +72,13 @@
 #[tokio::test]
 async fn a_later_life_whose_clock_is_behind_is_heard() {
     let site = site_after(4).await;
-    site.machines.start_again("m-0", PAUSE, ahead(&site)).await;
-    site.insist(&id(2), job(8, 100)).await;
-    site.until("tasks run", async |site| site.ledger.starts_of(&id(2)) > 0).await;
-    let birth = Birth { clock_ms: 10, ..Birth::default() };
-    site.machines.start_again("m-0", PAUSE, birth).await;
-    site.insist(&id(3), job(4, 100)).await;
-    site.until_succeeded(&id(3)).await;
+    site.machines.restart("m-0", PAUSE, ahead(&site)).await;
+    site.submit_until_accepted(&id(2), job(8, 100)).await;
+    site.wait_until("tasks run", async |site| site.ledger.starts_of(&id(2)) > 0).await;
+    let birth = StartOptions { clock_ms: 10, ..StartOptions::default() };
+    site.machines.restart("m-0", PAUSE, birth).await;
+    site.submit_until_accepted(&id(3), job(4, 100)).await;
+    site.wait_until_succeeded(&id(3)).await;
     assert_eq!(site.ledger.starts_of(&id(3)), 4);
 }
 
@@ -86,11 +86,11 @@
 #[tokio::test]
 async fn what_ran_on_an_earlier_life_is_run_again_and_holds_no_room() {
     let site = site_after(4).await;
-    site.insist(&id(2), job(16, 1_500)).await;
-    site.until("tasks run", async |site| site.ledger.running(&id(2)) == 16).await;
-    let birth = Birth { clock_ms: 10, ..Birth::default() };
-    site.machines.start_again("m-0", Duration::ZERO, birth).await;
-    site.until_succeeded(&id(2)).await;
+    site.submit_until_accepted(&id(2), job(16, 1_500)).await;
+    site.wait_until("tasks run", async |site| site.ledger.running_tasks(&id(2)) == 16).await;
+    let birth = StartOptions { clock_ms: 10, ..StartOptions::default() };
+    site.machines.restart("m-0", Duration::ZERO, birth).await;
+    site.wait_until_succeeded(&id(2)).await;
     assert_sound(&site);
     assert_eq!(site.ledger.starts_of(&id(2)), 32);
 }
@@ -100,10 +100,10 @@
 async fn a_later_life_may_be_born_before_the_earlier_one_by_its_own_account() {
     let site = site_after(12).await;
     let birth = ahead(&site);
-    let birth = Birth { born: birth.born - 3_600_000, ..birth };
-    site.machines.start_again("m-0", PAUSE, birth).await;
-    site.insist(&id(2), job(4, 100)).await;
-    site.until_succeeded(&id(2)).await;
+    let birth = StartOptions { birth_ms: birth.birth_ms - 3_600_000, ..birth };
+    site.machines.restart("m-0", PAUSE, birth).await;
+    site.submit_until_accepted(&id(2), job(4, 100)).await;
+    site.wait_until_succeeded(&id(2)).await;
     assert_sound(&site);
 }
 
@@ -112,10 +112,10 @@
 #[tokio::test]
 async fn a_later_life_is_called_where_it_is() {
     let site = site_after(4).await;
-    let birth = Birth { same_address: false, ..ahead(&site) };
-    site.machines.start_again("m-0", PAUSE, birth).await;
-    site.insist(&id(2), job(4, 100)).await;
-    site.until_succeeded(&id(2)).await;
+    let birth = StartOptions { reuses_address: false, ..ahead(&site) };
+    site.machines.restart("m-0", PAUSE, birth).await;
+    site.submit_until_accepted(&id(2), job(4, 100)).await;
+    site.wait_until_succeeded(&id(2)).await;
     assert_sound(&site);
 }
 
@@ -127,19 +127,20 @@
     let worker = site.machines.worker("m-0").unwrap();
     let other = site.machines.worker("m-1").unwrap();
     // Only the first worker has room, so the start goes there.
-    other.resize(0, true);
+    other.set_cpu(0, true);
     sleep(Duration::from_millis(900)).await;
-    worker.set(Fault::LateStarts);
-    site.insist(&id(1), job(1, 6_000)).await;
+    worker.set_fault(Fault::LateStarts);
+    site.submit_until_accepted(&id(1), job(1, 6_000)).await;
     let sent = Instant::now();
     sleep(PAUSE).await;
-    other.resize(8_000, true);
-    site.until("it is started elsewhere", async |site| site.ledger.running(&id(1)) == 1).await;
-    let birth = Birth { clock_ms: 10, ..Birth::default() };
-    site.machines.start_again("m-0", Duration::ZERO, birth).await;
-    sleep((LATE_START + PAUSE).saturating_sub(sent.elapsed())).await;
+    other.set_cpu(8_000, true);
+    site.wait_until("it is started elsewhere", async |site| site.ledger.running_tasks(&id(1)) == 1)
+        .await;
+    let birth = StartOptions { clock_ms: 10, ..StartOptions::default() };
+    site.machines.restart("m-0", Duration::ZERO, birth).await;
+    sleep((LATE_START_DELAY + PAUSE).saturating_sub(sent.elapsed())).await;
     assert_sound(&site);
-    site.until_succeeded(&id(1)).await;
+    site.wait_until_succeeded(&id(1)).await;
     assert_sound(&site);
     assert_eq!(site.ledger.starts_of(&id(1)), 1);
 }
@@ -148,39 +149,40 @@
 #[tokio::test]
 async fn a_later_life_beside_a_takeover_is_told_from_the_one_before() {
     let site = Site::start(PROGRAM, 2, 2, 0).await.unwrap();
-    site.insist(&id(1), job(16, 50)).await;
-    site.until_succeeded(&id(1)).await;
-    site.insist(&id(2), job(16, 2_000)).await;
-    site.until("tasks run", async |site| site.ledger.running(&id(2)) == 16).await;
+    site.submit_until_accepted(&id(1), job(16, 50)).await;
+    site.wait_until_succeeded(&id(1)).await;
+    site.submit_until_accepted(&id(2), job(16, 2_000)).await;
+    site.wait_until("tasks run", async |site| site.ledger.running_tasks(&id(2)) == 16).await;
     let leader = site.leader().expect("a node schedules");
     site.nodes[leader].signal(Signal::SIGKILL).unwrap();
-    let birth = Birth { clock_ms: 10, ..Birth::default() };
-    site.machines.start_again("m-0", PAUSE, birth).await;
-    site.until_succeeded(&id(2)).await;
-    site.insist(&id(3), job(16, 50)).await;
-    site.until_succeeded(&id(3)).await;
+    let birth = StartOptions { clock_ms: 10, ..StartOptions::default() };
+    site.machines.restart("m-0", PAUSE, birth).await;
+    site.wait_until_succeeded(&id(2)).await;
+    site.submit_until_accepted(&id(3), job(16, 50)).await;
+    site.wait_until_succeeded(&id(3)).await;
     assert_sound(&site);
 }
 
 /// Carriers on other nodes tell lives apart as the scheduler's own one does.
 #[tokio::test]
 async fn later_lives_are_told_from_the_ones_before_by_carriers_on_other_nodes() {
-    let site = Site::start_sharing(PROGRAM, 3, 4, 0, 1).await.unwrap();
-    site.insist(&id(1), job(40, 50)).await;
-    site.until_succeeded(&id(1)).await;
-    site.insist(&id(2), job(40, 1_500)).await;
-    site.until("tasks run", async |site| site.ledger.running(&id(2)) == 40).await;
+    let site = Site::start_sharded(PROGRAM, 3, 4, 0, 1).await.unwrap();
+    site.submit_until_accepted(&id(1), job(40, 50)).await;
+    site.wait_until_succeeded(&id(1)).await;
+    site.submit_until_accepted(&id(2), job(40, 1_500)).await;
+    site.wait_until("tasks run", async |site| site.ledger.running_tasks(&id(2)) == 40).await;
     // Tasks that have run for a while are not taken to have brought down their workers.
     sleep(Duration::from_millis(400)).await;
     let births = [10, 50_000, 10, 50_000].into_iter().enumerate().map(|(number, clock_ms)| {
-        let birth = Birth { clock_ms, same_address: number < 2, ..Birth::default() };
+        let birth =
+            StartOptions { clock_ms, reuses_address: number < 2, ..StartOptions::default() };
         let machines = site.machines.clone();
-        async move { machines.start_again(&format!("m-{number}"), PAUSE, birth).await }
+        async move { machines.restart(&format!("m-{number}"), PAUSE, birth).await }
     });
     join_all(births).await;
-    site.until_succeeded(&id(2)).await;
-    site.insist(&id(3), job(40, 50)).await;
-    site.until_succeeded(&id(3)).await;
+    site.wait_until_succeeded(&id(2)).await;
+    site.submit_until_accepted(&id(3), job(40, 50)).await;
+    site.wait_until_succeeded(&id(3)).await;
     assert_sound(&site);
 }
 
@@ -188,17 +190,18 @@
 #[tokio::test]
 async fn a_wave_ends_where_boxes_come_back_with_the_ids_that_they_had() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
-    site.machines.keep_ids();
+    site.machines.reuse_ids();
     let lasting = json!({ "count": 4, "cpu": 500, "memMb": 100, "estimateMs": 100, "longRunning": true, "may_miss": 2 });
-    site.insist(&id(1), json!({ "spec": "cpu=500 mem=100", "steps": [lasting] })).await;
-    site.until("its tasks run", async |site| site.ledger.running(&id(1)) == 4).await;
+    site.submit_until_accepted(&id(1), json!({ "spec": "cpu=500 mem=100", "steps": [lasting] }))
+        .await;
+    site.wait_until("its tasks run", async |site| site.ledger.running_tasks(&id(1)) == 4).await;
     let machines: Vec<String> = (0..4).map(|number| format!("m-{number}")).collect();
-    site.wave(7, &machines, 1);
-    site.until("the wave is over", async |site| site.wave_is_over(7)).await;
-    assert_eq!(site.machines.upkept(7), (4, 1));
-    site.until("its tasks run", async |site| site.ledger.running(&id(1)) == 4).await;
-    site.insist(&id(2), job(8, 50)).await;
-    site.until_succeeded(&id(2)).await;
+    site.request_wave(7, &machines, 1);
+    site.wait_until("the wave is over", async |site| site.has_wave_succeeded(7)).await;
+    assert_eq!(site.machines.maintenance_counts(7), (4, 1));
+    site.wait_until("its tasks run", async |site| site.ledger.running_tasks(&id(1)) == 4).await;
+    site.submit_until_accepted(&id(2), job(8, 50)).await;
+    site.wait_until_succeeded(&id(2)).await;
     assert_sound(&site);
 }
 
@@ -206,12 +209,12 @@
 #[tokio::test]
 async fn a_later_life_whose_entry_cannot_be_read_is_known_and_takes_no_work_until_it_can() {
     let site = site_after(12).await;
-    site.nodes[0].door.set(store::Fault::Silent);
-    site.machines.start_again("m-0", PAUSE, ahead(&site)).await;
+    site.nodes[0].store_endpoint.set_fault(store::Fault::Unresponsive);
+    site.machines.restart("m-0", PAUSE, ahead(&site)).await;
     sleep(PAUSE).await;
-    site.nodes[0].door.set(store::Fault::None);
-    site.insist(&id(2), job(4, 100)).await;
-    site.until_succeeded(&id(2)).await;
+    site.nodes[0].store_endpoint.set_fault(store::Fault::None);
+    site.submit_until_accepted(&id(2), job(4, 100)).await;
+    site.wait_until_succeeded(&id(2)).await;
     assert_sound(&site);
     assert_eq!(site.ledger.starts_of(&id(2)), 4);
 }
--- a/cli/tests/test_shares.rs
+++ b/cli/tests/test_shares.rs
@@ -25,7 +25,7 @@
 
 /// The shares as operators see them.
 async fn shares(site: &Site) -> Vec<view::Shard> {
-    let text = site.view("shares").await.unwrap_or_default();
+    let text = site.operator_view("shares").await.unwrap_or_default();
     serde_json::from_str(&text).unwrap_or_default()
 }
 
@@ -39,8 +39,8 @@
 }
 
 async fn start() -> Site {
-    let site = Site::start_sharing(PROGRAM, NODES, WORKERS, 0, 2).await.unwrap();
-    site.until("other nodes look after all workers", all_elsewhere).await;
+    let site = Site::start_sharded(PROGRAM, NODES, WORKERS, 0, 2).await.unwrap();
+    site.wait_until("other nodes look after all workers", all_elsewhere).await;
     site
 }
 
@@ -49,20 +49,20 @@
     let shares = shares(site).await;
     let addr = shares.iter().filter(|share| share.workers > 0).find_map(|share| share.dispatcher);
     let addr = addr.expect("a node looks after workers");
-    site.nodes.iter().position(|node| node.operate_addr.ip() == addr.ip()).unwrap()
+    site.nodes.iter().position(|node| node.operator_addr.ip() == addr.ip()).unwrap()
 }
 
 async fn submit(site: &Site, numbers: std::ops::Range<u64>) {
     for number in numbers {
-        site.insist(&id(number), job(4, 300)).await;
+        site.submit_until_accepted(&id(number), job(4, 300)).await;
     }
 }
 
 async fn all_succeed(site: &Site, numbers: std::ops::Range<u64>) {
     for number in numbers {
-        site.until_succeeded(&id(number)).await;
+        site.wait_until_succeeded(&id(number)).await;
     }
-    assert_eq!(site.ledger.faults(), Vec::<String>::new());
+    assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
 
 #[tokio::test]
@@ -70,7 +70,7 @@
     let site = start().await;
     submit(&site, 0..4).await;
     all_succeed(&site, 0..4).await;
-    assert_eq!(site.ledger.starts(), 32);
+    assert_eq!(site.ledger.start_count(), 32);
     assert!(all_elsewhere(&site).await);
 }
 
@@ -82,7 +82,7 @@
     site.nodes[victim].kill();
     submit(&site, 3..6).await;
     all_succeed(&site, 0..6).await;
-    site.until("other nodes look after all workers again", all_elsewhere).await;
+    site.wait_until("other nodes look after all workers again", all_elsewhere).await;
 }
 
 #[tokio::test]
@@ -110,7 +110,7 @@
 
 #[tokio::test]
 async fn one_node_alone_looks_after_all_workers_itself() {
-    let site = Site::start_sharing(PROGRAM, 1, WORKERS, 0, 2).await.unwrap();
+    let site = Site::start_sharded(PROGRAM, 1, WORKERS, 0, 2).await.unwrap();
     submit(&site, 0..2).await;
     all_succeed(&site, 0..2).await;
     assert!(!all_elsewhere(&site).await);
@@ -122,7 +122,7 @@
     submit(&site, 0..3).await;
     let leader = site.leader().unwrap();
     site.nodes[leader].signal(Signal::SIGTERM).unwrap();
-    site.until("another node leads", async |site| site.leader() != Some(leader)).await;
+    site.wait_until("another node leads", async |site| site.leader() != Some(leader)).await;
     submit(&site, 3..5).await;
     all_succeed(&site, 0..5).await;
 }
--- a/cli/tests/test_soak.rs
+++ b/cli/tests/test_soak.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use spokelift_testutils::platform::soak;
-use spokelift_testutils::platform::soak::HAS_ACCOUNTS_FROM;
-use spokelift_testutils::platform::soak::KEEPS_IDS_FROM;
+use spokelift_testutils::platform::soak::ACCOUNTS_FROM_SEED;
+use spokelift_testutils::platform::soak::REUSED_IDS_FROM_SEED;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeliftd");
 /// Seeds that run where none are named.
@@ -36,20 +36,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn random_faults_break_no_promise_where_workers_keep_their_ids() {
     let seeds = seeds();
-    play(seeds.start + KEEPS_IDS_FROM..seeds.end + KEEPS_IDS_FROM).await;
+    play(seeds.start + REUSED_IDS_FROM_SEED..seeds.end + REUSED_IDS_FROM_SEED).await;
 }
 
 /// The same with accounts whose keys and bounds change.
 #[tokio::test(flavor = "multi_thread")]
 async fn random_faults_break_no_promise_where_accounts_change() {
     let seeds = seeds();
-    play(seeds.start + HAS_ACCOUNTS_FROM..seeds.end + HAS_ACCOUNTS_FROM).await;
+    play(seeds.start + ACCOUNTS_FROM_SEED..seeds.end + ACCOUNTS_FROM_SEED).await;
 }
 
 async fn play(seeds: Range<u64>) {
     let mut failed = Vec::new();
     for seed in seeds {
-        let report = soak::play(PROGRAM, seed, time()).await.unwrap();
+        let report = soak::run(PROGRAM, seed, time()).await.unwrap();
         println!("seed {seed}: {report:#?}");
         assert!(report.accepted > 0, "seed {seed}: nothing was accepted");
         if !report.broken.is_empty() {
--- a/cli/tests/test_stop.rs
+++ b/cli/tests/test_stop.rs
@@ -7,7 +7,7 @@
 use nix::sys::signal::Signal;
 use spokelift_lib::transport::dial::full;
 use spokelift_testutils::fixture::Fixture;
-use spokelift_testutils::ledger::Told;
+use spokelift_testutils::ledger::Outcome;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeliftd");
 
@@ -17,24 +17,24 @@
     fixture.set_up().await;
     let calls: Vec<_> = (1..=4)
         .map(|token| {
-            let mut call = fixture.call_of("clinics", "booking", token);
+            let mut call = fixture.build_call("clinics", "booking", token);
             call.run_ms = 1500;
             call
         })
         .collect();
     let stop = async {
         let busy = async || {
-            let (_, status) = fixture.operate(0, "GET", "/v1/status", "").await;
+            let (_, status) = fixture.call_operator_api(0, "GET", "/v1/status", "").await;
             status["inflight"] == 4
         };
-        fixture.until("all are in flight", busy).await;
+        fixture.wait_until("all are in flight", busy).await;
         fixture.signal(0, Signal::SIGTERM).unwrap();
         let refuses = async || {
             let health = Request::get("/healthz").body(full("")).unwrap();
-            let answer = fixture.raw_call(0, health).await;
+            let answer = fixture.send_raw(0, health).await;
             answer.is_some_and(|answer| answer.status() == 503)
         };
-        fixture.until("the balancer is told", refuses).await;
+        fixture.wait_until("the balancer is told", refuses).await;
     };
     let (told, ()) = tokio::join!(
         async {
@@ -48,10 +48,10 @@
         },
         stop
     );
-    assert_eq!(told, [Told::Answered; 4]);
+    assert_eq!(told, [Outcome::Answered; 4]);
     let mut ended = None;
     for _ in 0..300 {
-        ended = fixture.daemon(0).ended().unwrap();
+        ended = fixture.daemon(0).exit_success().unwrap();
         if ended.is_some() {
             break;
         }
@@ -69,36 +69,38 @@
     }
     // The list is read every 200 ms; 2 s is what is promised.
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let before: Vec<u64> = fixture.workers[1..8].iter().map(|worker| worker.served()).collect();
+    let before: Vec<u64> =
+        fixture.workers[1..8].iter().map(|worker| worker.started_requests()).collect();
     for token in 1..=20 {
-        let call = fixture.call_of("clinics", "booking", token);
-        assert_matches!(fixture.call(0, &call).await, Told::Answered);
+        let call = fixture.build_call("clinics", "booking", token);
+        assert_matches!(fixture.call(0, &call).await, Outcome::Answered);
     }
-    let after: Vec<u64> = fixture.workers[1..8].iter().map(|worker| worker.served()).collect();
+    let after: Vec<u64> =
+        fixture.workers[1..8].iter().map(|worker| worker.started_requests()).collect();
     assert_eq!(before, after);
-    assert_eq!(fixture.workers[0].served(), 20);
+    assert_eq!(fixture.workers[0].started_requests(), 20);
 }
 
 #[tokio::test]
 async fn a_reboot_waits_for_a_long_request_and_a_drain_limit_ends_the_wait() {
     let fixture = Fixture::start(PROGRAM, 1, &[]).await.unwrap();
     let config = fixture.site.config().replace("drain_limit_s = 15", "drain_limit_s = 1");
-    let (status, answer) = fixture.operate(0, "POST", "/v1/publish", &config).await;
+    let (status, answer) = fixture.call_operator_api(0, "POST", "/v1/publish", &config).await;
     assert_eq!(status, 200, "{answer}");
     let place = r#"{"place":{"account":"donors","service":"recall","replicas":4}}"#;
-    let plan = fixture.confirmed(0, place).await;
-    fixture.until_over(0, &plan).await;
-    let mut long = fixture.call_of("donors", "recall", 1);
+    let plan = fixture.propose_and_confirm(0, place).await;
+    fixture.wait_until_plan_ended(0, &plan).await;
+    let mut long = fixture.build_call("donors", "recall", 1);
     long.run_ms = 6000;
     let wave = async {
         let busy = async || fixture.workers[8..].iter().any(|worker| worker.status().inflight > 0);
-        fixture.until("the request runs", busy).await;
-        let plan = fixture.confirmed(0, r#"{"maintain":{"pools":["outreach"]}}"#).await;
-        fixture.until_over(0, &plan).await;
+        fixture.wait_until("the build_request runs", busy).await;
+        let plan = fixture.propose_and_confirm(0, r#"{"maintain":{"pools":["outreach"]}}"#).await;
+        fixture.wait_until_plan_ended(0, &plan).await;
         plan
     };
     let (told, plan) = tokio::join!(fixture.call(0, &long), wave);
-    assert_eq!(told, Told::Answered);
+    assert_eq!(told, Outcome::Answered);
     let plan = fixture.plan(0, &plan).await;
     let outcomes = plan["steps"].as_array().unwrap().iter();
     let limited = outcomes.filter(|step| step["progress"]["over"]["outcome"] == "drain-limit");
--- a/cli/tests/test_waves.rs
+++ b/cli/tests/test_waves.rs
@@ -36,7 +36,7 @@
 async fn watch(site: &Site, job: &str, holds: impl AsyncFn(&Site) -> bool) {
     let until = Instant::now() + Duration::from_secs(60);
     while !holds(site).await {
-        if let Some((task, time)) = site.ledger.longest_away(job) {
+        if let Some((task, time)) = site.ledger.longest_not_running(job) {
             assert!(time <= MOST_AWAY, "{task} is away for {time:?}");
         }
         assert!(Instant::now() < until, "not within a minute");
@@ -54,14 +54,14 @@
 async fn a_task_is_not_moved_off_where_it_has_nowhere_to_go() {
     let site = Site::start(PROGRAM, 1, 2, 0).await.unwrap();
     let job = id(1);
-    site.insist(&job, lasting(14, 1_000, 100)).await;
-    site.until("all tasks run", async |site| site.ledger.running(&job) == 14).await;
+    site.submit_until_accepted(&job, lasting(14, 1_000, 100)).await;
+    site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&job) == 14).await;
     // The fuller box has no room left, so what is on the other one has nowhere to go.
-    site.wave(7, &machines(2), 1);
+    site.request_wave(7, &machines(2), 1);
     let asked_at = Instant::now();
     watch(&site, &job, async |_| asked_at.elapsed() > Duration::from_secs(12)).await;
-    site.until("all tasks run", async |site| site.ledger.running(&job) == 14).await;
-    assert_eq!(site.ledger.faults(), Vec::<String>::new());
+    site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&job) == 14).await;
+    assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
 
 /// The same where processor is free elsewhere, and memory is not.
@@ -69,13 +69,13 @@
 async fn a_task_is_not_moved_off_where_only_its_processor_fits() {
     let site = Site::start(PROGRAM, 1, 2, 0).await.unwrap();
     let job = id(1);
-    site.insist(&job, lasting(14, 100, 1_000)).await;
-    site.until("all tasks run", async |site| site.ledger.running(&job) == 14).await;
-    site.wave(7, &machines(2), 1);
+    site.submit_until_accepted(&job, lasting(14, 100, 1_000)).await;
+    site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&job) == 14).await;
+    site.request_wave(7, &machines(2), 1);
     let asked_at = Instant::now();
     watch(&site, &job, async |_| asked_at.elapsed() > Duration::from_secs(12)).await;
-    site.until("all tasks run", async |site| site.ledger.running(&job) == 14).await;
-    assert_eq!(site.ledger.faults(), Vec::<String>::new());
+    site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&job) == 14).await;
+    assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
 
 /// What happens: as above, and boxes stand in the reserve. What runs on a box that is being emptied needs room
@@ -84,12 +84,12 @@
 async fn a_box_is_fetched_for_what_a_wave_moves_off() {
     let site = Site::start(PROGRAM, 1, 2, 1).await.unwrap();
     let job = id(1);
-    site.insist(&job, lasting(15, 1_000, 100)).await;
-    site.until("all tasks run", async |site| site.ledger.running(&job) == 15).await;
-    site.wave(7, &machines(2), 1);
-    watch(&site, &job, async |site| site.wave_is_over(7)).await;
-    site.until("all tasks run", async |site| site.ledger.running(&job) == 15).await;
-    assert_eq!(site.ledger.faults(), Vec::<String>::new());
+    site.submit_until_accepted(&job, lasting(15, 1_000, 100)).await;
+    site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&job) == 15).await;
+    site.request_wave(7, &machines(2), 1);
+    watch(&site, &job, async |site| site.has_wave_succeeded(7)).await;
+    site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&job) == 15).await;
+    assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
 
 /// What happens: a box that leaves refuses its upkeep as busy. It was ordered again in each round, every 0.17 s for
@@ -98,13 +98,15 @@
 #[tokio::test]
 async fn a_box_that_refuses_its_upkeep_holds_up_no_other_and_is_seldom_asked() {
     let site = Site::start(PROGRAM, 1, 4, 0).await.unwrap();
-    site.machines.keep_busy("m-0");
-    site.wave(7, &machines(4), 1);
-    site.until("the others are done", async |site| site.machines.upkept(7).0 == 3).await;
-    site.until("it is asked again", async |site| site.machines.refused("m-0") >= 3).await;
-    let (before, begun) = (site.machines.refused("m-0"), Instant::now());
+    site.machines.refuse_as_busy("m-0");
+    site.request_wave(7, &machines(4), 1);
+    site.wait_until("the others are done", async |site| site.machines.maintenance_counts(7).0 == 3)
+        .await;
+    site.wait_until("it is asked again", async |site| site.machines.refused_orders("m-0") >= 3)
+        .await;
+    let (before, begun) = (site.machines.refused_orders("m-0"), Instant::now());
     sleep(Duration::from_secs(4)).await;
-    let asked = site.machines.refused("m-0") - before;
+    let asked = site.machines.refused_orders("m-0") - before;
     assert!(asked <= 4, "asked {asked} times in {:?}", begun.elapsed());
 }
 
@@ -114,9 +116,9 @@
 async fn a_wave_passes_from_scheduler_to_scheduler_and_loses_no_task() {
     let site = Site::start(PROGRAM, 3, 6, 2).await.unwrap();
     let job = id(1);
-    site.insist(&job, lasting(20, 1_000, 100)).await;
-    site.until("all tasks run", async |site| site.ledger.running(&job) == 20).await;
-    site.wave(7, &machines(6), 2);
+    site.submit_until_accepted(&job, lasting(20, 1_000, 100)).await;
+    site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&job) == 20).await;
+    site.request_wave(7, &machines(6), 2);
     for signal in [Signal::SIGTERM, Signal::SIGKILL, Signal::SIGTERM] {
         let leads =
             async |site: &Site| site.leader().is_some_and(|node| site.nodes[node].is_running());
@@ -128,10 +130,10 @@
         watch(&site, &job, async |_| !node.is_running()).await;
         node.start().unwrap();
     }
-    watch(&site, &job, async |site| site.wave_is_over(7)).await;
-    site.until("all tasks run", async |site| site.ledger.running(&job) == 20).await;
-    let (begun, most_down) = site.machines.upkept(7);
+    watch(&site, &job, async |site| site.has_wave_succeeded(7)).await;
+    site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&job) == 20).await;
+    let (begun, most_down) = site.machines.maintenance_counts(7);
     assert_eq!(begun, 6);
     assert!(most_down <= 2, "{most_down} machines were down at once");
-    assert_eq!(site.ledger.faults(), Vec::<String>::new());
+    assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
--- a/lib/src/batch/admit.rs
+++ b/lib/src/batch/admit.rs
@@ -54,8 +54,8 @@
 /// # use hyper::Request;
 /// # use spokelift_lib::batch::admit::{Refusal, admit};
 /// # use spokelift_lib::batch::config::Config;
-/// # use spokelift_testutils::batch::published::published;
-/// let config = Config::decode(&published(1, &[("q", None)], Default::default())).unwrap();
+/// # use spokelift_testutils::batch::published::published_config;
+/// let config = Config::decode(&published_config(1, &[("q", None)], Default::default())).unwrap();
 /// let call = |path| Request::get(path).header("host", "h:80").body(()).unwrap().into_parts().0;
 /// assert_eq!(admit(&config, &call("/q/7")).unwrap().rest, "7");
 /// assert_eq!(admit(&config, &call("/p/7")).unwrap_err(), Refusal::NoQueue);
--- a/lib/src/batch/advice.rs
+++ b/lib/src/batch/advice.rs
@@ -89,7 +89,7 @@
         for worker in workers {
             match answer.tickets.remove(&worker.id) {
                 Some(ticket) => {
-                    step_advice.tickets.insert(worker, (ticket, now + answer.valid));
+                    step_advice.tickets.insert(worker, (ticket, now + answer.validity));
                 }
                 None => {
                     step_advice.refused.insert(worker);
@@ -121,7 +121,8 @@
             continue;
         };
         let ids: Vec<WorkerId> = workers.iter().map(|incarnation| incarnation.id.clone()).collect();
-        let answer = advice::ask(&scheduler.node.dialer, addr, step, &ids, ANSWER_TIMEOUT).await;
+        let answer =
+            advice::request_advice(&scheduler.node.dialer, addr, step, &ids, ANSWER_TIMEOUT).await;
         if let Err(error) = &answer {
             scheduler.node.counters.count("batch.advice.failed");
             log::info!(job = format!("{:016x}", step.0).as_str(), step = step.2; "question to the advice service failed: {error}");
--- a/lib/src/batch/availability.rs
+++ b/lib/src/batch/availability.rs
@@ -12,7 +12,7 @@
 use crate::metrics::Counters;
 use crate::transport::clock;
 use crate::transport::dial::Event;
-use crate::transport::dial::Watch;
+use crate::transport::dial::EventHandler;
 
 /// Availability of one of the platform's services.
 #[derive(Default)]
@@ -77,7 +77,7 @@
 }
 
 /// Counts and logs connection events, by the service at the other end.
-pub fn count_connections(settings: &Settings, counters: Counters) -> Watch {
+pub fn count_connections(settings: &Settings, counters: Counters) -> EventHandler {
     let (store, machines, advice) = (settings.store, settings.machines, settings.advice);
     Arc::new(move |addr: SocketAddr, event: Event| {
         let service = match Some(addr) {
@@ -89,7 +89,7 @@
         let what = match event {
             Event::Opened => "opened",
             Event::Unreachable => "unreachable",
-            Event::Unanswered { kept, given_up } => {
+            Event::Unanswered { is_reused: kept, closed_idle: given_up } => {
                 let addr = addr.to_string();
                 log::info!(service, addr = addr.as_str(), kept, given_up; "request without an answer");
                 counters.add(&format!("connection.{service}.given-up"), given_up as u64);
--- a/lib/src/batch/cell/quotas.rs
+++ b/lib/src/batch/cell/quotas.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use spokelift_platform::config::Maximum;
+use spokelift_platform::config::Quota;
 use spokelift_platform::job::Step;
 use spokelift_platform::job::TaskName;
 
@@ -27,7 +27,7 @@
     config: Option<Arc<Config>>,
     /// Quotas by account. An account that was removed from the configuration keeps its last quota
     /// while its jobs run.
-    by_account: HashMap<AccountId, Maximum>,
+    by_account: HashMap<AccountId, Quota>,
     /// What an earlier scheduler may have running on workers that have not been polled.
     unpolled_usage: Totals,
     /// The numbers of unpolled workers and of admitted jobs that [`Self::unpolled_usage`] was
@@ -57,7 +57,7 @@
 
     /// The quota of an account; `None` if it has none, or was removed from the configuration before
     /// this scheduler started.
-    pub fn quota_of(&self, account: &AccountId) -> Option<&Maximum> {
+    pub fn quota_of(&self, account: &AccountId) -> Option<&Quota> {
         self.quotas.by_account.get(account)
     }
 
@@ -94,7 +94,7 @@
     /// most what their capacity holds, and at most what is left to run of the account's inherited
     /// jobs.
     pub(in crate::batch) fn update_unpolled_usage(&mut self) {
-        let has_quotas = self.quotas.by_account.values().any(|quota| *quota != Maximum::default());
+        let has_quotas = self.quotas.by_account.values().any(|quota| *quota != Quota::default());
         // Between two computations the work left in the jobs can only shrink, so the last result is
         // still an upper limit.
         let inputs =
--- a/lib/src/batch/client_api.rs
+++ b/lib/src/batch/client_api.rs
@@ -76,7 +76,7 @@
         Ok(admitted) => admitted,
         Err(refusal) => return refuse(node, &config, &head, &refusal),
     };
-    let deadline = ingress::deadline(&head.headers).unwrap_or(DEFAULT_DEADLINE);
+    let deadline = ingress::client_timeout(&head.headers).unwrap_or(DEFAULT_DEADLINE);
     let answer_by = started + deadline.mul_f64(ANSWER_FRACTION);
     if rest.is_empty() && head.method == Method::GET {
         return count_pending(node, queue.name.clone(), caller, answer_by).await;
@@ -88,7 +88,7 @@
         Method::GET => get_job(node, id, caller, answer_by).await,
         Method::DELETE => cancel_job(node, id, caller, answer_by).await,
         Method::POST => {
-            let limit = match config.limits.body_bytes {
+            let limit = match config.limits.max_body_bytes {
                 0 => DEFAULT_BODY_LIMIT_BYTES,
                 limit => limit,
             };
--- a/lib/src/batch/commit.rs
+++ b/lib/src/batch/commit.rs
@@ -285,7 +285,7 @@
     loop {
         sleep(PROBE_INTERVAL).await;
         match node.append(node.partition_for_jobs(), &[], &Guard::None, PROBE_TIMEOUT).await {
-            Err(error) if !error.is_certain() => {
+            Err(error) if !error.is_known_not_done() => {
                 node.counters.count("batch.submit.probe-unanswered");
                 log::debug!("the store does not answer the probe: {error}");
             }
@@ -321,7 +321,7 @@
     if let Err(error) = result {
         node.counters.count("batch.submit.write-failed");
         node.commit_queue.failed_appends.fetch_add(1, Ordering::Relaxed);
-        node.commit_queue.health().set_last_unanswered(!error.is_certain());
+        node.commit_queue.health().set_last_unanswered(!error.is_known_not_done());
         return retry_or_refuse(node, batch, &error);
     }
     for job in batch {
@@ -339,7 +339,7 @@
     let is_outage = health.outage_duration(now).is_some_and(|outage| outage >= OUTAGE_GRACE);
     let mut to_retry = Vec::new();
     for mut job in batch {
-        job.is_known_unwritten &= error.is_certain();
+        job.is_known_unwritten &= error.is_known_not_done();
         let id = format!("{:016x}", job.id);
         log::info!(job = id.as_str(), certain = job.is_known_unwritten; "job not written: {error}");
         if !is_outage && now + RETRY_DELAY < job.deadline {
--- a/lib/src/batch/config.rs
+++ b/lib/src/batch/config.rs
@@ -12,8 +12,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 use spokelift_platform::config;
-use spokelift_platform::config::Maximum;
 use spokelift_platform::config::Queue;
+use spokelift_platform::config::Quota;
 use spokelift_platform::job::Job;
 use thiserror::Error;
 
@@ -31,7 +31,7 @@
     /// Its fair share relative to other accounts.
     pub weight: f64,
     /// Its quota: what it may have running at once.
-    pub maximum: Maximum,
+    pub maximum: Quota,
     /// How many keys it has.
     pub keys: usize,
 }
@@ -70,9 +70,10 @@
             let id: AccountId = listed.name.as_str().into();
             config.add_account(&id, listed);
             for key in std::mem::take(&mut listed.keys) {
-                let hash = hash_secret(key.text().trim());
+                let hash = hash_secret(key.as_str().trim());
                 let previous = config.owners.insert(hash, id.clone());
-                if key.text().trim().is_empty() || previous.is_some_and(|previous| previous != id) {
+                if key.as_str().trim().is_empty() || previous.is_some_and(|previous| previous != id)
+                {
                     shared.insert(hash);
                 }
             }
@@ -147,12 +148,12 @@
 pub struct OverQuota(pub usize);
 
 /// The stricter of two quotas, of which a part of 0 means no limit.
-fn stricter_quota(one: Maximum, other: Maximum) -> Maximum {
+fn stricter_quota(one: Quota, other: Quota) -> Quota {
     let lower = |one: u64, other: u64| match (one, other) {
         (0, limit) | (limit, 0) => limit,
         (one, other) => one.min(other),
     };
-    Maximum {
+    Quota {
         cpu: lower(one.cpu, other.cpu),
         memory_mb: lower(one.memory_mb, other.memory_mb),
         gpu: lower(one.gpu, other.gpu),
