--- a/lib/src/batch/dispatch.rs
+++ b/lib/src/batch/dispatch.rs
@@ -20,7 +20,7 @@
 use std::sync::MutexGuard;
 use std::time::Instant;
 
-use spokelift_platform::worker::Caller;
+use spokelift_platform::worker::WorkerClient;
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
@@ -37,7 +37,7 @@
 #[derive(Clone)]
 pub struct Context {
     /// Client for calls to workers.
-    pub workers: Caller,
+    pub workers: WorkerClient,
     /// Metrics counters of the node.
     pub counters: Counters,
 }
--- a/lib/src/batch/dispatch/order.rs
+++ b/lib/src/batch/dispatch/order.rs
@@ -79,17 +79,17 @@
         }
         StartOutcome::Failed(error) => error,
     };
-    let why = Refusal::of(&error);
+    let why = Refusal::from_error(&error);
     if let CallError::Refused { body, .. } = &error {
         // A worker accepts the lease also of a start that it refuses.
-        check_clock(dispatcher, number, &session, worker::clock_of(body).unwrap_or(0));
+        check_clock(dispatcher, number, &session, worker::parse_clock(body).unwrap_or(0));
     }
     dispatcher.context.counters.count(&format!("batch.start.refused.{why:?}"));
-    log_start_rejected(&session, (task, run), error.is_certain(), &error);
+    log_start_rejected(&session, (task, run), error.is_known_not_done(), &error);
     if why == Some(Refusal::Fenced) {
         dispatcher.emit(Event::Fenced { number, token: session.token });
     }
-    if error.is_certain() {
+    if error.is_known_not_done() {
         not_started(why)
     } else {
         Some(Event::StartUnanswered { number, task, run })
@@ -146,7 +146,7 @@
 ) -> StartOutcome {
     let answer_timeout = session.state().answer_timeout;
     let sent_at = clock::now();
-    let sent = dispatcher.context.workers.start(&session.peer, start, START_TIMEOUT);
+    let sent = dispatcher.context.workers.start_run(&session.peer, start, START_TIMEOUT);
     let mut sent = std::pin::pin!(sent);
     if let Ok(answer) = timeout(answer_timeout, &mut sent).await {
         session.state().record_answer(clock::since(sent_at));
@@ -192,7 +192,7 @@
         let sent = dispatcher
             .context
             .workers
-            .stop(&session.peer, task, run, session.token, ORDER_TIMEOUT)
+            .stop_run(&session.peer, task, run, session.token, ORDER_TIMEOUT)
             .await;
         let at = dispatcher.offset_micros(clock::now());
         let stopped = Event::Stopped { number, task, run, at };
@@ -202,7 +202,7 @@
                 poll_now(dispatcher, number, session).await;
                 return;
             }
-            Err(error) => match Refusal::of(&error) {
+            Err(error) => match Refusal::from_error(&error) {
                 Some(Refusal::Fenced) => {
                     return dispatcher.emit(Event::Fenced { number, token: session.token });
                 }
@@ -227,7 +227,9 @@
     let shared = dispatcher.clone();
     dispatcher.spawn(async move {
         let (workers, token) = (&shared.context.workers, session.token);
-        if let Err(error) = workers.pace(&session.peer, run, percent, token, ORDER_TIMEOUT).await {
+        if let Err(error) =
+            workers.set_pace(&session.peer, run, percent, token, ORDER_TIMEOUT).await
+        {
             log::debug!("setting the pace of {} failed: {error}", run.0);
         }
     });
--- a/lib/src/batch/dispatch/poll.rs
+++ b/lib/src/batch/dispatch/poll.rs
@@ -152,7 +152,7 @@
     error: &CallError,
 ) -> bool {
     dispatcher.context.counters.count("batch.look.failed");
-    match Refusal::of(error) {
+    match Refusal::from_error(error) {
         Some(Refusal::Fenced) => {
             dispatcher.emit(Event::Fenced { number, token: session.token });
             return false;
--- a/lib/src/batch/document.rs
+++ b/lib/src/batch/document.rs
@@ -127,7 +127,7 @@
             first_run_ms: schedule.map_or(0, |schedule| schedule.first_ms),
             interval_ms: schedule.map_or(0, |schedule| schedule.every_ms),
         };
-        job.check()?;
+        job.validate()?;
         Ok(job)
     }
 }
@@ -153,7 +153,7 @@
             speculative: self.copies,
             long_running: self.lasting,
             image: self.image,
-            tail_limit_ms: self.tail_limit_ms,
+            max_tail_latency_ms: self.tail_limit_ms,
             best_effort: self.leftovers,
             max_unavailable: self.may_be_away,
         })
--- a/lib/src/batch/job.rs
+++ b/lib/src/batch/job.rs
@@ -205,7 +205,7 @@
     pub fn class_of(step: &Step) -> Class {
         match step {
             step if step.best_effort => Class::BestEffort,
-            step if step.tail_limit_ms > 0 => Class::Service(step.tail_limit_ms),
+            step if step.max_tail_latency_ms > 0 => Class::Service(step.max_tail_latency_ms),
             step if step.long_running => Class::LongRunning,
             _ => Class::Batch,
         }
--- a/lib/src/batch/leader.rs
+++ b/lib/src/batch/leader.rs
@@ -154,7 +154,7 @@
 async fn claim_lease(node: &Node, view: &mut View) {
     let Some(end) = view.topic_end else { return };
     let record = LeaderLease::held_by(node, 0).to_record();
-    let claimed = node.append(TOPIC, &[record], &Guard::At(end), CALL_TIMEOUT).await;
+    let claimed = node.append(TOPIC, &[record], &Guard::EndsAt(end), CALL_TIMEOUT).await;
     log::info!(at = end, ok = claimed.is_ok(); "sent a claim for the leader lease");
     if claimed.is_err() {
         sleep(RETRY_DELAY).await;
@@ -167,7 +167,7 @@
     log::info!(token; "became leader");
     node.counters.count("batch.lead.held");
     let order_window =
-        OrderWindow::new(node.settings.turn_gap, view.held_boxes(node), clock::now());
+        OrderWindow::new(node.settings.handover_gap, view.held_boxes(node), clock::now());
     let scheduler = Scheduler::start(node.clone(), token, order_window, view.was_released());
     let why = renew_until_lost(node, view, &scheduler).await;
     scheduler.stop();
@@ -202,7 +202,7 @@
         let sent = clock::now();
         let first_sent = *first_sent_at.get_or_insert(sent);
         let record = LeaderLease::held_by(node, renewals + 1).to_record();
-        match node.append(TOPIC, &[record], &Guard::At(end), CALL_TIMEOUT).await {
+        match node.append(TOPIC, &[record], &Guard::EndsAt(end), CALL_TIMEOUT).await {
             Ok(appended) => {
                 view.topic_end = Some(appended.end);
                 renewals += 1;
@@ -248,7 +248,7 @@
 async fn release_lease(node: &Node, view: &View, held_boxes: HeldBoxes) {
     let Some(end) = view.topic_end else { return };
     let record = LeaderLease::released_by(node, held_boxes).to_record();
-    if let Err(error) = node.append(TOPIC, &[record], &Guard::At(end), CALL_TIMEOUT).await {
+    if let Err(error) = node.append(TOPIC, &[record], &Guard::EndsAt(end), CALL_TIMEOUT).await {
         // The other nodes then wait for the takeover timeout.
         log::warn!("cannot release the leader lease: {error}");
     }
--- a/lib/src/batch/leader/view.rs
+++ b/lib/src/batch/leader/view.rs
@@ -126,7 +126,7 @@
     /// longer than the platform's gap between the orders of two nodes. Then no other node's orders
     /// are recent enough to matter.
     fn continues_own_order_window(&self, node: &Node) -> bool {
-        let gap = node.settings.turn_gap;
+        let gap = node.settings.handover_gap;
         self.previous_lease.as_ref().is_some_and(|previous| {
             previous.node == node.settings.node && RENEW_INTERVAL * previous.renewals > gap
         })
--- a/lib/src/batch/maintenance.rs
+++ b/lib/src/batch/maintenance.rs
@@ -107,7 +107,7 @@
         match scheduler.node.read_newest(STATUS_TOPIC, CALL_TIMEOUT).await {
             Ok(newest) => {
                 let finished = newest.records.iter().filter(|record| {
-                    record.value.as_ref().is_some_and(|value| Wave::is_over(value))
+                    record.value.as_ref().is_some_and(|value| Wave::is_finished_status(value))
                 });
                 return finished.filter_map(|record| Wave::status_number(&record.key)).collect();
             }
@@ -134,7 +134,7 @@
     let listed: MachinesById<'_> =
         list.iter().map(|machine| (machine.id.as_str(), machine)).collect();
     let config = scheduler.node.config();
-    let min_down_time = scheduler.node.settings.upkeep_time;
+    let min_down_time = scheduler.node.settings.maintenance_time;
     let answers = |machine: &Machine| {
         let cell = scheduler.cell();
         let worker = cell.worker_on(machine)?;
@@ -202,7 +202,7 @@
             let reason = error.reason();
             scheduler.node.counters.count(&format!("batch.upkeep.refused.{reason}"));
             // An order that was only rejected for now may be repeated in the next round.
-            if !error.is_turned_away() && progress.defer(id, reason, clock::now()) {
+            if !error.is_unavailable() && progress.defer(id, reason, clock::now()) {
                 log::info!(machine = id, wave, reason; "maintenance refused");
             }
             return;
@@ -232,7 +232,7 @@
     let (wave, first_seen_at) = (progress.wave.number, progress.first_seen_at);
     let shared = scheduler.clone();
     scheduler.spawn(async move {
-        let record = Wave::status(wave, succeeded);
+        let record = Wave::status_record(wave, succeeded);
         let done = shared.node.append(STATUS_TOPIC, &[record], &Guard::None, CALL_TIMEOUT).await;
         match &done {
             Ok(_) => {
--- a/lib/src/batch/node.rs
+++ b/lib/src/batch/node.rs
@@ -20,7 +20,7 @@
 use spokelift_platform::settings::Settings;
 use spokelift_platform::store::Store;
 use spokelift_platform::wave::Wave;
-use spokelift_platform::worker::Caller;
+use spokelift_platform::worker::WorkerClient;
 use tokio::sync::watch;
 use tokio::time::sleep;
 use tokio::time::timeout;
@@ -82,7 +82,7 @@
     /// Jobs that wait to be written to the store.
     pub commit_queue: commit::Queue,
     /// Client of the workers.
-    pub workers: Caller,
+    pub workers: WorkerClient,
     /// Client of the platform's interface for machines, if there is one.
     pub machines: Option<Machines>,
     /// Whether that interface answers.
@@ -112,10 +112,10 @@
     /// A node that has no configuration and knows no leader and no other nodes yet.
     pub fn new(settings: Settings, options: NodeSettings, counters: Counters) -> Arc<Node> {
         let watch = count_connections(&settings, counters.clone());
-        let dialer = Dialer::new(CONNECT_TIMEOUT).watched(watch);
+        let dialer = Dialer::new(CONNECT_TIMEOUT).with_event_handler(watch);
         Arc::new(Node {
             store: Store::new(settings.store, dialer.clone()),
-            workers: Caller::new(dialer.clone()),
+            workers: WorkerClient::new(dialer.clone()),
             machines: settings.machines.map(|addr| Machines::new(addr, dialer.clone())),
             machines_availability: Availability::default(),
             store_route: Route::default(),
@@ -301,10 +301,10 @@
 /// Logs and counts suspensions of this node. Timeouts need nothing more, since [`clock::now`]
 /// includes the time of a suspension.
 async fn watch_suspension(node: Arc<Node>) {
-    let mut known = clock::suspended();
+    let mut known = clock::suspended_time();
     loop {
         sleep(SUSPENSION_CHECK_INTERVAL).await;
-        let suspended = clock::suspended();
+        let suspended = clock::suspended_time();
         if suspended > known {
             let away_ms = (suspended - known).as_millis() as u64;
             log::warn!(away_ms; "this node was suspended");
--- a/lib/src/batch/node/operator_api.rs
+++ b/lib/src/batch/node/operator_api.rs
@@ -25,7 +25,7 @@
 use crate::batch::submit;
 use crate::batch::submit::JobAnswer;
 use crate::batch::view;
-use crate::call::bearer;
+use crate::call::bearer_credential;
 use crate::protocol::api::ApiError;
 use crate::state::account::SITE;
 use crate::transport::clock;
@@ -98,8 +98,8 @@
 /// Checks that the request carries the key of the site. Without one in the node's settings, every
 /// change is refused.
 fn check_credential(node: &Node, head: &Parts) -> Result<(), ApiError> {
-    let key = node.options.site_key.ok_or(ApiError::Credential)?;
-    let credential = bearer(head)?;
+    let key = node.options.site_key_hash.ok_or(ApiError::Credential)?;
+    let credential = bearer_credential(head)?;
     let is_valid = credential.account == SITE && credential.matches(&[key]);
     if is_valid { Ok(()) } else { Err(ApiError::Credential) }
 }
@@ -143,5 +143,5 @@
     let age_ms = node.config_age().unwrap_or_default().as_millis();
     let version = node.config_version();
     let config = format!("batch_config_version {version}\nbatch_config_age_ms {age_ms}\n");
-    lines.chain([config, node.latencies.text()]).collect()
+    lines.chain([config, node.latencies.render()]).collect()
 }
--- a/lib/src/batch/peer.rs
+++ b/lib/src/batch/peer.rs
@@ -205,7 +205,7 @@
 }
 
 async fn serve_connection(node: Arc<Node>, stream: TcpStream) {
-    if let Err(error) = socket::prepare(&stream) {
+    if let Err(error) = socket::set_options(&stream) {
         log::debug!("cannot set up a connection of a peer: {error}");
         return;
     }
--- a/lib/src/batch/peer/connection.rs
+++ b/lib/src/batch/peer/connection.rs
@@ -78,7 +78,7 @@
     stream: TcpStream,
     queue: &mut mpsc::Receiver<PendingRequest>,
 ) -> Option<PeerError> {
-    if let Err(error) = socket::prepare(&stream) {
+    if let Err(error) = socket::set_options(&stream) {
         log::debug!("cannot set up the connection to the peer at {addr}: {error}");
         return Some(PeerError::Closed);
     }
--- a/lib/src/batch/pool/order.rs
+++ b/lib/src/batch/pool/order.rs
@@ -51,10 +51,10 @@
                 scheduler.cell().end_incarnations_elsewhere(id, &under_way.to);
             }
             Err(error) if machine::is_fenced(&error) => scheduler.cell().is_fenced = true,
-            Err(error) if error.is_certain() => {
+            Err(error) if error.is_known_not_done() => {
                 let reason = error.reason();
                 scheduler.node.counters.count(&format!("batch.move.refused.{reason}"));
-                if !error.is_turned_away() && self.deferrals.defer(id, reason, clock::now()) {
+                if !error.is_unavailable() && self.deferrals.defer(id, reason, clock::now()) {
                     log::info!(machine = id, reason; "move refused");
                 }
                 self.moves.remove(id);
--- a/lib/src/batch/record.rs
+++ b/lib/src/batch/record.rs
@@ -219,7 +219,7 @@
 
 /// The record that drops a job from a partition of [`JOB_TOPIC`].
 pub fn forget_job(key: &JobKey) -> Record {
-    Record::drop_key(owned_key(key))
+    Record::tombstone(owned_key(key))
 }
 
 /// The records that drop cancellation requests for a job: its account's, and those of callers
@@ -227,7 +227,7 @@
 pub fn forget_cancel(key: &JobKey) -> impl Iterator<Item = Record> {
     let anyone = JobKey { id: key.id, account: None };
     let keys = [cancel_key(key), cancel_key(&anyone)];
-    keys.into_iter().map(Record::drop_key)
+    keys.into_iter().map(Record::tombstone)
 }
 
 /// The record of a job's progress.
@@ -237,7 +237,7 @@
 
 /// The record that drops a job's progress.
 pub fn forget_progress(id: JobId) -> Record {
-    Record::drop_key(job_key(id))
+    Record::tombstone(job_key(id))
 }
 
 /// The record of the tasks of a job under which workers crashed.
@@ -247,7 +247,7 @@
 
 /// The record that drops the tasks of a job under which workers crashed.
 pub fn forget_crashes(id: JobId) -> Record {
-    Record::drop_key(crashes_key(id))
+    Record::tombstone(crashes_key(id))
 }
 
 /// The record of a worker that may run something from now on.
@@ -262,7 +262,7 @@
 
 /// The record that drops for how long a worker has been unreachable.
 pub fn forget_unreachable(incarnation: &Incarnation) -> Record {
-    Record::drop_key(unreachable_key(incarnation))
+    Record::tombstone(unreachable_key(incarnation))
 }
 
 /// The record of an ended incarnation.
@@ -273,7 +273,7 @@
 
 /// The record that drops an ended incarnation.
 pub fn forget_ended(incarnation: &Incarnation) -> Record {
-    Record::drop_key(ended_key(incarnation))
+    Record::tombstone(ended_key(incarnation))
 }
 
 /// The record of the machines of a wave whose maintenance has started.
@@ -288,7 +288,7 @@
 
 /// The record that drops the time at which a wave was first seen.
 pub fn forget_wave_seen(number: u64) -> Record {
-    Record::drop_key(wave_seen_key(number))
+    Record::tombstone(wave_seen_key(number))
 }
 
 /// The record of the boxes that were ordered recently or are about to be.
@@ -298,12 +298,12 @@
 
 /// The record that drops the progress of a wave.
 pub fn forget_wave(number: u64) -> Record {
-    Record::drop_key(wave_key(number))
+    Record::tombstone(wave_key(number))
 }
 
 /// The record that drops a worker which runs nothing any more.
 pub fn forget_worker(incarnation: &Incarnation) -> Record {
-    Record::drop_key(worker_key(incarnation))
+    Record::tombstone(worker_key(incarnation))
 }
 
 impl ProgressRecord {
--- a/lib/src/batch/record/job.rs
+++ b/lib/src/batch/record/job.rs
@@ -54,7 +54,7 @@
         let accepted = decode_accepted(&record.key, value)?;
         // Checked whoever wrote it: a job too large to keep would crash each scheduler in turn.
         let unusable = |error| RecordError::Job(record.key.clone(), error);
-        accepted.job.check().map_err(unusable)?;
+        accepted.job.validate().map_err(unusable)?;
         Ok(JobRecord::Accepted(id, Box::new(accepted)))
     }
 }
--- a/lib/src/batch/relay.rs
+++ b/lib/src/batch/relay.rs
@@ -15,7 +15,7 @@
 use spokelift_platform::call::CallError;
 use spokelift_platform::store::Appended;
 use spokelift_platform::store::Guard;
-use spokelift_platform::store::Newest;
+use spokelift_platform::store::LatestRecords;
 use spokelift_platform::store::Offset;
 use spokelift_platform::store::Page;
 use spokelift_platform::store::Partition;
@@ -76,7 +76,7 @@
     /// The records read.
     Page(Page),
     /// The newest record of each key.
-    Newest(Newest),
+    Newest(LatestRecords),
     /// The store refuses the call, whichever node makes it.
     Refused {
         /// HTTP status of the refusal.
@@ -107,7 +107,7 @@
 
 impl Route {
     fn record_result<T>(&self, result: &Result<T, CallError>) {
-        let is_unavailable = result.as_ref().err().is_some_and(CallError::is_turned_away);
+        let is_unavailable = result.as_ref().err().is_some_and(CallError::is_unavailable);
         let mut state = self.state.lock().expect("no holder of the state panics");
         if state.is_unavailable != is_unavailable {
             log::info!(shut = is_unavailable; "availability of the direct route to the store changed");
@@ -183,7 +183,7 @@
         let mut direct = std::pin::pin!(direct);
         let mut failed = match timeout(HEDGE_DELAY, &mut direct).await {
             Ok(Ok(appended)) => return Ok(appended),
-            Ok(Err(error)) if !error.is_turned_away() => {
+            Ok(Err(error)) if !error.is_unavailable() => {
                 return Err(append_error(error, guard, is_known));
             }
             Ok(Err(error)) => Some(error),
@@ -205,7 +205,7 @@
         match (relayed, failed) {
             (Some(Answer::Appended(appended)), _) => Ok(appended),
             (Some(Answer::Refused { status, reason }), Some(error)) => {
-                is_known &= error.is_certain();
+                is_known &= error.is_known_not_done();
                 let error = CallError::Refused { status, reason, body: Bytes::new() };
                 Err(append_error(error, guard, is_known))
             }
@@ -268,9 +268,9 @@
         &self,
         partition: impl Into<Partition>,
         wait: Duration,
-    ) -> Result<Newest, CallError> {
+    ) -> Result<LatestRecords, CallError> {
         let partition = partition.into();
-        let direct = self.store.newest(&partition, wait);
+        let direct = self.store.read_latest(&partition, wait);
         let call = Call::Newest { partition: partition.clone() };
         self.read_or_relay(direct, call, |answer| match answer {
             Answer::Newest(newest) => Some(newest),
@@ -303,7 +303,7 @@
             },
         };
         match result {
-            Err(error) if error.is_turned_away() => relayed.await.unwrap_or(Err(error)),
+            Err(error) if error.is_unavailable() => relayed.await.unwrap_or(Err(error)),
             result => result,
         }
     }
@@ -355,7 +355,7 @@
         }
         call_store(&self.store, call).await.unwrap_or_else(|error| match error {
             CallError::Unknown(_) => Answer::Unknown,
-            error if error.is_turned_away() => Answer::Unavailable,
+            error if error.is_unavailable() => Answer::Unavailable,
             CallError::Refused { status, reason, .. } => Answer::Refused { status, reason },
             CallError::NotSent(_) => Answer::Unavailable,
         })
@@ -384,7 +384,7 @@
             page.map(Answer::Page)
         }
         Call::Newest { partition } => {
-            store.newest(&partition, PEER_CALL_TIMEOUT).await.map(Answer::Newest)
+            store.read_latest(&partition, PEER_CALL_TIMEOUT).await.map(Answer::Newest)
         }
     }
 }
--- a/lib/src/batch/scheduler/forget.rs
+++ b/lib/src/batch/scheduler/forget.rs
@@ -24,7 +24,7 @@
 
 /// Forgets finished jobs until the scheduler stops.
 pub(super) async fn forget_finished(scheduler: Arc<Scheduler>) {
-    let keep = scheduler.node.settings.status_time + KEEP_EXTRA;
+    let keep = scheduler.node.settings.status_retention + KEEP_EXTRA;
     loop {
         sleep(FORGET_INTERVAL).await;
         drop_other_accounts(&scheduler).await;
--- a/lib/src/batch/scheduler/load.rs
+++ b/lib/src/batch/scheduler/load.rs
@@ -11,7 +11,7 @@
 use spokelift_platform::job::JobId;
 use spokelift_platform::machine::MachineId;
 use spokelift_platform::store::Guard;
-use spokelift_platform::store::Newest;
+use spokelift_platform::store::LatestRecords;
 use spokelift_platform::store::Offset;
 use spokelift_platform::store::Producer;
 use spokelift_platform::store::Record;
@@ -99,7 +99,11 @@
 /// Admits the jobs in the order in which they were accepted, then applies the cancels of clients: a cancel can only
 /// be applied once its job is known. A job that was sent to several nodes may be in several partitions; the one
 /// accepted first counts.
-fn apply_jobs(cell: &mut Cell, partitions: &[Newest], mut progress: HashMap<JobId, Progress>) {
+fn apply_jobs(
+    cell: &mut Cell,
+    partitions: &[LatestRecords],
+    mut progress: HashMap<JobId, Progress>,
+) {
     let mut cancelled = Vec::new();
     let mut accepted = Vec::new();
     for (partition, newest) in (0..).zip(partitions) {
@@ -158,8 +162,8 @@
     let entry = match worker::Entry::decode(value) {
         Ok(entry) => entry,
         Err(error) => {
-            scheduler.node.counters.count(&format!("batch.worker.entry.{}", error.name()));
-            if scheduler.cell().record_unusable(&record.key, error.name()) {
+            scheduler.node.counters.count(&format!("batch.worker.entry.{}", error.reason()));
+            if scheduler.cell().record_unusable(&record.key, error.reason()) {
                 log::warn!(worker = record.key.as_str(); "invalid worker entry: {error}");
             }
             return false;
--- a/lib/src/batch/scheduler/rebalance.rs
+++ b/lib/src/batch/scheduler/rebalance.rs
@@ -61,7 +61,7 @@
 /// Starts as many shards as the number of workers requires, on the other nodes with the most CPU.
 pub(super) fn start_shards(scheduler: &Arc<Scheduler>) {
     let workers = scheduler.cell().workers.len();
-    let per_shard = scheduler.node.options.workers_per_share;
+    let per_shard = scheduler.node.options.workers_per_shard;
     if workers * 100 <= per_shard * SINGLE_SHARD_PERCENT {
         return;
     }
--- a/lib/src/batch/usage.rs
+++ b/lib/src/batch/usage.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::LazyLock;
 
-use spokelift_platform::config::Maximum;
+use spokelift_platform::config::Quota;
 use spokelift_platform::job::Step;
 use spokelift_platform::worker::Resources;
 
@@ -71,12 +71,12 @@
     ///
     /// ```
     /// use spokelift_lib::batch::usage::Usage;
-    /// use spokelift_platform::config::Maximum;
-    /// let quota = Maximum { cpu: 100, memory_mb: 0, gpu: 0 };
+    /// use spokelift_platform::config::Quota;
+    /// let quota = Quota { cpu: 100, memory_mb: 0, gpu: 0 };
     /// assert!(Usage { cpu: 100, memory_mb: 9_000, gpu: 1 }.is_within(&quota));
     /// assert!(!Usage { cpu: 101, ..Usage::default() }.is_within(&quota));
     /// ```
-    pub fn is_within(self, quota: &Maximum) -> bool {
+    pub fn is_within(self, quota: &Quota) -> bool {
         let within = |used: u64, quota: u64| quota == 0 || used <= quota;
         within(self.cpu, quota.cpu)
             && within(self.memory_mb, quota.memory_mb)
@@ -89,14 +89,14 @@
 ///
 /// ```
 /// use spokelift_lib::batch::usage::first_step_over_quota;
-/// use spokelift_platform::config::Maximum;
+/// use spokelift_platform::config::Quota;
 /// use spokelift_platform::job::Step;
-/// let quota = Maximum { cpu: 1_000, ..Maximum::default() };
+/// let quota = Quota { cpu: 1_000, ..Quota::default() };
 /// let step = |gang| Step { count: 4, cpu: 500, gang, ..Step::default() };
 /// assert_eq!(first_step_over_quota(&[step(false)], &quota), None);
 /// assert_eq!(first_step_over_quota(&[step(false), step(true)], &quota), Some(1));
 /// ```
-pub fn first_step_over_quota(steps: &[Step], quota: &Maximum) -> Option<usize> {
+pub fn first_step_over_quota(steps: &[Step], quota: &Quota) -> Option<usize> {
     let least = |step: &Step| Usage::of(step, if step.gang { step.count.into() } else { 1 });
     steps.iter().position(|step| step.count > 0 && !least(step).is_within(quota))
 }
--- a/lib/src/call.rs
+++ b/lib/src/call.rs
@@ -47,26 +47,26 @@
 
 /// Bodies up to this size are read whole before a target is chosen, so that a caller who sends
 /// half of one has run nothing, and so that a repeatable request can be sent again.
-const WHOLE: u64 = 64 * 1024;
+const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 
 /// Answers one request of a caller or of the balancer.
 pub async fn handle(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     if request.uri().path() == HEALTH {
-        return health(&node);
+        return health_response(&node);
     }
-    match answer(&node, request).await {
+    match run_call(&node, request).await {
         Ok(response) => {
             node.counters.count("call.answered");
             response
         }
         Err(refused) => {
             node.counters.count(&refused.counter());
-            refusal(refused)
+            refusal_response(refused)
         }
     }
 }
 
-fn health(node: &Node) -> Response<Body> {
+fn health_response(node: &Node) -> Response<Body> {
     let status = match node.is_serving() {
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
@@ -76,7 +76,7 @@
     response
 }
 
-fn refusal(refused: Refused) -> Response<Body> {
+fn refusal_response(refused: Refused) -> Response<Body> {
     let body = serde_json::to_vec(&refused).expect("a refusal can be written as JSON");
     let mut response = Response::builder()
         .status(refused.reason.status())
@@ -94,10 +94,10 @@
     response.body(full(body)).expect("the headers are constants")
 }
 
-async fn answer(node: &Arc<Node>, request: Request<Incoming>) -> Result<Response<Body>, Refused> {
+async fn run_call(node: &Arc<Node>, request: Request<Incoming>) -> Result<Response<Body>, Refused> {
     let begun = clock::now();
     let (head, body) = request.into_parts();
-    let account = credential(node, &head)?;
+    let account = authenticate(node, &head)?;
     // A request on a connection that was open when the stop began is still served.
     if !node.basis().is_fresh() {
         return Err(Refused::not_run(Reason::Stale));
@@ -105,38 +105,38 @@
     let path = head.uri.path();
     let service = path.strip_prefix(CALL).filter(|_| head.method == Method::POST);
     let service = service.ok_or(Refused::not_run(Reason::Malformed))?;
-    let route = node.routes.find(&account, service);
+    let route = node.routes.find_route(&account, service);
     let route = route.ok_or(Refused::not_run(Reason::UnknownService))?;
-    let repeatable = repeatable(&head)?;
-    let limit = limit(node, &head)?;
-    let payload = payload(node, body, limit).await?;
+    let repeatable = parse_repeatable(&head)?;
+    let limit = time_limit(node, &head)?;
+    let payload = read_payload(node, body, limit).await?;
     node.counters.count(&format!("account.{account}.calls"));
     let call = Call {
         node,
         route,
         account: &account,
         service,
-        repeatable,
+        is_repeatable: repeatable,
         deadline: begun + limit,
         head: &head,
     };
     call.run(payload).await
 }
 
-fn credential(node: &Node, head: &Parts) -> Result<AccountId, Refused> {
-    let found = bearer(head).and_then(|credential| {
+fn authenticate(node: &Node, head: &Parts) -> Result<AccountId, Refused> {
+    let found = bearer_credential(head).and_then(|credential| {
         let fleet = node.replica.fleet();
-        credential.account(&fleet, Role::Caller)
+        credential.authenticate(&fleet, Role::Caller)
     });
     found.map_err(|_| Refused::not_run(Reason::Credential))
 }
 
 /// The credential in a request's head.
-pub(crate) fn bearer(head: &Parts) -> Result<Credential<'_>, CredentialError> {
+pub(crate) fn bearer_credential(head: &Parts) -> Result<Credential<'_>, CredentialError> {
     Credential::parse(bearer::token(&head.headers)?)
 }
 
-fn repeatable(head: &Parts) -> Result<bool, Refused> {
+fn parse_repeatable(head: &Parts) -> Result<bool, Refused> {
     match head.headers.get(REPEATABLE).map(|value| value.as_bytes()) {
         None | Some(b"false") => Ok(false),
         Some(b"true") => Ok(true),
@@ -145,7 +145,7 @@
 }
 
 /// How long the request may take: what the caller says, at most the daemon's own limit.
-fn limit(node: &Node, head: &Parts) -> Result<Duration, Refused> {
+fn time_limit(node: &Node, head: &Parts) -> Result<Duration, Refused> {
     let own = node.settings.call_limit;
     let Some(value) = head.headers.get(DEADLINE) else {
         return Ok(own);
@@ -157,21 +157,21 @@
 }
 
 /// Reads a small body whole; a large one is passed on as it comes.
-async fn payload(node: &Node, body: Incoming, limit: Duration) -> Result<Payload, Refused> {
+async fn read_payload(node: &Node, body: Incoming, limit: Duration) -> Result<Payload, Refused> {
     let hint = body.size_hint();
     if hint.lower() > node.settings.body_limit {
         return Err(Refused::not_run(Reason::TooLarge));
     }
-    if hint.upper().is_none_or(|upper| upper > WHOLE) {
-        return Ok(Payload::Stream(stream(node, body)));
+    if hint.upper().is_none_or(|upper| upper > MAX_BUFFERED_BYTES) {
+        return Ok(Payload::Stream(limited_stream(node, body)));
     }
     match tokio::time::timeout(limit, body.collect()).await {
-        Ok(Ok(whole)) => Ok(Payload::Whole(whole.to_bytes())),
-        _ => Err(Refused::not_run(Reason::HalfSent)),
+        Ok(Ok(whole)) => Ok(Payload::Buffered(whole.to_bytes())),
+        _ => Err(Refused::not_run(Reason::Incomplete)),
     }
 }
 
-fn stream(node: &Node, body: Incoming) -> Body {
+fn limited_stream(node: &Node, body: Incoming) -> Body {
     let limited = Limited::new(body, node.settings.body_limit as usize);
     limited.map_err(body_error).boxed_unsync()
 }
@@ -188,20 +188,20 @@
 
 impl Payload {
     /// The body for one attempt; none if a stream was used up by an earlier one.
-    fn body(&mut self) -> Option<Body> {
-        match std::mem::replace(self, Payload::Used) {
-            Payload::Whole(bytes) => {
-                *self = Payload::Whole(bytes.clone());
+    fn take_body(&mut self) -> Option<Body> {
+        match std::mem::replace(self, Payload::Consumed) {
+            Payload::Buffered(bytes) => {
+                *self = Payload::Buffered(bytes.clone());
                 Some(full(bytes))
             }
             Payload::Stream(body) => Some(body),
-            Payload::Used => None,
+            Payload::Consumed => None,
         }
     }
 
     /// Takes back a body that was not sent.
-    fn give_back(&mut self, body: Body) {
-        if matches!(self, Payload::Used) {
+    fn restore_body(&mut self, body: Body) {
+        if matches!(self, Payload::Consumed) {
             *self = Payload::Stream(body);
         }
     }
--- a/lib/src/call/forward.rs
+++ b/lib/src/call/forward.rs
@@ -29,18 +29,18 @@
 use crate::coordination::route::Slot;
 use crate::metrics::Counters;
 use crate::protocol::call::REQUEST;
-use crate::protocol::worker::work_path;
+use crate::protocol::worker::run_path;
 use crate::transport::clock;
-use crate::transport::dial::Answer;
 use crate::transport::dial::Body;
 use crate::transport::dial::BodyError;
+use crate::transport::dial::ResponseBody;
 
 /// Headers that belong to one connection (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 7] =
     [CONNECTION, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
 
 /// Removes the headers that belong to one connection.
-pub(super) fn strip(headers: &mut HeaderMap) {
+pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     for name in HOP_BY_HOP {
         headers.remove(name);
     }
@@ -48,15 +48,15 @@
 }
 
 /// The id of an attempt as the target gets it.
-pub(super) fn id_text(id: u128) -> String {
+pub(super) fn format_request_id(id: u128) -> String {
     format!("{id:032x}")
 }
 
 /// The request to a target; the caller's credential stays here.
-pub(super) fn request(call: &Call<'_>, id: u128, body: Body) -> Request<Body> {
+pub(super) fn build_request(call: &Call<'_>, id: u128, body: Body) -> Request<Body> {
     let mut request = Request::new(body);
     *request.method_mut() = call.head.method.clone();
-    let mut path = work_path(call.account, call.service);
+    let mut path = run_path(call.account, call.service);
     if let Some(query) = call.head.uri.query() {
         path.push('?');
         path.push_str(query);
@@ -64,10 +64,10 @@
     *request.uri_mut() = path.parse().expect("names and a parsed query make a path");
     let headers = request.headers_mut();
     *headers = call.head.headers.clone();
-    strip(headers);
+    strip_hop_by_hop(headers);
     headers.remove(AUTHORIZATION);
     headers.remove(HOST);
-    let id = id_text(id).parse().expect("digits make a header value");
+    let id = format_request_id(id).parse().expect("digits make a header value");
     headers.insert(REQUEST, id);
     request
 }
@@ -76,17 +76,22 @@
 ///
 /// An answer that is cut or does not end in time ends in an error, by which the server closes the
 /// caller's connection without its closing bytes: the caller sees that it is not whole.
-pub(super) struct Whole {
-    answer: Answer,
+pub(super) struct ForwardedBody {
+    answer: ResponseBody,
     slot: Option<Slot>,
-    limit: Pin<Box<Sleep>>,
+    timeout: Pin<Box<Sleep>>,
     counters: Counters,
 }
 
-impl Whole {
-    pub(super) fn new(answer: Answer, slot: Slot, deadline: Instant, counters: Counters) -> Whole {
-        let limit = Box::pin(sleep_until(clock::timer(deadline)));
-        Whole { answer, slot: Some(slot), limit, counters }
+impl ForwardedBody {
+    pub(super) fn new(
+        answer: ResponseBody,
+        slot: Slot,
+        deadline: Instant,
+        counters: Counters,
+    ) -> ForwardedBody {
+        let limit = Box::pin(sleep_until(clock::timer_instant(deadline)));
+        ForwardedBody { answer, slot: Some(slot), timeout: limit, counters }
     }
 
     pub(super) fn into_body(self) -> Body {
@@ -94,7 +99,7 @@
     }
 }
 
-impl HttpBody for Whole {
+impl HttpBody for ForwardedBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -105,7 +110,7 @@
         let polled = Pin::new(&mut self.answer).poll_frame(cx);
         match &polled {
             Poll::Pending => {
-                if self.limit.as_mut().poll(cx).is_ready() {
+                if self.timeout.as_mut().poll(cx).is_ready() {
                     self.counters.count("call.answer-cut.timeout");
                     return Poll::Ready(Some(Err(BodyError::Timeout)));
                 }
--- a/lib/src/coordination.rs
+++ b/lib/src/coordination.rs
@@ -6,14 +6,14 @@
 //! may serve; [`drive`] carries out confirmed plans; [`tend`] keeps boxes at their jobs.
 
 pub mod append;
+pub mod box_list;
 pub mod catch_up;
 pub mod drive;
 pub mod follow;
-pub mod fresh;
-pub mod listing;
+pub mod freshness;
 pub mod member;
 pub mod node;
+pub mod reconcile;
 pub mod replica;
 pub mod route;
 pub mod snapshot;
-pub mod tend;
--- a/lib/src/coordination/append.rs
+++ b/lib/src/coordination/append.rs
@@ -32,7 +32,7 @@
 use crate::state::id::RecordId;
 use crate::state::record::Batch;
 use crate::state::record::Body;
-use crate::state::record::MAX_BATCH;
+use crate::state::record::MAX_BATCH_BYTES;
 use crate::state::record::Record;
 use crate::transport::clock;
 use crate::transport::dial::ExchangeError;
@@ -40,17 +40,17 @@
 use crate::transport::dial::full;
 
 /// Most records that wait for the log.
-const MAX_QUEUE: usize = 4096;
+const MAX_QUEUED_RECORDS: usize = 4096;
 /// Most records in one append.
 const MAX_RECORDS: usize = 512;
 /// How long the log may take to answer an append.
-const APPEND_WAIT: Duration = Duration::from_secs(2);
+const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
 /// First pause after a failed append.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest pause after failed appends.
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
 /// How long an operator's request waits for its verdict.
-pub const VERDICT_WAIT: Duration = Duration::from_secs(5);
+pub const VERDICT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Appends that may go out at once after a pause.
 const BURST: u32 = 8;
 
@@ -65,7 +65,7 @@
     Unknown(RecordId),
     /// It was not sent: too many records wait.
     #[error("too many records wait for the log")]
-    Busy,
+    QueueFull,
 }
 
 /// Hands records to the queue.
@@ -79,37 +79,37 @@
 #[derive(Default, xtra::Actor)]
 struct Queue {
     records: VecDeque<Record>,
-    waiting: HashMap<RecordId, oneshot::Sender<Verdict>>,
+    verdict_senders: HashMap<RecordId, oneshot::Sender<Verdict>>,
 }
 
 struct Submit(Record);
-struct Take;
-struct Settle(Vec<(RecordId, Verdict)>);
+struct TakeRecords;
+struct DeliverVerdicts(Vec<(RecordId, Verdict)>);
 
 impl Handler<Submit> for Queue {
     type Return = Option<oneshot::Receiver<Verdict>>;
 
     async fn handle(&mut self, message: Submit, _: &mut Context<Self>) -> Self::Return {
-        if self.records.len() >= MAX_QUEUE {
+        if self.records.len() >= MAX_QUEUED_RECORDS {
             return None;
         }
         let (sender, receiver) = oneshot::channel();
-        self.waiting.retain(|_, sender| !sender.is_closed());
-        self.waiting.insert(message.0.id, sender);
+        self.verdict_senders.retain(|_, sender| !sender.is_closed());
+        self.verdict_senders.insert(message.0.id, sender);
         self.records.push_back(message.0);
         Some(receiver)
     }
 }
 
-impl Handler<Take> for Queue {
+impl Handler<TakeRecords> for Queue {
     type Return = Vec<Record>;
 
-    async fn handle(&mut self, _: Take, _: &mut Context<Self>) -> Vec<Record> {
+    async fn handle(&mut self, _: TakeRecords, _: &mut Context<Self>) -> Vec<Record> {
         let mut taken = Vec::new();
         let mut bytes = 0;
         while let Some(record) = self.records.front() {
-            bytes += postcard::experimental::serialized_size(record).unwrap_or(MAX_BATCH);
-            let full = taken.len() == MAX_RECORDS || bytes > MAX_BATCH - 1024;
+            bytes += postcard::experimental::serialized_size(record).unwrap_or(MAX_BATCH_BYTES);
+            let full = taken.len() == MAX_RECORDS || bytes > MAX_BATCH_BYTES - 1024;
             if full && !taken.is_empty() {
                 break;
             }
@@ -119,12 +119,12 @@
     }
 }
 
-impl Handler<Settle> for Queue {
+impl Handler<DeliverVerdicts> for Queue {
     type Return = ();
 
-    async fn handle(&mut self, message: Settle, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: DeliverVerdicts, _: &mut Context<Self>) {
         for (id, verdict) in message.0 {
-            if let Some(sender) = self.waiting.remove(&id) {
+            if let Some(sender) = self.verdict_senders.remove(&id) {
                 // Whoever asked may have gone.
                 let _ = sender.send(verdict);
             }
@@ -139,18 +139,18 @@
         Appender { queue, wake: Arc::default() }
     }
 
-    /// Submits a change and waits up to [`VERDICT_WAIT`] for its verdict.
+    /// Submits a change and waits up to [`VERDICT_TIMEOUT`] for its verdict.
     pub async fn submit(&self, id: RecordId, body: Body) -> Result<Offset, AppendError> {
         let verdict = self.enqueue(id, body).await?;
-        match timeout(VERDICT_WAIT, verdict).await {
+        match timeout(VERDICT_TIMEOUT, verdict).await {
             Ok(Ok(verdict)) => Ok(verdict?),
             _ => Err(AppendError::Unknown(id)),
         }
     }
 
     /// Submits a change and waits for its verdict however long the log is away.
-    pub async fn submit_whatever_it_takes(&self, body: Body) -> Result<Offset, AppendError> {
-        let id = new_id();
+    pub async fn submit_without_timeout(&self, body: Body) -> Result<Offset, AppendError> {
+        let id = new_record_id();
         let verdict = self.enqueue(id, body).await?;
         match verdict.await {
             Ok(verdict) => Ok(verdict?),
@@ -164,40 +164,40 @@
         body: Body,
     ) -> Result<oneshot::Receiver<Verdict>, AppendError> {
         let submitted = self.queue.send(Submit(Record { id, body })).await;
-        let receiver = submitted.ok().flatten().ok_or(AppendError::Busy)?;
+        let receiver = submitted.ok().flatten().ok_or(AppendError::QueueFull)?;
         self.wake.notify_one();
         Ok(receiver)
     }
 
     /// Passes on verdicts that were read back.
-    pub async fn settle(&self, verdicts: Vec<(RecordId, Verdict)>) {
-        let _ = self.queue.send(Settle(verdicts)).await;
+    pub async fn deliver_verdicts(&self, verdicts: Vec<(RecordId, Verdict)>) {
+        let _ = self.queue.send(DeliverVerdicts(verdicts)).await;
     }
 }
 
 /// A new record id.
-pub fn new_id() -> RecordId {
+pub fn new_record_id() -> RecordId {
     rand::rng().random()
 }
 
 /// Appends what is submitted, for as long as the daemon runs.
 pub async fn run(node: Arc<Node>) {
     let limiter = limiter(node.settings.appends_per_s);
-    let incarnation = writing_incarnation(&node).await;
+    let incarnation = writer_incarnation(&node).await;
     let mut sequence = 0;
     loop {
         node.appender.wake.notified().await;
-        while let Some(records) = take(&node).await {
+        while let Some(records) = take_records(&node).await {
             sequence += 1;
             let batch = Batch { writer: node.settings.id, incarnation, sequence, records };
-            append(&node, &limiter, &batch).await;
+            append_batch(&node, &limiter, &batch).await;
         }
     }
 }
 
 /// The life under which this daemon writes: its own, or one more than the last on the log if its
 /// clock has gone back since. Known once the log's end was reached.
-async fn writing_incarnation(node: &Node) -> Incarnation {
+async fn writer_incarnation(node: &Node) -> Incarnation {
     let mut changes = node.replica.changes();
     while node.replica.log_age(clock::now()).is_none() {
         let _ = timeout(MIN_BACKOFF, changes.changed()).await;
@@ -214,13 +214,13 @@
     RateLimiter::direct(Quota::per_second(rate).allow_burst(burst))
 }
 
-async fn take(node: &Node) -> Option<Vec<Record>> {
-    let taken = node.appender.queue.send(Take).await.ok()?;
+async fn take_records(node: &Node) -> Option<Vec<Record>> {
+    let taken = node.appender.queue.send(TakeRecords).await.ok()?;
     (!taken.is_empty()).then_some(taken)
 }
 
 /// Sends a batch until it is known to be on the log.
-async fn append(node: &Node, limiter: &DefaultDirectRateLimiter, batch: &Batch) {
+async fn append_batch(node: &Node, limiter: &DefaultDirectRateLimiter, batch: &Batch) {
     let bytes = match batch.encode() {
         Ok(bytes) => bytes,
         Err(_) => {
@@ -233,7 +233,7 @@
     loop {
         limiter.until_ready().await;
         node.counters.count("log.append.sent");
-        match append_once(node, bytes.clone()).await {
+        match send_append(node, bytes.clone()).await {
             Ok(_) => return,
             Err(error) => node.counters.count(failure_counter(&error)),
         }
@@ -264,11 +264,12 @@
     })
 }
 
-async fn append_once(node: &Node, bytes: Vec<u8>) -> Result<Appended, ExchangeError> {
+async fn send_append(node: &Node, bytes: Vec<u8>) -> Result<Appended, ExchangeError> {
     // A batch that is on the log twice counts once, by its writer's number.
     let request = || Request::post(APPEND).body(full(bytes.clone()));
-    let limits = Limits { bytes: 4096, wait: APPEND_WAIT, held: Duration::ZERO };
-    let answer = node.dialer.exchange_again(node.settings.log, request, limits).await?.response;
+    let limits = Limits { max_bytes: 4096, timeout: APPEND_TIMEOUT, long_poll: Duration::ZERO };
+    let answer =
+        node.dialer.exchange_hedged(node.settings.log_addr, request, limits).await?.response;
     if !answer.status().is_success() {
         return Err(ExchangeError::Status(answer.status().as_u16()));
     }
--- a/lib/src/coordination/listing.rs
+++ b/lib/src/coordination/box_list.rs
@@ -11,7 +11,7 @@
 
 use crate::coordination::node::Node;
 use crate::protocol::boxes::List;
-use crate::protocol::boxes::Listed;
+use crate::protocol::boxes::ListedBox;
 use crate::protocol::boxes::boxes_path;
 use crate::state::config::Shapes;
 use crate::state::id::BoxId;
@@ -20,13 +20,13 @@
 use crate::transport::dial::full;
 
 /// How long the box list may take to answer.
-const WAIT: Duration = Duration::from_secs(3);
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
 /// Largest box list, in bytes.
-const MAX_LIST: usize = 16 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
 
 /// The box list as last read; it lags, and is kept when it cannot be read.
 #[derive(Debug, Default)]
-pub struct Listing {
+pub struct BoxList {
     inner: Mutex<Inner>,
 }
 
@@ -37,7 +37,7 @@
     leaving: Arc<BTreeSet<BoxId>>,
 }
 
-impl Listing {
+impl BoxList {
     fn inner(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().expect("no holder of the listing panics")
     }
@@ -57,7 +57,7 @@
     }
 
     /// Takes in what changed. Returns whether anything did.
-    fn take_in(&self, list: List) -> bool {
+    fn apply_update(&self, list: List) -> bool {
         let mut inner = self.inner();
         let changed = list.whole || !list.boxes.is_empty() || !list.gone.is_empty();
         inner.version = list.version;
@@ -79,7 +79,7 @@
 }
 
 impl Inner {
-    fn put(&mut self, listed: Listed) {
+    fn put(&mut self, listed: ListedBox) {
         self.remove(&listed.name);
         if listed.leaving {
             Arc::make_mut(&mut self.leaving).insert(listed.name);
@@ -102,23 +102,25 @@
 /// Follows the box list for as long as the daemon runs.
 pub async fn run(node: Arc<Node>) {
     loop {
-        match read(&node).await {
+        match read_list(&node).await {
             Ok(list) => {
-                if node.listing.take_in(list) {
-                    node.routes.set_leaving(&node.listing.leaving());
+                if node.box_list.apply_update(list) {
+                    node.routes.set_leaving(&node.box_list.leaving());
                 }
             }
             Err(_) => node.counters.count("boxes.read.failed"),
         }
-        sleep(node.settings.poll).await;
+        sleep(node.settings.poll_interval).await;
     }
 }
 
-async fn read(node: &Node) -> Result<List, ExchangeError> {
-    let path = boxes_path(node.listing.version());
+async fn read_list(node: &Node) -> Result<List, ExchangeError> {
+    let path = boxes_path(node.box_list.version());
     let request = || Request::get(&path).body(full(""));
-    let limits = Limits { bytes: MAX_LIST, wait: WAIT, held: Duration::ZERO };
-    let answer = node.dialer.exchange_again(node.settings.boxes, request, limits).await?.response;
+    let limits =
+        Limits { max_bytes: MAX_LIST_BYTES, timeout: READ_TIMEOUT, long_poll: Duration::ZERO };
+    let answer =
+        node.dialer.exchange_hedged(node.settings.box_list_addr, request, limits).await?.response;
     if !answer.status().is_success() {
         return Err(ExchangeError::Status(answer.status().as_u16()));
     }
--- a/lib/src/coordination/catch_up.rs
+++ b/lib/src/coordination/catch_up.rs
@@ -20,9 +20,9 @@
 use crate::coordination::follow;
 use crate::coordination::node::Node;
 use crate::protocol::catch_up::Greeting;
-use crate::protocol::catch_up::Load;
-use crate::protocol::catch_up::MAX_PIECE;
+use crate::protocol::catch_up::MAX_PIECE_BYTES;
 use crate::protocol::catch_up::Nonce;
+use crate::protocol::catch_up::Payload;
 use crate::protocol::catch_up::Piece;
 use crate::protocol::catch_up::PieceError;
 use crate::protocol::catch_up::Request;
@@ -34,19 +34,19 @@
 use crate::transport::clock;
 
 /// How often a daemon looks whether it should catch up.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Age of the last good read of the log from which on a daemon asks its peers.
-const LOG_TROUBLE: Duration = Duration::from_millis(1300);
+const MAX_LOG_AGE: Duration = Duration::from_millis(1300);
 /// How long one exchange may take.
-const WAIT: Duration = Duration::from_secs(5);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after a failed exchange or accept.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Peers served at a time.
 const MAX_CLIENTS: usize = 8;
 /// Bytes of state in one piece.
-const STATE_PIECE: usize = 1024 * 1024;
+const STATE_PIECE_BYTES: usize = 1024 * 1024;
 /// Largest state taken from a peer, in bytes.
-const MAX_STATE: usize = 64 * 1024 * 1024;
+const MAX_STATE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Why a daemon could not catch up from a peer.
 #[derive(Debug, Error)]
@@ -56,13 +56,13 @@
     Connection(#[from] io::Error),
     /// The peer ended the connection too early.
     #[error("the peer ended the connection")]
-    Ended,
+    ConnectionClosed,
     /// A piece was refused.
     #[error(transparent)]
     Piece(#[from] PieceError),
     /// A piece belongs to another answer, or is out of order.
     #[error("a piece of another answer")]
-    Foreign,
+    Mismatch,
     /// The state is larger than a state may be.
     #[error("the state is too large")]
     TooLarge,
@@ -77,39 +77,41 @@
 impl CatchUpError {
     fn counter(&self) -> &'static str {
         match self {
-            CatchUpError::Connection(_) | CatchUpError::Ended => "catch-up.failed.connection",
+            CatchUpError::Connection(_) | CatchUpError::ConnectionClosed => {
+                "catch-up.failed.connection"
+            }
             CatchUpError::Piece(_) => "catch-up.failed.piece",
-            CatchUpError::Foreign => "catch-up.failed.foreign",
+            CatchUpError::Mismatch => "catch-up.failed.foreign",
             CatchUpError::TooLarge | CatchUpError::State(_) => "catch-up.failed.state",
             CatchUpError::Timeout => "catch-up.failed.timeout",
         }
     }
 }
 
-type Link = Framed<TcpStream, LengthDelimitedCodec>;
+type PeerStream = Framed<TcpStream, LengthDelimitedCodec>;
 
-fn link(stream: TcpStream) -> Link {
+fn peer_stream(stream: TcpStream) -> PeerStream {
     let mut codec = LengthDelimitedCodec::new();
-    codec.set_max_frame_length(MAX_PIECE);
+    codec.set_max_frame_length(MAX_PIECE_BYTES);
     Framed::new(stream, codec)
 }
 
 /// Catches up from peers while the log gives trouble, for as long as the daemon runs.
 pub async fn run(node: Arc<Node>) {
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         let now = clock::now();
         let log_age = node.replica.log_age(now);
-        if log_age.is_some_and(|age| age < LOG_TROUBLE) {
+        if log_age.is_some_and(|age| age < MAX_LOG_AGE) {
             continue;
         }
-        let ahead = node.members.ahead_of(node.replica.next(), now);
+        let ahead = node.members.peers_ahead_of(node.replica.next(), now);
         let Some(peer) = ahead.first() else {
             continue;
         };
         if let Err(error) = from_peer(&node, *peer, false).await {
             node.counters.count(error.counter());
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
@@ -121,15 +123,15 @@
     whole: bool,
 ) -> Result<(), CatchUpError> {
     let from = node.replica.next();
-    let answer = timeout(WAIT, ask(node, peer, from, whole)).await;
+    let answer = timeout(EXCHANGE_TIMEOUT, fetch_answer(node, peer, from, whole)).await;
     match answer.map_err(|_| CatchUpError::Timeout)?? {
         Answer::Batches(batches) => {
             node.counters.add("catch-up.batches", batches.len() as u64);
-            follow::advance(node, batches).await;
+            follow::apply_batches(node, batches).await;
         }
         Answer::State(fleet) => {
             node.counters.count("catch-up.states");
-            follow::install(node, *fleet, whole).await;
+            follow::install_fleet(node, *fleet, whole).await;
         }
     }
     Ok(())
@@ -140,32 +142,32 @@
     State(Box<Fleet>),
 }
 
-async fn ask(
+async fn fetch_answer(
     node: &Node,
     peer: SocketAddr,
     from: Offset,
     whole: bool,
 ) -> Result<Answer, CatchUpError> {
-    let mut link = link(TcpStream::connect(peer).await?);
+    let mut link = peer_stream(TcpStream::connect(peer).await?);
     let key = &node.settings.peer_key;
-    let greeting: Greeting = open(key, &receive(&mut link).await?)?;
+    let greeting: Greeting = open(key, &receive_frame(&mut link).await?)?;
     let client: Nonce = rand::random();
     let request = Request { server: greeting.server, client, from, whole };
     link.send(Bytes::from(seal(key, &request))).await?;
     let mut batches = Vec::new();
     let mut state = Vec::new();
     for index in 0.. {
-        let piece: Piece = open(key, &receive(&mut link).await?)?;
+        let piece: Piece = open(key, &receive_frame(&mut link).await?)?;
         if piece.client != client || piece.index != index {
-            return Err(CatchUpError::Foreign);
+            return Err(CatchUpError::Mismatch);
         }
-        match piece.load {
-            Load::Batches(more) => {
+        match piece.payload {
+            Payload::Batches(more) => {
                 batches.extend(more.into_iter().map(|(offset, bytes)| (offset, bytes.into())));
             }
-            Load::State(more) => state.extend(more),
+            Payload::State(more) => state.extend(more),
         }
-        if state.len() > MAX_STATE {
+        if state.len() > MAX_STATE_BYTES {
             return Err(CatchUpError::TooLarge);
         }
         if piece.last {
@@ -181,8 +183,8 @@
     Ok(Answer::State(Box::new(fleet)))
 }
 
-async fn receive(link: &mut Link) -> Result<Bytes, CatchUpError> {
-    let frame = link.next().await.ok_or(CatchUpError::Ended)??;
+async fn receive_frame(link: &mut PeerStream) -> Result<Bytes, CatchUpError> {
+    let frame = link.next().await.ok_or(CatchUpError::ConnectionClosed)??;
     Ok(frame.freeze())
 }
 
@@ -192,13 +194,13 @@
     loop {
         let permit = permits.clone().acquire_owned().await;
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
         let node = node.clone();
         tokio::spawn(async move {
             let _permit = permit;
-            match timeout(WAIT, serve_one(&node, stream)).await {
+            match timeout(EXCHANGE_TIMEOUT, serve_peer(&node, stream)).await {
                 Ok(Ok(())) => node.counters.count("catch-up.served"),
                 Ok(Err(error)) => node.counters.count(served_counter(&error)),
                 Err(_) => node.counters.count("catch-up.refused.timeout"),
@@ -211,39 +213,39 @@
     match error {
         CatchUpError::Piece(PieceError::Seal) => "catch-up.refused.seal",
         CatchUpError::Piece(PieceError::Decode) => "catch-up.refused.decode",
-        CatchUpError::Foreign => "catch-up.refused.replay",
+        CatchUpError::Mismatch => "catch-up.refused.replay",
         _ => "catch-up.refused.connection",
     }
 }
 
-async fn serve_one(node: &Node, stream: TcpStream) -> Result<(), CatchUpError> {
-    let mut link = link(stream);
+async fn serve_peer(node: &Node, stream: TcpStream) -> Result<(), CatchUpError> {
+    let mut link = peer_stream(stream);
     let key = &node.settings.peer_key;
     let server: Nonce = rand::random();
     link.send(Bytes::from(seal(key, &Greeting { server }))).await?;
-    let request: Request = open(key, &receive(&mut link).await?)?;
+    let request: Request = open(key, &receive_frame(&mut link).await?)?;
     if request.server != server {
-        return Err(CatchUpError::Foreign);
+        return Err(CatchUpError::Mismatch);
     }
-    let loads = loads(node, &request);
+    let loads = build_loads(node, &request);
     let count = loads.len();
     for (index, load) in loads.into_iter().enumerate() {
         let last = index + 1 == count;
-        let piece = Piece { client: request.client, index: index as u32, last, load };
+        let piece = Piece { client: request.client, index: index as u32, last, payload: load };
         link.send(Bytes::from(seal(key, &piece))).await?;
     }
     Ok(())
 }
 
 /// The batches asked for if all of them are still at hand, else the whole state.
-fn loads(node: &Node, request: &Request) -> Vec<Load> {
+fn build_loads(node: &Node, request: &Request) -> Vec<Payload> {
     if !request.whole
         && let Some(batches) = node.history.batches_from(request.from)
     {
         let batches = batches.into_iter().map(|(offset, bytes)| (offset, bytes.to_vec()));
-        return vec![Load::Batches(batches.collect())];
+        return vec![Payload::Batches(batches.collect())];
     }
     let encoded = snapshot::encode(&node.replica.fleet());
-    let pieces = encoded.chunks(STATE_PIECE);
-    pieces.map(|piece| Load::State(piece.to_vec())).collect()
+    let pieces = encoded.chunks(STATE_PIECE_BYTES);
+    pieces.map(|piece| Payload::State(piece.to_vec())).collect()
 }
--- a/lib/src/coordination/drive.rs
+++ b/lib/src/coordination/drive.rs
@@ -17,8 +17,8 @@
 use tokio::time::timeout;
 
 use crate::coordination::append::AppendError;
-use crate::coordination::append::new_id;
-use crate::coordination::fresh::Basis;
+use crate::coordination::append::new_record_id;
+use crate::coordination::freshness::Basis;
 use crate::coordination::node::Node;
 use crate::state::hash;
 use crate::state::id::PlanId;
@@ -27,43 +27,43 @@
 use crate::state::plan::Phase;
 use crate::state::plan::Plan;
 use crate::state::record::Body;
-use crate::state::record::Claim;
+use crate::state::record::StepRef;
 use crate::state::wave;
 use crate::transport::clock;
 
 /// How often the plans are looked at when nothing changes.
-const LOOK: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// An epoch of a plan that this daemon drives.
-struct Driving {
+struct DriverTask {
     epoch: u32,
     task: JoinHandle<()>,
 }
 
 /// Looks for plans to drive, for as long as the daemon runs.
 pub async fn run(node: Arc<Node>) {
-    let mut driving: BTreeMap<PlanId, Driving> = BTreeMap::new();
+    let mut driving: BTreeMap<PlanId, DriverTask> = BTreeMap::new();
     let mut changes = node.replica.changes();
     loop {
-        let _ = timeout(LOOK, changes.changed()).await;
+        let _ = timeout(POLL_INTERVAL, changes.changed()).await;
         driving.retain(|_, driving| !driving.task.is_finished());
         if node.basis() != Basis::Log {
             continue;
         }
-        for plan in wanted(&node, &driving) {
-            take_over(&node, plan, &mut driving).await;
+        for plan in plans_to_drive(&node, &driving) {
+            take_over_plan(&node, plan, &mut driving).await;
         }
     }
 }
 
 /// Plans that this daemon should drive and does not: those whose holder is gone or was an earlier
 /// life of this daemon, and that fall to it by rendezvous hash.
-fn wanted(node: &Node, driving: &BTreeMap<PlanId, Driving>) -> Vec<(PlanId, u32)> {
+fn plans_to_drive(node: &Node, driving: &BTreeMap<PlanId, DriverTask>) -> Vec<(PlanId, u32)> {
     let now = clock::now();
-    let live = node.live();
+    let live = node.serving_daemons();
     let own = node.settings.id;
     let fleet = node.replica.fleet();
-    let driven = fleet.plans.values().filter(|plan| plan.phase.is_driven());
+    let driven = fleet.plans.values().filter(|plan| plan.phase.needs_driver());
     let orphaned = driven.filter(|plan| match plan.driver.holder {
         None => hash::owner(&plan.id.to_le_bytes(), &live) == Some(own),
         Some(holder) if holder == own => {
@@ -78,19 +78,19 @@
     orphaned.map(|plan| (plan.id, plan.driver.epoch + 1)).collect()
 }
 
-async fn take_over(
+async fn take_over_plan(
     node: &Arc<Node>,
     (plan, epoch): (PlanId, u32),
-    driving: &mut BTreeMap<PlanId, Driving>,
+    driving: &mut BTreeMap<PlanId, DriverTask>,
 ) {
     let body = Body::Drive { plan, holder: node.settings.id, epoch };
-    match node.appender.submit(new_id(), body).await {
+    match node.appender.submit(new_record_id(), body).await {
         Ok(_) => {
             node.counters.count("drive.taken-over");
             log::info!(plan = format_plan(plan).as_str(), epoch; "drives plan");
             let driver = Driver { node: node.clone(), plan, epoch };
             let task = tokio::spawn(driver.run());
-            driving.insert(plan, Driving { epoch, task });
+            driving.insert(plan, DriverTask { epoch, task });
         }
         Err(AppendError::Refused(_)) => node.counters.count("drive.lost-race"),
         Err(_) => node.counters.count("drive.not-known"),
@@ -107,10 +107,10 @@
 
 /// What a look at the plan found to do.
 #[derive(Default)]
-struct Look {
-    over: bool,
-    begin: Vec<u32>,
-    skip: Vec<u32>,
+struct Decision {
+    is_over: bool,
+    start: Vec<u32>,
+    abandon: Vec<u32>,
 }
 
 impl Driver {
@@ -124,11 +124,11 @@
                 let index = ended.expect("a step's task does not panic");
                 begun.remove(&index);
             }
-            let look = self.look(&begun, &mut only_down_since);
-            if look.over {
+            let look = self.decide(&begun, &mut only_down_since);
+            if look.is_over {
                 return;
             }
-            for index in look.begin {
+            for index in look.start {
                 begun.insert(index);
                 let driver = self.clone();
                 steps.spawn(async move {
@@ -136,10 +136,10 @@
                     index
                 });
             }
-            for index in look.skip {
-                self.skip(index).await;
+            for index in look.abandon {
+                self.abandon_step(index).await;
             }
-            let ended = tokio::time::sleep(LOOK);
+            let ended = tokio::time::sleep(POLL_INTERVAL);
             tokio::select! {
                 () = ended => {}
                 _ = changes.changed() => {}
@@ -147,46 +147,46 @@
         }
     }
 
-    fn claim(&self, step: u32) -> Claim {
-        Claim { plan: self.plan, epoch: self.epoch, step }
+    fn claim(&self, step: u32) -> StepRef {
+        StepRef { plan: self.plan, epoch: self.epoch, step }
     }
 
     /// Decides which steps to begin and which to give up, as the fleet stands.
-    fn look(&self, begun: &BTreeSet<u32>, only_down_since: &mut Option<Instant>) -> Look {
+    fn decide(&self, begun: &BTreeSet<u32>, only_down_since: &mut Option<Instant>) -> Decision {
         let fleet = self.node.replica.fleet();
         let Some(plan) = fleet.plans.get(&self.plan) else {
-            return Look { over: true, ..Look::default() };
+            return Decision { is_over: true, ..Decision::default() };
         };
-        if !plan.phase.is_driven() || plan.driver.epoch != self.epoch {
-            return Look { over: true, ..Look::default() };
+        if !plan.phase.needs_driver() || plan.driver.epoch != self.epoch {
+            return Decision { is_over: true, ..Decision::default() };
         }
-        let mut look = Look::default();
-        self.resume(plan, begun, &mut look);
+        let mut look = Decision::default();
+        self.resume_started(plan, begun, &mut look);
         if plan.phase == Phase::Running {
-            let choice = wave::choose(&fleet, plan, begun);
-            look.begin.extend(choice.begin);
-            let idle = begun.is_empty() && look.begin.is_empty();
-            self.give_up(choice.blocked, idle, only_down_since, &mut look);
+            let choice = wave::choose_steps(&fleet, plan, begun);
+            look.start.extend(choice.ready);
+            let idle = begun.is_empty() && look.start.is_empty();
+            self.abandon_blocked(choice.blocked, idle, only_down_since, &mut look);
         }
         look
     }
 
     /// Steps that an earlier epoch began.
-    fn resume(&self, plan: &Plan, begun: &BTreeSet<u32>, look: &mut Look) {
-        for (index, step) in wave::indexed(plan) {
-            if step.progress.is_begun() && !begun.contains(&index) {
-                look.begin.push(index);
+    fn resume_started(&self, plan: &Plan, begun: &BTreeSet<u32>, look: &mut Decision) {
+        for (index, step) in wave::indexed_steps(plan) {
+            if step.progress.is_under_way() && !begun.contains(&index) {
+                look.start.push(index);
             }
         }
     }
 
     /// A box that is down when all else is done gets some time, then its step is given up.
-    fn give_up(
+    fn abandon_blocked(
         &self,
         blocked: Vec<u32>,
         idle: bool,
         only_down_since: &mut Option<Instant>,
-        look: &mut Look,
+        look: &mut Decision,
     ) {
         if blocked.is_empty() || !idle {
             *only_down_since = None;
@@ -194,13 +194,13 @@
         }
         let since = *only_down_since.get_or_insert_with(clock::now);
         if clock::since(since) >= self.node.settings.down_grace {
-            look.skip = blocked;
+            look.abandon = blocked;
         }
     }
 
-    async fn skip(&self, step: u32) {
+    async fn abandon_step(&self, step: u32) {
         let finish = Body::Finish(self.claim(step), Outcome::Down);
-        if self.node.appender.submit(new_id(), finish).await.is_ok() {
+        if self.node.appender.submit(new_record_id(), finish).await.is_ok() {
             self.node.counters.count("drive.step.given-up");
         }
     }
--- a/lib/src/coordination/drive/step.rs
+++ b/lib/src/coordination/drive/step.rs
@@ -9,7 +9,7 @@
 
 use crate::coordination::append::AppendError;
 use crate::coordination::drive::Driver;
-use crate::coordination::tend;
+use crate::coordination::reconcile;
 use crate::protocol::worker::Action as Order;
 use crate::protocol::worker::Command;
 use crate::protocol::worker::Status;
@@ -26,13 +26,13 @@
 use crate::transport::dial::ExchangeError;
 
 /// Pause between two looks at a box.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Looks in a row that must find a box idle.
-const IDLE_LOOKS: u32 = 2;
+const MIN_IDLE_POLLS: u32 = 2;
 /// Time beyond the freshness limit that a silent daemon is given.
-const SILENT_MARGIN: Duration = Duration::from_millis(500);
+const UNRESPONSIVE_MARGIN: Duration = Duration::from_millis(500);
 /// Time a job may take to run after it was ordered.
-const START_LIMIT: Duration = Duration::from_secs(30);
+const JOB_START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a step stopped before its end.
 #[derive(Debug, Error)]
@@ -45,7 +45,7 @@
     Refused(Refusal),
     /// The record could not be handed in.
     #[error("the record could not be handed in")]
-    Busy,
+    AppendFailed,
 }
 
 impl From<AppendError> for StepError {
@@ -55,7 +55,7 @@
                 StepError::Superseded
             }
             AppendError::Refused(refusal) => StepError::Refused(refusal),
-            AppendError::Unknown(_) | AppendError::Busy => StepError::Busy,
+            AppendError::Unknown(_) | AppendError::QueueFull => StepError::AppendFailed,
         }
     }
 }
@@ -72,7 +72,7 @@
 impl Driver {
     /// Runs step `index`; counts how it went.
     pub(super) async fn run_step(&self, index: u32) {
-        let counter = match self.try_or_give_up(index).await {
+        let counter = match self.try_or_abandon(index).await {
             Ok(Outcome::Done) => "drive.step.done",
             Ok(Outcome::DrainLimit) => "drive.step.drain-limit",
             Ok(Outcome::Lost) => "drive.step.lost",
@@ -82,21 +82,21 @@
             Err(StepError::Refused(Refusal::MinUp { .. })) => "drive.step.refused.min-up",
             Err(StepError::Refused(Refusal::Busy { .. })) => "drive.step.refused.busy",
             Err(StepError::Refused(_)) => "drive.step.refused.other",
-            Err(StepError::Busy) => "drive.step.busy",
+            Err(StepError::AppendFailed) => "drive.step.busy",
         };
         self.node.counters.count(counter);
     }
 
     /// A step that takes no box out waits for no budget: what refuses it now refuses it later, so it
     /// ends rather than asking the log again and again.
-    async fn try_or_give_up(&self, index: u32) -> Result<Outcome, StepError> {
+    async fn try_or_abandon(&self, index: u32) -> Result<Outcome, StepError> {
         let result = self.try_step(index).await;
         let Err(StepError::Refused(refusal)) = &result else {
             return result;
         };
         let step = self.step(index)?;
         let paused = matches!(refusal, Refusal::Phase { .. });
-        if step.action.takes_out() || paused || step.progress != Progress::Waiting {
+        if step.action.is_disruptive() || paused || step.progress != Progress::Waiting {
             return result;
         }
         self.append(Body::Finish(self.claim(index), Outcome::Refused)).await?;
@@ -106,58 +106,58 @@
     async fn try_step(&self, index: u32) -> Result<Outcome, StepError> {
         let step = self.step(index)?;
         let outcome = match &step.action {
-            Action::Reboot => self.reboot(index, &step).await?,
+            Action::Reboot => self.reboot_box(index, &step).await?,
             Action::Move { .. } => self.move_box(index, &step).await?,
-            Action::Release => self.release(index, &step).await?,
+            Action::Release => self.release_box(index, &step).await?,
             Action::Claim { .. } => self.claim_box(index, &step).await?,
-            Action::Start { job } => self.start(index, &step, job).await?,
-            Action::Stop { .. } => self.stop(index, &step).await?,
+            Action::Start { job } => self.start_job(index, &step, job).await?,
+            Action::Stop { .. } => self.stop_job(index, &step).await?,
         };
         self.append(Body::Finish(self.claim(index), outcome)).await?;
         Ok(outcome)
     }
 
-    async fn reboot(&self, index: u32, step: &Step) -> Result<Outcome, StepError> {
+    async fn reboot_box(&self, index: u32, step: &Step) -> Result<Outcome, StepError> {
         let target = self.target(step)?;
-        let permit = self.permit(index, step).await?;
+        let permit = self.acquire_permit(index, step).await?;
         if let Some(outcome) = self.drain(&target, permit).await? {
             return Ok(outcome);
         }
-        if !self.order_until(&target, Order::Reboot { operation: permit }).await? {
+        if !self.send_until_accepted(&target, Order::Reboot { operation: permit }).await? {
             return Ok(Outcome::Lost);
         }
         let back = |status: &Status| status.rebooted_for == Some(permit);
-        if !self.wait_until(&target, back).await? {
+        if !self.wait_for_status(&target, back).await? {
             return Ok(Outcome::Lost);
         }
-        self.bring_back(&target).await
+        self.return_to_service(&target).await
     }
 
     async fn move_box(&self, index: u32, step: &Step) -> Result<Outcome, StepError> {
         let target = self.target(step)?;
         if !matches!(step.progress, Progress::Assigned { .. }) {
-            let permit = self.permit(index, step).await?;
+            let permit = self.acquire_permit(index, step).await?;
             if let Some(outcome) = self.drain(&target, permit).await? {
                 return Ok(outcome);
             }
-            if !self.order_until(&target, Order::Jobs { jobs: Vec::new() }).await? {
+            if !self.send_until_accepted(&target, Order::Jobs { jobs: Vec::new() }).await? {
                 return Ok(Outcome::Lost);
             }
             self.append(Body::Assign(self.claim(index))).await?;
         }
-        self.bring_back(&target).await
+        self.return_to_service(&target).await
     }
 
-    async fn release(&self, index: u32, step: &Step) -> Result<Outcome, StepError> {
+    async fn release_box(&self, index: u32, step: &Step) -> Result<Outcome, StepError> {
         if matches!(step.progress, Progress::Assigned { .. }) {
             return Ok(Outcome::Done);
         }
         let target = self.target(step)?;
-        let permit = self.permit(index, step).await?;
+        let permit = self.acquire_permit(index, step).await?;
         if let Some(outcome) = self.drain(&target, permit).await? {
             return Ok(outcome);
         }
-        self.order_until(&target, Order::Jobs { jobs: Vec::new() }).await?;
+        self.send_until_accepted(&target, Order::Jobs { jobs: Vec::new() }).await?;
         self.append(Body::Assign(self.claim(index))).await?;
         Ok(Outcome::Done)
     }
@@ -169,48 +169,53 @@
         Ok(Outcome::Done)
     }
 
-    async fn start(&self, index: u32, step: &Step, job: &ServiceKey) -> Result<Outcome, StepError> {
+    async fn start_job(
+        &self,
+        index: u32,
+        step: &Step,
+        job: &ServiceKey,
+    ) -> Result<Outcome, StepError> {
         if step.progress == Progress::Waiting {
             self.append(Body::Assign(self.claim(index))).await?;
         }
-        let target = Target { lost_after: START_LIMIT, ..self.target(step)? };
+        let target = Target { lost_after: JOB_START_TIMEOUT, ..self.target(step)? };
         // A box that is out under another plan gets its jobs from that plan's driver.
-        if !self.is_out(&target) {
-            self.order_until(&target, self.jobs(&target)).await?;
+        if !self.is_out_of_service(&target) {
+            self.send_until_accepted(&target, self.jobs_order(&target)).await?;
         }
         let running = |status: &Status| status.jobs.contains(job);
-        let started = self.wait_until(&target, running).await?;
+        let started = self.wait_for_status(&target, running).await?;
         Ok(if started { Outcome::Done } else { Outcome::Lost })
     }
 
-    async fn stop(&self, index: u32, step: &Step) -> Result<Outcome, StepError> {
+    async fn stop_job(&self, index: u32, step: &Step) -> Result<Outcome, StepError> {
         let target = self.target(step)?;
         if !matches!(step.progress, Progress::Assigned { .. }) {
-            let permit = self.permit(index, step).await?;
+            let permit = self.acquire_permit(index, step).await?;
             if let Some(outcome) = self.drain(&target, permit).await? {
                 return Ok(outcome);
             }
             self.append(Body::Assign(self.claim(index))).await?;
         }
-        self.bring_back(&target).await
+        self.return_to_service(&target).await
     }
 
     /// Starts the box's jobs and lets it serve.
-    async fn bring_back(&self, target: &Target) -> Result<Outcome, StepError> {
-        let started = self.order_until(target, self.jobs(target)).await?;
-        if started && self.order_until(target, Order::Resume).await? {
+    async fn return_to_service(&self, target: &Target) -> Result<Outcome, StepError> {
+        let started = self.send_until_accepted(target, self.jobs_order(target)).await?;
+        if started && self.send_until_accepted(target, Order::Resume).await? {
             return Ok(Outcome::Done);
         }
         Ok(Outcome::Lost)
     }
 
-    fn jobs(&self, target: &Target) -> Order {
+    fn jobs_order(&self, target: &Target) -> Order {
         let fleet = self.node.replica.fleet();
         Order::Jobs { jobs: fleet.jobs_on(&target.id).cloned().collect() }
     }
 
     /// Gets permission to take the box out, unless an earlier driver did.
-    async fn permit(&self, index: u32, step: &Step) -> Result<Offset, StepError> {
+    async fn acquire_permit(&self, index: u32, step: &Step) -> Result<Offset, StepError> {
         match step.progress.permit() {
             Some(permit) => Ok(permit),
             None => self.append(Body::Permit(self.claim(index))).await,
@@ -218,7 +223,7 @@
     }
 
     async fn append(&self, body: Body) -> Result<Offset, StepError> {
-        Ok(self.node.appender.submit_whatever_it_takes(body).await?)
+        Ok(self.node.appender.submit_without_timeout(body).await?)
     }
 
     /// Waits until no daemon sends the box anything and nothing runs on it.
@@ -226,19 +231,19 @@
     /// Returns an outcome if that was not to be had; the box then serves as before.
     async fn drain(&self, target: &Target, permit: Offset) -> Result<Option<Outcome>, StepError> {
         let begun = clock::now();
-        if !self.order_until(target, Order::Drain).await? {
+        if !self.send_until_accepted(target, Order::Drain).await? {
             return Ok(Some(Outcome::Lost));
         }
         let mut idle = 0;
-        while idle < IDLE_LOOKS {
+        while idle < MIN_IDLE_POLLS {
             if clock::since(begun) > target.drain_limit {
-                self.order_until(target, Order::Resume).await?;
+                self.send_until_accepted(target, Order::Resume).await?;
                 return Ok(Some(Outcome::DrainLimit));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
             self.check_epoch()?;
             let released = self.is_released(target, permit, begun);
-            let status = tend::status(&self.node, target.addr).await;
+            let status = reconcile::fetch_status(&self.node, target.addr).await;
             let quiet = matches!(status, Ok(status) if status.inflight == 0);
             idle = if released && quiet { idle + 1 } else { 0 };
         }
@@ -251,24 +256,24 @@
     /// it. Its quorum case needs a majority that knows no more than it does, so a majority that
     /// has applied the permit, the freshness limit ago, rules that out.
     fn is_released(&self, target: &Target, permit: Offset, begun: Instant) -> bool {
-        let releases = self.node.members.releases(&target.id, permit, clock::now());
+        let releases = self.node.members.count_releases(&target.id, permit, clock::now());
         if releases.holding > 0 || self.node.routes.busy_boxes().contains(&target.id) {
             return false;
         }
-        if releases.silent == 0 {
+        if releases.unresponsive == 0 {
             return true;
         }
-        let majority = 2 * (releases.released + 1) > self.node.members.configured();
-        majority && clock::since(begun) > self.node.settings.max_age + SILENT_MARGIN
+        let majority = 2 * (releases.released + 1) > self.node.members.configured_count();
+        majority && clock::since(begun) > self.node.settings.max_age + UNRESPONSIVE_MARGIN
     }
 
     /// Gives an order until the box takes it. Returns false when it has not for too long.
-    async fn order_until(&self, target: &Target, order: Order) -> Result<bool, StepError> {
+    async fn send_until_accepted(&self, target: &Target, order: Order) -> Result<bool, StepError> {
         let begun = clock::now();
         loop {
             self.check_epoch()?;
             let command = Command { fence: self.fence(target), action: order.clone() };
-            match tend::command(&self.node, target.addr, command).await {
+            match reconcile::send_command(&self.node, target.addr, command).await {
                 Ok(_) => return Ok(true),
                 Err(ExchangeError::Status(409)) => {
                     self.node.counters.count("drive.order.fenced");
@@ -278,12 +283,12 @@
             if clock::since(begun) > target.lost_after {
                 return Ok(false);
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Waits for a status. Returns false when it has not come for too long.
-    async fn wait_until(
+    async fn wait_for_status(
         &self,
         target: &Target,
         reached: impl Fn(&Status) -> bool,
@@ -291,14 +296,14 @@
         let begun = clock::now();
         loop {
             self.check_epoch()?;
-            let status = tend::status(&self.node, target.addr).await;
+            let status = reconcile::fetch_status(&self.node, target.addr).await;
             if matches!(&status, Ok(status) if reached(status)) {
                 return Ok(true);
             }
             if clock::since(begun) > target.lost_after {
                 return Ok(false);
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -310,7 +315,7 @@
         version.max(epoch)
     }
 
-    fn is_out(&self, target: &Target) -> bool {
+    fn is_out_of_service(&self, target: &Target) -> bool {
         let fleet = self.node.replica.fleet();
         fleet.boxes.get(&target.id).is_some_and(|entry| entry.out.is_some())
     }
--- a/lib/src/coordination/follow.rs
+++ b/lib/src/coordination/follow.rs
@@ -27,11 +27,11 @@
 /// Records asked for at a time.
 const MAX_RECORDS: usize = 1000;
 /// Largest answer to a read, in bytes.
-const MAX_PAGE: usize = 64 * 1024 * 1024;
+const MAX_PAGE_BYTES: usize = 64 * 1024 * 1024;
 /// How long the log may hold a read that finds nothing new.
 const LONG_POLL: Duration = Duration::from_millis(1000);
 /// How long a read may take.
-const READ_WAIT: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// First pause after a failed read.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// Longest pause after failed reads.
@@ -48,7 +48,7 @@
     NoSnapshot,
     /// The log's end is before what this daemon has applied.
     #[error("the log ends at {end}, before {applied}")]
-    WentBack {
+    LogRegressed {
         /// Offset of the log's end.
         end: Offset,
         /// First offset not applied.
@@ -59,9 +59,9 @@
 /// Follows the log for as long as the daemon runs.
 pub async fn run(node: Arc<Node>) {
     let mut backoff = MIN_BACKOFF;
-    let mut seek = Seek::default();
+    let mut seek = SnapshotSearch::default();
     loop {
-        match step(&node, &mut seek).await {
+        match read_and_apply(&node, &mut seek).await {
             Ok(()) => backoff = MIN_BACKOFF,
             Err(error) => {
                 node.counters.count(failure_counter(&error));
@@ -80,33 +80,33 @@
         FollowError::Exchange(ExchangeError::Status(_)) => "log.read.failed.status",
         FollowError::Exchange(_) => "log.read.failed.cut",
         FollowError::NoSnapshot => "log.read.no-snapshot",
-        FollowError::WentBack { .. } => "log.read.went-back",
+        FollowError::LogRegressed { .. } => "log.read.went-back",
     }
 }
 
 /// The search for a snapshot, when the log no longer has the record that comes next.
 #[derive(Default)]
-struct Seek {
-    from: Offset,
+struct SnapshotSearch {
+    next_offset: Offset,
     assembly: Assembly,
 }
 
-async fn step(node: &Arc<Node>, seek: &mut Seek) -> Result<(), FollowError> {
+async fn read_and_apply(node: &Arc<Node>, seek: &mut SnapshotSearch) -> Result<(), FollowError> {
     let begun = clock::now();
     let applied = node.replica.fleet().next;
-    let from = applied.max(seek.from);
-    let page = read(node, from).await?;
+    let from = applied.max(seek.next_offset);
+    let page = read_page(node, from).await?;
     if page.next < applied {
-        return Err(FollowError::WentBack { end: page.next, applied });
+        return Err(FollowError::LogRegressed { end: page.next, applied });
     }
     if page.first > applied {
         node.counters.count("log.read.gap");
-        return seek_snapshot(node, &page, seek).await;
+        return search_snapshot(node, &page, seek).await;
     }
-    *seek = Seek::default();
-    advance(node, batches(&page)).await;
+    *seek = SnapshotSearch::default();
+    apply_batches(node, batches(&page)).await;
     if node.replica.next() == page.next {
-        node.replica.note_log_read(begun);
+        node.replica.record_log_read(begun);
     }
     Ok(())
 }
@@ -118,68 +118,69 @@
 }
 
 /// Applies batches in order and puts what they change in force here.
-pub async fn advance(node: &Arc<Node>, batches: Vec<(Offset, Bytes)>) {
-    let _applying = node.applying.lock().await;
+pub async fn apply_batches(node: &Arc<Node>, batches: Vec<(Offset, Bytes)>) {
+    let _applying = node.apply_lock.lock().await;
     for (offset, bytes) in batches {
-        apply(node, offset, bytes).await;
+        apply_batch(node, offset, bytes).await;
     }
-    put_in_force(node);
+    publish_fleet(node);
 }
 
 /// Puts a whole fleet in place of this daemon's own: a later one, or any if its own is wrong.
-pub async fn install(node: &Node, fleet: Fleet, own_is_wrong: bool) {
-    let _applying = node.applying.lock().await;
+pub async fn install_fleet(node: &Node, fleet: Fleet, own_is_wrong: bool) {
+    let _applying = node.apply_lock.lock().await;
     if own_is_wrong {
-        node.replica.replace(fleet);
-    } else if !node.replica.install(fleet) {
+        node.replica.replace_fleet(fleet);
+    } else if !node.replica.install_if_newer(fleet) {
         return;
     }
-    node.history.forget();
-    put_in_force(node);
+    node.history.forget_batches();
+    publish_fleet(node);
 }
 
 /// Routing follows first: whoever hears that an offset is applied may rely on it.
-fn put_in_force(node: &Node) {
+fn publish_fleet(node: &Node) {
     node.routes.rebuild(&node.replica.fleet());
     node.replica.announce();
 }
 
-async fn read(node: &Node, from: Offset) -> Result<Page, ExchangeError> {
+async fn read_page(node: &Node, from: Offset) -> Result<Page, ExchangeError> {
     let path = read_path(from, MAX_RECORDS, LONG_POLL.as_millis() as u64);
     let request = || Request::get(&path).body(full(""));
-    let limits = Limits { bytes: MAX_PAGE, wait: READ_WAIT, held: LONG_POLL };
-    let answer = node.dialer.exchange_again(node.settings.log, request, limits).await?.response;
+    let limits = Limits { max_bytes: MAX_PAGE_BYTES, timeout: READ_TIMEOUT, long_poll: LONG_POLL };
+    let answer =
+        node.dialer.exchange_hedged(node.settings.log_addr, request, limits).await?.response;
     if !answer.status().is_success() {
         return Err(ExchangeError::Status(answer.status().as_u16()));
     }
     Ok(serde_json::from_slice(answer.body())?)
 }
 
-async fn apply(node: &Arc<Node>, offset: Offset, bytes: Bytes) {
+async fn apply_batch(node: &Arc<Node>, offset: Offset, bytes: Bytes) {
     // A record that another program wrote, or a later version of this one, is passed over by all
     // readers alike.
     let Ok(batch) = Batch::decode(&bytes) else {
         node.counters.count("log.read.not-a-batch");
         node.replica.skip(offset);
-        node.history.keep(offset, bytes);
+        node.history.keep_batch(offset, bytes);
         return;
     };
     let Some(verdicts) = node.replica.apply(offset, &batch) else {
         return;
     };
     node.counters.add("log.read.records", batch.records.len() as u64);
-    node.history.keep(offset, bytes);
-    note_snapshots(node, offset, &batch);
+    node.history.keep_batch(offset, bytes);
+    record_snapshots(node, offset, &batch);
     if batch.writer == node.settings.id {
-        node.appender.settle(verdicts).await;
+        node.appender.deliver_verdicts(verdicts).await;
     }
 }
 
 /// Hashes the state if the batch marked a snapshot, and notes chunks.
-fn note_snapshots(node: &Arc<Node>, offset: Offset, batch: &Batch) {
+fn record_snapshots(node: &Arc<Node>, offset: Offset, batch: &Batch) {
     for record in &batch.records {
         if let Body::Snapshot(chunk) = &record.body {
-            node.history.note_chunk(chunk);
+            node.history.record_chunk(chunk);
         }
     }
     let fleet = node.replica.fleet();
@@ -187,16 +188,20 @@
         return;
     }
     let is_writer = batch.writer == node.settings.id;
-    let chunks = snapshot::take(node, &fleet, is_writer);
+    let chunks = snapshot::hash_at_mark(node, &fleet, is_writer);
     if !chunks.is_empty() {
-        tokio::spawn(snapshot::write(node.clone(), chunks));
+        tokio::spawn(snapshot::write_chunks(node.clone(), chunks));
     }
 }
 
 /// Looks for a whole snapshot among records that follow a gap.
-async fn seek_snapshot(node: &Arc<Node>, page: &Page, seek: &mut Seek) -> Result<(), FollowError> {
+async fn search_snapshot(
+    node: &Arc<Node>,
+    page: &Page,
+    seek: &mut SnapshotSearch,
+) -> Result<(), FollowError> {
     for (offset, bytes) in batches(page) {
-        seek.from = offset + 1;
+        seek.next_offset = offset + 1;
         let Ok(batch) = Batch::decode(&bytes) else {
             continue;
         };
@@ -204,12 +209,12 @@
             let Body::Snapshot(chunk) = record.body else {
                 continue;
             };
-            node.history.note_chunk(&chunk);
+            node.history.record_chunk(&chunk);
             match seek.assembly.add(chunk) {
                 Ok(Some(fleet)) if fleet.next >= page.first => {
                     node.counters.count("snapshot.installed");
-                    install(node, fleet, false).await;
-                    *seek = Seek::default();
+                    install_fleet(node, fleet, false).await;
+                    *seek = SnapshotSearch::default();
                     return Ok(());
                 }
                 // What follows on from an older one is no longer on the log.
@@ -220,7 +225,7 @@
     }
     if page.records.is_empty() {
         // All that is left has no snapshot: one may still come, or a peer may help.
-        *seek = Seek::default();
+        *seek = SnapshotSearch::default();
         return Err(FollowError::NoSnapshot);
     }
     Ok(())
--- a/lib/src/coordination/fresh.rs
+++ b/lib/src/coordination/freshness.rs
@@ -27,26 +27,26 @@
 
 /// What a daemon knows of itself.
 #[derive(Clone, Copy, Debug)]
-pub struct Own {
+pub struct OwnState {
     /// First offset not applied.
     pub next: Offset,
     /// Age of the last read at the log's end.
     pub log_age: Option<Duration>,
     /// Whether it has held all that was in force.
-    pub complete: bool,
+    pub is_complete: bool,
     /// Time since it was started.
-    pub alive: Duration,
+    pub uptime: Duration,
 }
 
 /// What a daemon knows of a peer whose last beat was sent within `max_age`.
 #[derive(Clone, Copy, Debug)]
-pub struct Heard {
+pub struct PeerState {
     /// First offset the peer had not applied.
     pub next: Offset,
     /// Age now of the peer's last read at the log's end.
     pub log_age: Option<Duration>,
     /// Whether the peer has held all that was in force.
-    pub complete: bool,
+    pub is_complete: bool,
 }
 
 /// Why a daemon may serve, or that it may not.
@@ -83,25 +83,25 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use spokelift_lib::coordination::fresh::{Basis, Heard, Own, judge};
+/// use spokelift_lib::coordination::freshness::{Basis, PeerState, OwnState, evaluate};
 /// let second = Duration::from_secs(1);
-/// let cut_off = Own { next: 7, log_age: Some(9 * second), complete: true, alive: 60 * second };
-/// assert_eq!(judge(cut_off, &[], 3, 3 * second), Basis::Stale);
-/// let peer = Heard { next: 7, log_age: Some(second), complete: true };
-/// assert_eq!(judge(cut_off, &[peer], 3, 3 * second), Basis::Peer);
-/// let ahead = Heard { next: 8, ..peer };
-/// assert_eq!(judge(cut_off, &[ahead], 3, 3 * second), Basis::Stale);
+/// let cut_off = OwnState { next: 7, log_age: Some(9 * second), is_complete: true, uptime: 60 * second };
+/// assert_eq!(evaluate(cut_off, &[], 3, 3 * second), Basis::Stale);
+/// let peer = PeerState { next: 7, log_age: Some(second), is_complete: true };
+/// assert_eq!(evaluate(cut_off, &[peer], 3, 3 * second), Basis::Peer);
+/// let ahead = PeerState { next: 8, ..peer };
+/// assert_eq!(evaluate(cut_off, &[ahead], 3, 3 * second), Basis::Stale);
 /// ```
-pub fn judge(own: Own, heard: &[Heard], daemons: usize, max_age: Duration) -> Basis {
+pub fn evaluate(own: OwnState, heard: &[PeerState], daemons: usize, max_age: Duration) -> Basis {
     if is_recent(own.log_age, max_age) {
         return Basis::Log;
     }
     if heard.iter().any(|peer| is_recent(peer.log_age, max_age)) {
-        let covered = has_reader(own, heard, max_age);
+        let covered = has_recent_reader(own, heard, max_age);
         return if covered { Basis::Peer } else { Basis::Stale };
     }
-    let complete = heard.iter().filter(|peer| peer.complete).count();
-    let majority = own.complete && 2 * (complete + 1) > daemons;
+    let complete = heard.iter().filter(|peer| peer.is_complete).count();
+    let majority = own.is_complete && 2 * (complete + 1) > daemons;
     let latest = heard.iter().all(|peer| own.next >= peer.next);
     if majority && latest { Basis::Quorum } else { Basis::Stale }
 }
@@ -109,23 +109,28 @@
 /// Whether a daemon that was not complete is so now, by what it has heard.
 ///
 /// ```
-/// use spokelift_lib::coordination::fresh::{Heard, Own, completes};
+/// use spokelift_lib::coordination::freshness::{PeerState, OwnState, becomes_complete};
 /// let second = std::time::Duration::from_secs(1);
-/// let started = Own { next: 7, log_age: None, complete: false, alive: second };
-/// let peer = Heard { next: 7, log_age: None, complete: true };
-/// assert!(!completes(started, &[peer], 3, second), "one of three peers may have missed some");
-/// assert!(completes(started, &[peer, peer], 3, second));
+/// let started = OwnState { next: 7, log_age: None, is_complete: false, uptime: second };
+/// let peer = PeerState { next: 7, log_age: None, is_complete: true };
+/// assert!(!becomes_complete(started, &[peer], 3, second), "one of three peers may have missed some");
+/// assert!(becomes_complete(started, &[peer, peer], 3, second));
 /// ```
-pub fn completes(own: Own, heard: &[Heard], daemons: usize, max_age: Duration) -> bool {
-    let complete = heard.iter().filter(|peer| peer.complete);
+pub fn becomes_complete(
+    own: OwnState,
+    heard: &[PeerState],
+    daemons: usize,
+    max_age: Duration,
+) -> bool {
+    let complete = heard.iter().filter(|peer| peer.is_complete);
     let majority = 2 * complete.clone().count() > daemons;
     let latest = complete.clone().all(|peer| own.next >= peer.next);
     // A read from before this daemon's start may miss what its earlier life knew.
-    (majority && latest) || has_reader(own, heard, max_age.min(own.alive))
+    (majority && latest) || has_recent_reader(own, heard, max_age.min(own.uptime))
 }
 
 /// Whether a peer has read the log lately, and had applied no more than this daemon.
-fn has_reader(own: Own, heard: &[Heard], max_age: Duration) -> bool {
+fn has_recent_reader(own: OwnState, heard: &[PeerState], max_age: Duration) -> bool {
     let mut readers = heard.iter().filter(|peer| is_recent(peer.log_age, max_age));
     readers.any(|peer| own.next >= peer.next)
 }
--- a/lib/src/coordination/member.rs
+++ b/lib/src/coordination/member.rs
@@ -20,14 +20,14 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-use crate::coordination::fresh::Heard;
+use crate::coordination::freshness::PeerState;
 use crate::coordination::node::Node;
-use crate::protocol::wire::Beat;
 use crate::protocol::wire::Echo;
 use crate::protocol::wire::Frame;
-use crate::protocol::wire::Hashed;
-use crate::protocol::wire::MAX_BUSY;
-use crate::protocol::wire::MAX_DATAGRAM;
+use crate::protocol::wire::Heartbeat;
+use crate::protocol::wire::MAX_BUSY_BOXES;
+use crate::protocol::wire::MAX_DATAGRAM_BYTES;
+use crate::protocol::wire::StateHash;
 use crate::protocol::wire::WireError;
 use crate::state::hash;
 use crate::state::id::BoxId;
@@ -37,13 +37,13 @@
 use crate::transport::clock;
 
 /// Shortest pause between two beats to the same peer.
-const MIN_GAP: Duration = Duration::from_millis(100);
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// A gap of this many intervals between two of its own ticks tells a daemon that it was paused.
-const LATE_TICKS: u32 = 3;
+const PAUSED_AFTER_INTERVALS: u32 = 3;
 /// Beats whose time is kept; an echo of an older one tells nothing.
-const MAX_SENT: usize = 64;
+const MAX_SENT_TIMES: usize = 64;
 /// Pause after a socket error.
-const ERROR_PAUSE: Duration = Duration::from_millis(50);
+const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What is known of the other daemons of the site.
 #[derive(Debug)]
@@ -58,16 +58,16 @@
 struct Peer {
     addr: SocketAddr,
     incarnation: Incarnation,
-    received: u64,
-    sent: u64,
+    last_received: u64,
+    last_sent: u64,
     /// When the latest beats went out.
-    sent_at: VecDeque<(u64, Instant)>,
-    heard: Option<Instant>,
+    sent_times: VecDeque<(u64, Instant)>,
+    received_at: Option<Instant>,
     /// The beat was sent no earlier than this.
-    sent_after: Option<Instant>,
+    earliest_sent_at: Option<Instant>,
     /// Until when it is not suspected although it has not been heard of.
-    spared: Option<Instant>,
-    beat: Beat,
+    grace_until: Option<Instant>,
+    heartbeat: Heartbeat,
 }
 
 impl Members {
@@ -81,13 +81,13 @@
         let unheard = |addr| Peer {
             addr,
             incarnation: 0,
-            received: 0,
-            sent: 0,
-            sent_at: VecDeque::new(),
-            heard: None,
-            sent_after: None,
-            spared: None,
-            beat: Beat::default(),
+            last_received: 0,
+            last_sent: 0,
+            sent_times: VecDeque::new(),
+            received_at: None,
+            earliest_sent_at: None,
+            grace_until: None,
+            heartbeat: Heartbeat::default(),
         };
         let peers = peers.iter().map(|(id, addr)| (*id, unheard(*addr)));
         let peers = Mutex::new(peers.collect());
@@ -104,12 +104,12 @@
     }
 
     /// How many daemons are configured, this one included.
-    pub fn configured(&self) -> usize {
+    pub fn configured_count(&self) -> usize {
         self.peers().len() + 1
     }
 
     /// Every configured daemon, this one included, in order.
-    pub fn all(&self) -> Vec<DaemonId> {
+    pub fn configured_ids(&self) -> Vec<DaemonId> {
         let mut all: Vec<DaemonId> = self.peers().keys().copied().collect();
         all.push(self.own);
         all.sort_unstable();
@@ -120,55 +120,60 @@
     ///
     /// A frame that does not name this life of this daemon was recorded before it began, or comes
     /// from a peer that has not yet heard of it: it teaches the peer's life and no more.
-    pub fn take_in(&self, frame: Frame, now: Instant) -> Result<(), WireError> {
+    pub fn accept_frame(&self, frame: Frame, now: Instant) -> Result<(), WireError> {
         let mut peers = self.peers();
-        let peer = peers.get_mut(&frame.from).ok_or(WireError::Stranger)?;
+        let peer = peers.get_mut(&frame.from).ok_or(WireError::UnknownPeer)?;
         if frame.incarnation < peer.incarnation {
             return Err(WireError::Replay);
         }
         if frame.incarnation > peer.incarnation {
             peer.incarnation = frame.incarnation;
-            peer.received = 0;
-            peer.heard = None;
-            peer.sent_after = None;
+            peer.last_received = 0;
+            peer.received_at = None;
+            peer.earliest_sent_at = None;
         }
-        if frame.to != self.incarnation {
+        if frame.receiver_incarnation != self.incarnation {
             return Ok(());
         }
-        if frame.sequence <= peer.received {
+        if frame.sequence <= peer.last_received {
             return Err(WireError::Replay);
         }
-        peer.received = frame.sequence;
-        peer.heard = Some(now);
-        peer.sent_after = peer.sent_after(frame.echo);
-        peer.beat = frame.beat;
+        peer.last_received = frame.sequence;
+        peer.received_at = Some(now);
+        peer.earliest_sent_at = peer.earliest_sent_at(frame.echo);
+        peer.heartbeat = frame.heartbeat;
         Ok(())
     }
 
     /// The next frame to a peer, sent at `now`, and where it goes.
-    fn frame(&self, id: DaemonId, beat: Beat, now: Instant) -> Option<(SocketAddr, Frame)> {
+    fn next_frame(
+        &self,
+        id: DaemonId,
+        beat: Heartbeat,
+        now: Instant,
+    ) -> Option<(SocketAddr, Frame)> {
         let mut peers = self.peers();
         let peer = peers.get_mut(&id)?;
-        peer.sent += 1;
-        peer.sent_at.push_back((peer.sent, now));
-        if peer.sent_at.len() > MAX_SENT {
-            peer.sent_at.pop_front();
+        peer.last_sent += 1;
+        peer.sent_times.push_back((peer.last_sent, now));
+        if peer.sent_times.len() > MAX_SENT_TIMES {
+            peer.sent_times.pop_front();
         }
         let frame = Frame {
             from: self.own,
             incarnation: self.incarnation,
-            sequence: peer.sent,
-            to: peer.incarnation,
+            sequence: peer.last_sent,
+            receiver_incarnation: peer.incarnation,
             echo: peer.echo(now),
-            beat,
+            heartbeat: beat,
         };
         Some((peer.addr, frame))
     }
 
     /// The serving daemons, this one included if `own_serving`, in order.
-    pub fn live(&self, now: Instant, own_serving: bool) -> Vec<DaemonId> {
+    pub fn serving_daemons(&self, now: Instant, own_serving: bool) -> Vec<DaemonId> {
         let peers = self.peers();
-        let live = |peer: &Peer| peer.is_live(now, self.suspect_after) && peer.beat.serving;
+        let live = |peer: &Peer| peer.is_live(now, self.suspect_after) && peer.heartbeat.serving;
         let live = peers.iter().filter(|(_, peer)| live(peer));
         let mut live: Vec<DaemonId> = live.map(|(id, _)| *id).collect();
         if own_serving {
@@ -188,46 +193,46 @@
     }
 
     /// Peers heard of within `max_age`, for the freshness rule.
-    pub fn heard(&self, now: Instant, max_age: Duration) -> Vec<Heard> {
+    pub fn recent_peers(&self, now: Instant, max_age: Duration) -> Vec<PeerState> {
         let peers = self.peers();
-        let heard = peers.values().filter_map(|peer| peer.as_heard(now, max_age));
+        let heard = peers.values().filter_map(|peer| peer.recent_state(now, max_age));
         heard.collect()
     }
 
     /// Live peers with the first offset each has not applied.
-    pub fn offsets(&self, now: Instant) -> Vec<(DaemonId, Offset)> {
+    pub fn live_offsets(&self, now: Instant) -> Vec<(DaemonId, Offset)> {
         let peers = self.peers();
         let live = peers.iter().filter(|(_, peer)| peer.is_live(now, self.suspect_after));
-        live.map(|(id, peer)| (*id, peer.beat.next)).collect()
+        live.map(|(id, peer)| (*id, peer.heartbeat.next)).collect()
     }
 
     /// Live peers that have applied more than `next`, the furthest first.
-    pub fn ahead_of(&self, next: Offset, now: Instant) -> Vec<SocketAddr> {
+    pub fn peers_ahead_of(&self, next: Offset, now: Instant) -> Vec<SocketAddr> {
         let peers = self.peers();
         let ahead = peers
             .values()
-            .filter(|peer| peer.is_live(now, self.suspect_after) && peer.beat.next > next);
+            .filter(|peer| peer.is_live(now, self.suspect_after) && peer.heartbeat.next > next);
         let mut ahead: Vec<(Offset, SocketAddr)> =
-            ahead.map(|peer| (peer.beat.next, peer.addr)).collect();
+            ahead.map(|peer| (peer.heartbeat.next, peer.addr)).collect();
         ahead.sort_unstable_by_key(|(next, _)| std::cmp::Reverse(*next));
         ahead.into_iter().map(|(_, addr)| addr).collect()
     }
 
     /// What live peers say their states hashed to at the last mark, and where to reach them.
-    pub fn hashes(&self, now: Instant) -> Vec<(SocketAddr, Hashed)> {
+    pub fn live_hashes(&self, now: Instant) -> Vec<(SocketAddr, StateHash)> {
         let peers = self.peers();
         let live = peers.values().filter(|peer| peer.is_live(now, self.suspect_after));
-        live.filter_map(|peer| Some((peer.addr, peer.beat.mark?))).collect()
+        live.filter_map(|peer| Some((peer.addr, peer.heartbeat.mark?))).collect()
     }
 
     /// What peers have said about a box taken out at `permit`.
-    pub fn releases(&self, target: &str, permit: Offset, now: Instant) -> Releases {
-        let short = short_hash(target);
+    pub fn count_releases(&self, target: &str, permit: Offset, now: Instant) -> Releases {
+        let short = short_box_hash(target);
         let mut releases = Releases::default();
         for peer in self.peers().values() {
             if !peer.is_live(now, self.suspect_after) {
-                releases.silent += 1;
-            } else if peer.beat.next < permit || peer.beat.busy.contains(&short) {
+                releases.unresponsive += 1;
+            } else if peer.heartbeat.next < permit || peer.heartbeat.busy.contains(&short) {
                 releases.holding += 1;
             } else {
                 releases.released += 1;
@@ -239,10 +244,10 @@
     /// Spares every peer heard of before, after this daemon was late itself.
     ///
     /// This is for suspicion only: what a peer said before the pause is no fresher for it.
-    fn forgive(&self, now: Instant) {
+    fn grant_grace(&self, now: Instant) {
         for peer in self.peers().values_mut() {
-            if peer.heard.is_some() {
-                peer.spared = Some(now + self.suspect_after);
+            if peer.received_at.is_some() {
+                peer.grace_until = Some(now + self.suspect_after);
             }
         }
     }
@@ -256,97 +261,98 @@
     /// Have not applied the permit or still have requests there.
     pub holding: usize,
     /// Have not been heard of lately.
-    pub silent: usize,
+    pub unresponsive: usize,
 }
 
 impl Peer {
     fn is_live(&self, now: Instant, within: Duration) -> bool {
-        let heard = self.heard.is_some_and(|heard| now.saturating_duration_since(heard) < within);
-        heard || self.spared.is_some_and(|until| now < until)
+        let heard =
+            self.received_at.is_some_and(|heard| now.saturating_duration_since(heard) < within);
+        heard || self.grace_until.is_some_and(|until| now < until)
     }
 
     fn echo(&self, now: Instant) -> Option<Echo> {
-        let held = now.saturating_duration_since(self.heard?);
+        let held = now.saturating_duration_since(self.received_at?);
         let held_ms = held.as_millis().min(u128::from(u32::MAX)) as u32;
-        let sequence = self.received;
+        let sequence = self.last_received;
         Some(Echo { sequence, held_ms })
     }
 
     /// The earliest moment at which a beat with this echo was sent.
-    fn sent_after(&self, echo: Option<Echo>) -> Option<Instant> {
+    fn earliest_sent_at(&self, echo: Option<Echo>) -> Option<Instant> {
         let echo = echo?;
-        let (_, at) = self.sent_at.iter().find(|(sequence, _)| *sequence == echo.sequence)?;
+        let (_, at) = self.sent_times.iter().find(|(sequence, _)| *sequence == echo.sequence)?;
         Some(*at + Duration::from_millis(echo.held_ms.into()))
     }
 
-    fn as_heard(&self, now: Instant, max_age: Duration) -> Option<Heard> {
-        let age = now.saturating_duration_since(self.sent_after?);
+    fn recent_state(&self, now: Instant, max_age: Duration) -> Option<PeerState> {
+        let age = now.saturating_duration_since(self.earliest_sent_at?);
         if age >= max_age {
             return None;
         }
-        let log_age = self.beat.log_age_ms.map(|ms| Duration::from_millis(ms.into()) + age);
-        Some(Heard { next: self.beat.next, log_age, complete: self.beat.complete })
+        let log_age = self.heartbeat.log_age_ms.map(|ms| Duration::from_millis(ms.into()) + age);
+        Some(PeerState { next: self.heartbeat.next, log_age, is_complete: self.heartbeat.complete })
     }
 }
 
 /// Short name of a box in a heartbeat. Two boxes that share one only make a drain wait longer.
-pub fn short_hash(target: &str) -> u32 {
-    hash::stable(&[target.as_bytes()]) as u32
+pub fn short_box_hash(target: &str) -> u32 {
+    hash::stable_hash(&[target.as_bytes()]) as u32
 }
 
 /// Sends heartbeats to one peer: at the set interval, and soon after each change applied.
-pub async fn beat_to(node: Arc<Node>, socket: Arc<UdpSocket>, peer: DaemonId) {
+pub async fn send_heartbeats(node: Arc<Node>, socket: Arc<UdpSocket>, peer: DaemonId) {
     let mut changes = node.replica.changes();
     loop {
-        let beat = own_beat(&node);
-        if let Some((addr, frame)) = node.members.frame(peer, beat, clock::now()) {
+        let beat = own_heartbeat(&node);
+        if let Some((addr, frame)) = node.members.next_frame(peer, beat, clock::now()) {
             let bytes = frame.seal(&node.settings.peer_key);
             node.counters.add("peer.sent.bytes", bytes.len() as u64);
             // A datagram that cannot be sent is one that is lost.
             let _ = socket.send_to(&bytes, addr).await;
         }
-        sleep(MIN_GAP).await;
+        sleep(MIN_HEARTBEAT_INTERVAL).await;
         tokio::select! {
-            () = sleep(node.settings.heartbeat.saturating_sub(MIN_GAP)) => {}
+            () = sleep(node.settings.heartbeat_interval.saturating_sub(MIN_HEARTBEAT_INTERVAL)) => {}
             _ = changes.changed() => {}
         }
     }
 }
 
-fn own_beat(node: &Node) -> Beat {
+fn own_heartbeat(node: &Node) -> Heartbeat {
     let now = clock::now();
     let log_age = node.replica.log_age(now);
-    Beat {
+    Heartbeat {
         next: node.replica.next(),
-        mark: node.history.hashed(),
+        mark: node.history.state_hash(),
         complete: node.replica.is_complete(),
         log_age_ms: log_age.map(|age| age.as_millis().min(u128::from(u32::MAX)) as u32),
         serving: node.is_serving(),
         inflight: node.routes.inflight(),
-        busy: busy(node),
+        busy: busy_hashes(node),
     }
 }
 
-fn busy(node: &Node) -> Vec<u32> {
+fn busy_hashes(node: &Node) -> Vec<u32> {
     let busy: Vec<BoxId> = node.routes.busy_boxes();
-    if busy.len() > MAX_BUSY {
+    if busy.len() > MAX_BUSY_BOXES {
         // More than fit: name the first ones now, the others once these are idle. Drains wait for
         // a named box only, so the driver also asks the worker itself before it acts.
         node.counters.count("peer.busy-overflow");
     }
-    busy.iter().take(MAX_BUSY).map(|id| short_hash(id)).collect()
+    busy.iter().take(MAX_BUSY_BOXES).map(|id| short_box_hash(id)).collect()
 }
 
 /// Takes in heartbeats.
-pub async fn listen(node: Arc<Node>, socket: Arc<UdpSocket>) {
-    let mut bytes = [0; MAX_DATAGRAM + 1];
+pub async fn receive_heartbeats(node: Arc<Node>, socket: Arc<UdpSocket>) {
+    let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         let Ok((size, _)) = socket.recv_from(&mut bytes).await else {
-            sleep(ERROR_PAUSE).await;
+            sleep(SOCKET_RETRY_DELAY).await;
             continue;
         };
         let frame = Frame::open(&node.settings.peer_key, &bytes[..size]);
-        let taken = frame.and_then(|frame| node.members.take_in(frame, clock::now()));
+        let taken = frame.and_then(|frame| node.members.accept_frame(frame, clock::now()));
         match taken {
             Ok(()) => node.counters.count("peer.received"),
             Err(error) => node.counters.count(error.counter()),
@@ -355,15 +361,15 @@
 }
 
 /// Watches this daemon's own clock, and forgives the peers when it was late.
-pub async fn watch_pauses(node: Arc<Node>) {
-    let interval = node.settings.heartbeat;
+pub async fn detect_pauses(node: Arc<Node>) {
+    let interval = node.settings.heartbeat_interval;
     let mut last = clock::now();
     loop {
         sleep(interval).await;
         let now = clock::now();
-        if now.duration_since(last) > interval * LATE_TICKS {
+        if now.duration_since(last) > interval * PAUSED_AFTER_INTERVALS {
             node.counters.count("member.paused");
-            node.members.forgive(now);
+            node.members.grant_grace(now);
         }
         last = now;
     }
--- a/lib/src/coordination/node.rs
+++ b/lib/src/coordination/node.rs
@@ -11,10 +11,10 @@
 use std::time::UNIX_EPOCH;
 
 use crate::coordination::append::Appender;
-use crate::coordination::fresh;
-use crate::coordination::fresh::Basis;
-use crate::coordination::fresh::Own;
-use crate::coordination::listing::Listing;
+use crate::coordination::box_list::BoxList;
+use crate::coordination::freshness;
+use crate::coordination::freshness::Basis;
+use crate::coordination::freshness::OwnState;
 use crate::coordination::member::Members;
 use crate::coordination::replica::Replica;
 use crate::coordination::route::Routes;
@@ -47,26 +47,26 @@
     /// The states this daemon hashed, and the batches it can hand on.
     pub history: History,
     /// The box list.
-    pub listing: Listing,
+    pub box_list: BoxList,
     /// Where requests go.
     pub routes: Routes,
     /// Its outgoing connections.
     pub dialer: Dialer,
-    started: Instant,
+    started_at: Instant,
     suspects: Mutex<BTreeSet<BoxId>>,
     stopping: AtomicBool,
-    deviant: AtomicBool,
+    diverged: AtomicBool,
     /// Held by whoever applies, so that routing follows the fleet in order.
-    pub(crate) applying: tokio::sync::Mutex<()>,
+    pub(crate) apply_lock: tokio::sync::Mutex<()>,
 }
 
 impl Node {
     /// The parts of a daemon that starts now; must be called on its runtime.
     pub fn new(settings: Settings, counters: Counters) -> Arc<Node> {
-        let incarnation = incarnation();
-        let suspect_after = settings.heartbeat * 4;
+        let incarnation = new_incarnation();
+        let suspect_after = settings.heartbeat_interval * 4;
         let members = Members::new(settings.id, incarnation, suspect_after, &settings.peers);
-        let routes = Routes::new(settings.id, members.all(), settings.queue_limit);
+        let routes = Routes::new(settings.id, members.configured_ids(), settings.queue_limit);
         Arc::new(Node {
             settings,
             counters,
@@ -75,39 +75,39 @@
             members,
             appender: Appender::start(),
             history: History::default(),
-            listing: Listing::default(),
+            box_list: BoxList::default(),
             routes,
             dialer: Dialer::new(CONNECT_TIMEOUT),
             suspects: Mutex::default(),
-            started: clock::now(),
+            started_at: clock::now(),
             stopping: AtomicBool::new(false),
-            deviant: AtomicBool::new(false),
-            applying: tokio::sync::Mutex::default(),
+            diverged: AtomicBool::new(false),
+            apply_lock: tokio::sync::Mutex::default(),
         })
     }
 
     /// Why this daemon may serve now, or that it may not.
     pub fn basis(&self) -> Basis {
-        if self.deviant.load(Ordering::SeqCst) {
+        if self.diverged.load(Ordering::SeqCst) {
             return Basis::Stale;
         }
         let now = clock::now();
         let max_age = self.settings.max_age;
-        let own = Own {
+        let own = OwnState {
             next: self.replica.next(),
             log_age: self.replica.log_age(now),
-            complete: self.replica.is_complete(),
-            alive: now.saturating_duration_since(self.started),
+            is_complete: self.replica.is_complete(),
+            uptime: now.saturating_duration_since(self.started_at),
         };
         if own.log_age.is_some_and(|age| age < max_age) {
             return Basis::Log;
         }
-        let heard = self.members.heard(now, max_age);
-        let daemons = self.members.configured();
-        if !own.complete && fresh::completes(own, &heard, daemons, max_age) {
+        let heard = self.members.recent_peers(now, max_age);
+        let daemons = self.members.configured_count();
+        if !own.is_complete && freshness::becomes_complete(own, &heard, daemons, max_age) {
             self.replica.set_complete();
         }
-        fresh::judge(own, &heard, daemons, max_age)
+        freshness::evaluate(own, &heard, daemons, max_age)
     }
 
     /// Whether this daemon takes callers' requests.
@@ -116,7 +116,7 @@
     }
 
     /// Casts doubt on a box, since a request to it failed.
-    pub fn suspect(&self, target: &BoxId) {
+    pub fn add_suspect(&self, target: &BoxId) {
         let mut suspects = self.suspects.lock().expect("no holder panics");
         if !suspects.contains(target) {
             suspects.insert(target.clone());
@@ -129,8 +129,8 @@
     }
 
     /// Says whether this daemon's state was found to be wrong.
-    pub fn set_deviant(&self, deviant: bool) {
-        self.deviant.store(deviant, Ordering::SeqCst);
+    pub fn set_diverged(&self, deviant: bool) {
+        self.diverged.store(deviant, Ordering::SeqCst);
     }
 
     /// Whether this daemon is stopping.
@@ -144,12 +144,12 @@
     }
 
     /// The daemons that share the duties now.
-    pub fn live(&self) -> Vec<DaemonId> {
-        self.members.live(clock::now(), self.is_serving())
+    pub fn serving_daemons(&self) -> Vec<DaemonId> {
+        self.members.serving_daemons(clock::now(), self.is_serving())
     }
 }
 
-fn incarnation() -> Incarnation {
+fn new_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_micros() as Incarnation)
 }
--- a/lib/src/coordination/tend.rs
+++ b/lib/src/coordination/reconcile.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::coordination::fresh::Basis;
+use crate::coordination::freshness::Basis;
 use crate::coordination::node::Node;
 use crate::protocol::worker::Action;
 use crate::protocol::worker::COMMAND;
@@ -37,26 +37,26 @@
 use crate::transport::dial::full;
 
 /// How long a worker may take to answer.
-const WAIT: Duration = Duration::from_millis(800);
+const WORKER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Largest answer of a worker, in bytes.
-const MAX_STATUS: usize = 256 * 1024;
+const MAX_STATUS_BYTES: usize = 256 * 1024;
 /// Polls without an answer after which a box is down.
-const DOWN_AFTER: u32 = 3;
+const DOWN_AFTER_POLLS: u32 = 3;
 /// Polls with an answer after which a box that was down is up.
-const UP_AFTER: u32 = 3;
+const UP_AFTER_POLLS: u32 = 3;
 /// Bytes that one poll takes both ways, as `spokelift bench state` measures it.
 const POLL_BYTES: usize = 230;
 /// Boxes polled at the same time.
-const AT_ONCE: usize = 32;
+const MAX_CONCURRENT_POLLS: usize = 32;
 
 /// One box to look at, as the fleet has it.
-struct Tended {
+struct PollTarget {
     target: BoxId,
     addr: SocketAddr,
     fence: Offset,
-    down: bool,
+    is_down: bool,
     jobs: Vec<ServiceKey>,
-    leaving: bool,
+    is_leaving: bool,
 }
 
 /// Polls in a row that had, or had not, an answer.
@@ -68,7 +68,7 @@
 
 impl Streak {
     /// Whether the last poll had no answer.
-    fn is_in_doubt(&self) -> bool {
+    fn is_unresponsive(&self) -> bool {
         self.missed > 0
     }
 
@@ -83,9 +83,9 @@
 
 /// A box in this daemon's care, or one that a request to it has cast doubt on.
 #[derive(Clone, Copy)]
-struct Watched {
+struct PollState {
     streak: Streak,
-    due: Instant,
+    due_at: Instant,
 }
 
 /// Which boxes to poll, and when.
@@ -94,80 +94,87 @@
 /// any number of boxes. One that missed a poll, is down, or failed a request is polled at every
 /// turn.
 #[derive(Default)]
-struct Rounds {
-    live: Vec<DaemonId>,
-    known: usize,
-    own: BTreeSet<BoxId>,
-    watched: BTreeMap<BoxId, Watched>,
+struct PollSchedule {
+    live_daemons: Vec<DaemonId>,
+    box_count: usize,
+    owned: BTreeSet<BoxId>,
+    polled: BTreeMap<BoxId, PollState>,
 }
 
-impl Rounds {
+impl PollSchedule {
     /// Works out the duty anew when the daemons or the boxes have changed.
-    fn refresh(&mut self, node: &Node) {
-        let live = node.live();
+    fn refresh_owned(&mut self, node: &Node) {
+        let live = node.serving_daemons();
         let fleet = node.replica.fleet();
-        if live == self.live && fleet.boxes.len() == self.known {
+        if live == self.live_daemons && fleet.boxes.len() == self.box_count {
             return;
         }
         let is_own = |id: &&BoxId| hash::owner(id.as_bytes(), &live) == Some(node.settings.id);
-        self.own = fleet.boxes.keys().filter(is_own).cloned().collect();
-        self.known = fleet.boxes.len();
-        self.live = live;
+        self.owned = fleet.boxes.keys().filter(is_own).cloned().collect();
+        self.box_count = fleet.boxes.len();
+        self.live_daemons = live;
     }
 
     /// Time between two polls of a box that is well.
     fn interval(&self, node: &Node) -> Duration {
-        let bytes = (self.own.len() * POLL_BYTES) as u32;
+        let bytes = (self.owned.len() * POLL_BYTES) as u32;
         let spread = Duration::from_secs(1) * bytes / node.settings.poll_bytes_per_s;
-        spread.max(node.settings.poll)
+        spread.max(node.settings.poll_interval)
     }
 
     /// The boxes to poll now.
-    fn due(&mut self, node: &Node, now: Instant) -> Vec<Tended> {
+    fn take_due(&mut self, node: &Node, now: Instant) -> Vec<PollTarget> {
         let interval = self.interval(node);
         let suspects = node.take_suspects();
-        let leaving = node.listing.leaving();
+        let leaving = node.box_list.leaving();
         let fleet = node.replica.fleet();
-        let own = &self.own;
-        self.watched.retain(|id, watched| own.contains(id) || watched.streak.is_in_doubt());
+        let own = &self.owned;
+        self.polled.retain(|id, watched| own.contains(id) || watched.streak.is_unresponsive());
         for id in own {
-            self.watched.entry(id.clone()).or_insert_with(|| first_poll(now, interval));
+            self.polled.entry(id.clone()).or_insert_with(|| initial_poll_state(now, interval));
         }
         for id in suspects {
-            let watched = self.watched.entry(id).or_insert_with(|| first_poll(now, interval));
-            watched.due = now;
+            let watched =
+                self.polled.entry(id).or_insert_with(|| initial_poll_state(now, interval));
+            watched.due_at = now;
         }
-        let due = self.watched.iter().filter(|(_, watched)| watched.due <= now);
-        let tended = due.filter_map(|(id, _)| Tended::new(&fleet, &leaving, id));
+        let due = self.polled.iter().filter(|(_, watched)| watched.due_at <= now);
+        let tended = due.filter_map(|(id, _)| PollTarget::new(&fleet, &leaving, id));
         tended.collect()
     }
 
     /// Notes a poll's result. Returns whether the box should be called down, or up, from now on.
-    fn note(&mut self, node: &Node, tended: &Tended, answered: bool, now: Instant) -> Change {
+    fn record_poll(
+        &mut self,
+        node: &Node,
+        tended: &PollTarget,
+        answered: bool,
+        now: Instant,
+    ) -> Transition {
         let interval = self.interval(node);
-        let watched = self.watched.entry(tended.target.clone());
-        let watched = watched.or_insert_with(|| first_poll(now, interval));
+        let watched = self.polled.entry(tended.target.clone());
+        let watched = watched.or_insert_with(|| initial_poll_state(now, interval));
         watched.streak.add(answered);
-        let in_doubt = watched.streak.is_in_doubt() || tended.down;
-        watched.due = if in_doubt { now } else { now + interval };
-        if !tended.down && watched.streak.missed >= DOWN_AFTER {
-            return Change::Down;
+        let in_doubt = watched.streak.is_unresponsive() || tended.is_down;
+        watched.due_at = if in_doubt { now } else { now + interval };
+        if !tended.is_down && watched.streak.missed >= DOWN_AFTER_POLLS {
+            return Transition::Down;
         }
-        if tended.down && watched.streak.answered >= UP_AFTER {
-            return Change::Up;
+        if tended.is_down && watched.streak.answered >= UP_AFTER_POLLS {
+            return Transition::Up;
         }
-        Change::None
+        Transition::None
     }
 }
 
 /// First polls are spread over the interval.
-fn first_poll(now: Instant, interval: Duration) -> Watched {
+fn initial_poll_state(now: Instant, interval: Duration) -> PollState {
     let due = now + interval.mul_f64(rand::random());
-    Watched { streak: Streak::default(), due }
+    PollState { streak: Streak::default(), due_at: due }
 }
 
 #[derive(PartialEq, Eq)]
-enum Change {
+enum Transition {
     None,
     Down,
     Up,
@@ -175,32 +182,32 @@
 
 /// Tends boxes for as long as the daemon runs.
 pub async fn run(node: Arc<Node>) {
-    let mut rounds = Rounds::default();
+    let mut rounds = PollSchedule::default();
     loop {
-        sleep(node.settings.poll).await;
+        sleep(node.settings.poll_interval).await;
         // Only a daemon that reads the log itself knows well enough what should run where.
         if node.basis() != Basis::Log {
             continue;
         }
-        rounds.refresh(&node);
-        let tended = rounds.due(&node, clock::now());
+        rounds.refresh_owned(&node);
+        let tended = rounds.take_due(&node, clock::now());
         let answers = poll_all(&node, &tended).await;
         let now = clock::now();
         let mut down = Vec::new();
         let mut up = Vec::new();
         for (tended, answered) in tended.into_iter().zip(answers) {
-            match rounds.note(&node, &tended, answered, now) {
-                Change::Down => down.push(tended.target),
-                Change::Up => up.push(tended.target),
-                Change::None => {}
+            match rounds.record_poll(&node, &tended, answered, now) {
+                Transition::Down => down.push(tended.target),
+                Transition::Up => up.push(tended.target),
+                Transition::None => {}
             }
         }
-        report(&node, "tend.down", down, Body::Down).await;
-        report(&node, "tend.up", up, Body::Up).await;
+        append_transitions(&node, "tend.down", down, Body::Down).await;
+        append_transitions(&node, "tend.up", up, Body::Up).await;
     }
 }
 
-async fn report(
+async fn append_transitions(
     node: &Node,
     counter: &str,
     targets: Vec<BoxId>,
@@ -211,43 +218,43 @@
     }
     node.counters.add(counter, targets.len() as u64);
     log::info!(targets:? = targets; "{counter}");
-    if node.appender.submit_whatever_it_takes(body(targets)).await.is_err() {
+    if node.appender.submit_without_timeout(body(targets)).await.is_err() {
         node.counters.count("tend.report-failed");
     }
 }
 
-impl Tended {
+impl PollTarget {
     /// What there is to do on a box; nothing if a plan has taken it out, since its driver sees to
     /// it, or if it is in no pool.
-    fn new(fleet: &Fleet, leaving: &BTreeSet<BoxId>, id: &BoxId) -> Option<Tended> {
+    fn new(fleet: &Fleet, leaving: &BTreeSet<BoxId>, id: &BoxId) -> Option<PollTarget> {
         let entry = fleet.boxes.get(id)?;
         if entry.out.is_some() {
             return None;
         }
-        Some(Tended {
+        Some(PollTarget {
             target: id.clone(),
             addr: entry.shape.addr,
             fence: entry.version,
-            down: entry.down,
+            is_down: entry.down,
             jobs: fleet.jobs_on(id).cloned().collect(),
-            leaving: leaving.contains(id),
+            is_leaving: leaving.contains(id),
         })
     }
 }
 
-async fn poll_all(node: &Arc<Node>, tended: &[Tended]) -> Vec<bool> {
-    let permits = Arc::new(Semaphore::new(AT_ONCE));
+async fn poll_all(node: &Arc<Node>, tended: &[PollTarget]) -> Vec<bool> {
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_POLLS));
     let mut polls = JoinSet::new();
     for (index, tended) in tended.iter().enumerate() {
         let node = node.clone();
         let permits = permits.clone();
         let addr = tended.addr;
         let fence = tended.fence;
-        let leaving = tended.leaving;
+        let leaving = tended.is_leaving;
         let jobs = tended.jobs.clone();
         polls.spawn(async move {
             let _permit = permits.acquire().await;
-            (index, look_at(&node, addr, fence, leaving, jobs).await)
+            (index, poll_box(&node, addr, fence, leaving, jobs).await)
         });
     }
     let mut answered = vec![false; tended.len()];
@@ -260,14 +267,14 @@
 }
 
 /// Looks at one box and corrects what it runs. Returns whether it answered.
-async fn look_at(
+async fn poll_box(
     node: &Node,
     addr: SocketAddr,
     fence: Offset,
     leaving: bool,
     jobs: Vec<ServiceKey>,
 ) -> bool {
-    let Ok(status) = status(node, addr).await else {
+    let Ok(status) = fetch_status(node, addr).await else {
         node.counters.count("tend.poll.missed");
         return false;
     };
@@ -279,22 +286,22 @@
     running.sort();
     if running != jobs {
         node.counters.count("tend.jobs-corrected");
-        let _ = command(node, addr, Command { fence, action: Action::Jobs { jobs } }).await;
+        let _ = send_command(node, addr, Command { fence, action: Action::Jobs { jobs } }).await;
     }
     if status.draining && !leaving {
-        let _ = command(node, addr, Command { fence, action: Action::Resume }).await;
+        let _ = send_command(node, addr, Command { fence, action: Action::Resume }).await;
     }
     true
 }
 
 /// Asks a worker for its status.
-pub async fn status(node: &Node, addr: SocketAddr) -> Result<Status, ExchangeError> {
+pub async fn fetch_status(node: &Node, addr: SocketAddr) -> Result<Status, ExchangeError> {
     let request = Request::get(STATUS).body(full(""))?;
     exchange(node, addr, request).await
 }
 
 /// Gives a worker a command.
-pub async fn command(
+pub async fn send_command(
     node: &Node,
     addr: SocketAddr,
     command: Command,
@@ -309,7 +316,7 @@
     addr: SocketAddr,
     request: Request<HttpBody>,
 ) -> Result<Status, ExchangeError> {
-    let answer = node.dialer.exchange(addr, request, MAX_STATUS, WAIT).await?;
+    let answer = node.dialer.exchange(addr, request, MAX_STATUS_BYTES, WORKER_TIMEOUT).await?;
     if !answer.status().is_success() {
         return Err(ExchangeError::Status(answer.status().as_u16()));
     }
--- a/lib/src/coordination/replica.rs
+++ b/lib/src/coordination/replica.rs
@@ -21,7 +21,7 @@
 pub struct Replica {
     fleet: RwLock<Fleet>,
     next: watch::Sender<Offset>,
-    log_read: Mutex<Option<Instant>>,
+    log_read_at: Mutex<Option<Instant>>,
     complete: AtomicBool,
 }
 
@@ -31,7 +31,7 @@
         Replica {
             fleet: RwLock::default(),
             next,
-            log_read: Mutex::default(),
+            log_read_at: Mutex::default(),
             complete: AtomicBool::new(false),
         }
     }
@@ -59,12 +59,12 @@
     }
 
     /// Puts a whole fleet in place of one that was found to be wrong.
-    pub fn replace(&self, right: Fleet) {
+    pub fn replace_fleet(&self, right: Fleet) {
         *self.fleet.write().expect("no writer of the fleet panics") = right;
     }
 
     /// Puts a whole fleet in place of the current one, unless that is as recent.
-    pub fn install(&self, newer: Fleet) -> bool {
+    pub fn install_if_newer(&self, newer: Fleet) -> bool {
         let mut fleet = self.fleet.write().expect("no writer of the fleet panics");
         if newer.next <= fleet.next {
             return false;
@@ -94,8 +94,8 @@
     }
 
     /// Notes that a read begun at `begun` found the log's end.
-    pub fn note_log_read(&self, begun: Instant) {
-        let mut log_read = self.log_read.lock().expect("no holder panics");
+    pub fn record_log_read(&self, begun: Instant) {
+        let mut log_read = self.log_read_at.lock().expect("no holder panics");
         *log_read = Some(begun);
         self.set_complete();
     }
@@ -112,7 +112,7 @@
 
     /// Age of the last read that found the log's end.
     pub fn log_age(&self, now: Instant) -> Option<Duration> {
-        let log_read = self.log_read.lock().expect("no holder panics");
+        let log_read = self.log_read_at.lock().expect("no holder panics");
         log_read.map(|begun| now.saturating_duration_since(begun))
     }
 }
--- a/lib/src/daemon.rs
+++ b/lib/src/daemon.rs
@@ -17,25 +17,25 @@
 
 use crate::call;
 use crate::coordination::append;
+use crate::coordination::box_list;
 use crate::coordination::catch_up;
 use crate::coordination::drive;
 use crate::coordination::follow;
-use crate::coordination::listing;
 use crate::coordination::member;
 use crate::coordination::node::Node;
+use crate::coordination::reconcile;
 use crate::coordination::snapshot;
-use crate::coordination::tend;
 use crate::listen::StartError;
 use crate::listen::listen;
 use crate::metrics::Counters;
-use crate::operate;
+use crate::operator_api;
 use crate::settings::Settings;
 use crate::transport::serve::serve;
 
 /// How often the state of service is looked at for the log lines.
-const LOOK: Duration = Duration::from_millis(200);
+const SERVICE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Ports tried where the system may choose.
-const BIND_TRIES: usize = 8;
+const MAX_BIND_ATTEMPTS: usize = 8;
 
 /// The addresses a daemon listens on.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
@@ -79,7 +79,7 @@
 /// taken for the other; another one is tried then.
 async fn bind_peer(addr: SocketAddr) -> Result<(UdpSocket, TcpListener), StartError> {
     let mut last = None;
-    for _ in 0..BIND_TRIES {
+    for _ in 0..MAX_BIND_ATTEMPTS {
         let stream = listen("peers", addr).await?;
         let both = async {
             let bound = stream.local_addr()?;
@@ -110,7 +110,7 @@
     spawn_tasks(&node, sockets.peer, &mut tasks);
     let (close, closed) = watch::channel(false);
     let calls = serve(sockets.call, closed.clone(), handler(&node, call::handle));
-    let operations = serve(sockets.operate, closed, handler(&node, operate::handle));
+    let operations = serve(sockets.operate, closed, handler(&node, operator_api::handle));
     let stopping = async {
         // A sender that is gone is a stop as well.
         let _ = stop.wait_for(|stop| *stop).await;
@@ -141,19 +141,19 @@
     tasks.spawn(follow::run(node.clone()));
     tasks.spawn(catch_up::run(node.clone()));
     tasks.spawn(snapshot::run(node.clone()));
-    tasks.spawn(listing::run(node.clone()));
-    tasks.spawn(tend::run(node.clone()));
+    tasks.spawn(box_list::run(node.clone()));
+    tasks.spawn(reconcile::run(node.clone()));
     tasks.spawn(drive::run(node.clone()));
-    tasks.spawn(member::listen(node.clone(), peer.clone()));
-    tasks.spawn(member::watch_pauses(node.clone()));
-    tasks.spawn(log_service(node.clone()));
+    tasks.spawn(member::receive_heartbeats(node.clone(), peer.clone()));
+    tasks.spawn(member::detect_pauses(node.clone()));
+    tasks.spawn(log_basis(node.clone()));
     for (id, _) in &node.settings.peers {
-        tasks.spawn(member::beat_to(node.clone(), peer.clone(), *id));
+        tasks.spawn(member::send_heartbeats(node.clone(), peer.clone(), *id));
     }
 }
 
 /// Logs when the daemon begins and ceases to serve, and on what basis.
-async fn log_service(node: Arc<Node>) {
+async fn log_basis(node: Arc<Node>) {
     let mut last = None;
     loop {
         let basis = node.basis();
@@ -162,6 +162,6 @@
             node.counters.count(&format!("basis.{}", basis.as_str()));
             last = Some(basis);
         }
-        sleep(LOOK).await;
+        sleep(SERVICE_CHECK_INTERVAL).await;
     }
 }
--- a/lib/src/latency.rs
+++ b/lib/src/latency.rs
@@ -8,9 +8,9 @@
 use hdrhistogram::Histogram;
 
 /// Longest time that is told apart, in milliseconds; longer ones count as that.
-const LONGEST_MS: u64 = 600_000;
+const MAX_TRACKED_MS: u64 = 600_000;
 /// Digits that are kept of a time.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 /// Quantiles that are shown.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
 
@@ -28,12 +28,12 @@
     /// use spokelift_lib::latency::Latencies;
     /// let latencies = Latencies::default();
     /// latencies.record("client.get", Duration::from_millis(7));
-    /// assert!(latencies.text().contains("client_get_ms{quantile=\"0.99\"} 7\n"));
+    /// assert!(latencies.render().contains("client_get_ms{quantile=\"0.99\"} 7\n"));
     /// ```
     pub fn record(&self, name: &str, took: Duration) {
         let mut by_name = self.by_name.lock().expect("no holder of the histograms panics");
         if !by_name.contains_key(name) {
-            let histogram = Histogram::new_with_bounds(1, LONGEST_MS, DIGITS);
+            let histogram = Histogram::new_with_bounds(1, MAX_TRACKED_MS, SIGNIFICANT_DIGITS);
             by_name.insert(name.to_owned(), histogram.expect("the bounds are constants"));
         }
         if let Some(histogram) = by_name.get_mut(name) {
@@ -42,7 +42,7 @@
     }
 
     /// All histograms as text: for each, the quantiles in milliseconds and the count.
-    pub fn text(&self) -> String {
+    pub fn render(&self) -> String {
         let by_name = self.by_name.lock().expect("no holder of the histograms panics");
         let mut text = String::new();
         for (name, histogram) in by_name.iter() {
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod listen;
 pub mod log_limit;
 pub mod metrics;
-pub mod operate;
+pub mod operator_api;
 pub mod protocol;
 pub mod settings;
 pub mod state;
--- a/lib/src/log_limit.rs
+++ b/lib/src/log_limit.rs
@@ -25,28 +25,28 @@
 /// of a core; a busy site of fifty boxes writes about 300.
 const LINES_PER_S: f64 = 400.0;
 /// Lines that may come at once.
-const BURST: f64 = 1_200.0;
+const BURST_LINES: f64 = 1_200.0;
 /// Part of the burst that is kept for warnings and errors.
-const RESERVE: f64 = 200.0;
+const WARNING_RESERVE_LINES: f64 = 200.0;
 /// Lines that wait for the reader of the output; further ones are left out.
-const QUEUE: usize = 4_096;
+const QUEUE_LINES: usize = 4_096;
 /// Time between writes to the output, so that many lines go out in one.
-const GATHER: Duration = Duration::from_millis(50);
+const WRITE_INTERVAL: Duration = Duration::from_millis(50);
 /// How long the end of the process waits for the last lines.
-const LAST: Duration = Duration::from_millis(300);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How many lines may be written now.
 #[derive(Debug)]
 pub struct Budget {
-    lines: f64,
+    available_lines: f64,
     filled_at: Instant,
-    left_out: u64,
+    dropped_lines: u64,
 }
 
 impl Budget {
     /// A full budget.
     pub fn new(now: Instant) -> Budget {
-        Budget { lines: BURST, filled_at: now, left_out: 0 }
+        Budget { available_lines: BURST_LINES, filled_at: now, dropped_lines: 0 }
     }
 
     /// Takes a line; how many were left out before it, or `None` if it is left out itself.
@@ -56,36 +56,36 @@
     /// use spokelift_lib::log_limit::Budget;
     /// let now = Instant::now();
     /// let mut budget = Budget::new(now);
-    /// assert_eq!(budget.take(log::Level::Info, now), Some(0));
+    /// assert_eq!(budget.try_take_line(log::Level::Info, now), Some(0));
     /// ```
-    pub fn take(&mut self, level: Level, now: Instant) -> Option<u64> {
+    pub fn try_take_line(&mut self, level: Level, now: Instant) -> Option<u64> {
         let passed = now.saturating_duration_since(self.filled_at).as_secs_f64();
-        self.lines = (self.lines + passed * LINES_PER_S).min(BURST);
+        self.available_lines = (self.available_lines + passed * LINES_PER_S).min(BURST_LINES);
         self.filled_at = now;
-        let least = if level <= Level::Warn { 1.0 } else { RESERVE + 1.0 };
-        if self.lines < least {
-            self.left_out += 1;
+        let least = if level <= Level::Warn { 1.0 } else { WARNING_RESERVE_LINES + 1.0 };
+        if self.available_lines < least {
+            self.dropped_lines += 1;
             return None;
         }
-        self.lines -= 1.0;
-        Some(std::mem::take(&mut self.left_out))
+        self.available_lines -= 1.0;
+        Some(std::mem::take(&mut self.dropped_lines))
     }
 }
 
 /// Passes lines on to another logger, within a budget.
-pub struct Limited<L> {
+pub struct RateLimited<L> {
     inner: L,
     budget: Mutex<Budget>,
 }
 
-impl<L: Log> Limited<L> {
+impl<L: Log> RateLimited<L> {
     /// Limits what `inner` gets.
-    pub fn new(inner: L) -> Limited<L> {
-        Limited { inner, budget: Mutex::new(Budget::new(clock::now())) }
+    pub fn new(inner: L) -> RateLimited<L> {
+        RateLimited { inner, budget: Mutex::new(Budget::new(clock::now())) }
     }
 }
 
-impl<L: Log> Log for Limited<L> {
+impl<L: Log> Log for RateLimited<L> {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         self.inner.enabled(metadata)
     }
@@ -95,7 +95,7 @@
             return;
         }
         let mut budget = self.budget.lock().expect("no holder of the budget panics");
-        let taken = budget.take(record.level(), clock::now());
+        let taken = budget.try_take_line(record.level(), clock::now());
         drop(budget);
         match taken {
             None => {}
@@ -119,7 +119,7 @@
 pub struct Pipe {
     lines: SyncSender<Vec<u8>>,
     progress: Arc<Progress>,
-    lost: u64,
+    dropped_lines: u64,
 }
 
 /// How far the thread that writes the lines is.
@@ -131,11 +131,11 @@
 
 impl Progress {
     /// Waits for the lines so far, though not for ever.
-    pub fn settle(&self) {
-        let until = clock::now() + LAST;
+    pub fn wait_written(&self) {
+        let until = clock::now() + FLUSH_TIMEOUT;
         let waits = || self.written.load(Ordering::Acquire) < self.sent.load(Ordering::Acquire);
         while waits() && clock::now() < until {
-            thread::sleep(GATHER / 10);
+            thread::sleep(WRITE_INTERVAL / 10);
         }
     }
 }
@@ -143,43 +143,44 @@
 impl Pipe {
     /// A pipe to an output, and how far it is.
     pub fn new(output: impl Write + Send + 'static) -> (Pipe, Arc<Progress>) {
-        let (lines, queue) = sync_channel(QUEUE);
+        let (lines, queue) = sync_channel(QUEUE_LINES);
         let progress = Arc::new(Progress::default());
         let written = progress.clone();
-        thread::spawn(move || drain(&queue, output, &written.written));
-        (Pipe { lines, progress: progress.clone(), lost: 0 }, progress)
+        thread::spawn(move || write_queued(&queue, output, &written.written));
+        (Pipe { lines, progress: progress.clone(), dropped_lines: 0 }, progress)
     }
 }
 
-fn drain(queue: &Receiver<Vec<u8>>, mut output: impl Write, written: &AtomicU64) {
+fn write_queued(queue: &Receiver<Vec<u8>>, mut output: impl Write, written: &AtomicU64) {
     while let Ok(mut bytes) = queue.recv() {
         let mut lines = 1;
         // No more than the queue holds, or a fast writer could keep it here and grow it without end.
-        for line in queue.try_iter().take(QUEUE) {
+        for line in queue.try_iter().take(QUEUE_LINES) {
             bytes.extend_from_slice(&line);
             lines += 1;
         }
         // There is nowhere to tell that the log itself cannot be written.
         let _ = output.write_all(&bytes).and_then(|()| output.flush());
         written.fetch_add(lines, Ordering::Release);
-        thread::sleep(GATHER);
+        thread::sleep(WRITE_INTERVAL);
     }
 }
 
 impl Write for Pipe {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut bytes = Vec::new();
-        if self.lost > 0 {
+        if self.dropped_lines > 0 {
             bytes =
-                format!("{} lines were lost, the reader of the log is slow\n", self.lost).into();
+                format!("{} lines were lost, the reader of the log is slow\n", self.dropped_lines)
+                    .into();
         }
         bytes.extend_from_slice(line);
         match self.lines.try_send(bytes) {
             Ok(()) => {
                 self.progress.sent.fetch_add(1, Ordering::Release);
-                self.lost = 0;
+                self.dropped_lines = 0;
             }
-            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.lost += 1,
+            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.dropped_lines += 1,
         }
         Ok(line.len())
     }
--- a/lib/src/metrics.rs
+++ b/lib/src/metrics.rs
@@ -40,7 +40,7 @@
 
 impl MetricSink for Sink {
     fn emit(&self, metric: &str) -> io::Result<usize> {
-        if let Some((name, value)) = parse(metric) {
+        if let Some((name, value)) = parse_metric(metric) {
             let mut totals = self.totals.lock().expect("no holder of the totals panics");
             match totals.get_mut(name) {
                 Some(total) => *total += value,
@@ -57,7 +57,7 @@
 }
 
 /// Splits `spokelift.name:value|c`.
-fn parse(metric: &str) -> Option<(&str, u64)> {
+fn parse_metric(metric: &str) -> Option<(&str, u64)> {
     let (name, rest) = metric.split_once(':')?;
     let (value, _) = rest.split_once('|')?;
     let name = name.strip_prefix(PREFIX)?.strip_prefix('.')?;
--- a/lib/src/operate.rs
+++ b/lib/src/operator_api.rs
@@ -16,13 +16,13 @@
 use hyper::http::request::Parts;
 use serde::Serialize;
 
-use crate::call::bearer;
+use crate::call::bearer_credential;
 use crate::coordination::node::Node;
 use crate::protocol::api::ApiError;
 use crate::state::account::Role;
 use crate::state::account::SITE;
 use crate::state::account::Scope;
-use crate::state::config::MAX_FILE;
+use crate::state::config::MAX_FILE_BYTES;
 use crate::state::id::parse_plan;
 use crate::state::id::parse_record;
 use crate::state::record::Control;
@@ -34,46 +34,46 @@
 
 /// Answers one request of an operator.
 pub async fn handle(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
-    match answer(&node, request).await {
-        Ok(json) => respond(200, json),
+    match route_request(&node, request).await {
+        Ok(json) => json_response(200, json),
         Err(error) => {
             node.counters.count(error.counter());
-            respond(error.status(), json(&error))
+            json_response(error.status(), to_json(&error))
         }
     }
 }
 
-fn respond(status: u16, json: Json) -> Response<Body> {
+fn json_response(status: u16, json: Json) -> Response<Body> {
     let response = Response::builder().status(status).header(CONTENT_TYPE, "application/json");
     response.body(full(json)).expect("the headers are constants")
 }
 
-fn json<T: Serialize>(value: &T) -> Json {
+fn to_json<T: Serialize>(value: &T) -> Json {
     serde_json::to_vec(value).expect("views hold only types that JSON can carry")
 }
 
-async fn answer(node: &Arc<Node>, request: Request<Incoming>) -> Result<Json, ApiError> {
+async fn route_request(node: &Arc<Node>, request: Request<Incoming>) -> Result<Json, ApiError> {
     let (head, body) = request.into_parts();
-    let scope = scope(node, &head)?;
-    let body = read(body).await?;
+    let scope = authorize(node, &head)?;
+    let body = read_body(body).await?;
     let path: Vec<&str> = head.uri.path().trim_start_matches('/').split('/').collect();
     let what = path.strip_prefix(&["v1"]).ok_or(ApiError::Malformed)?;
     match (&head.method, what) {
-        (&Method::GET, ["status"]) => Ok(json(&view::status(node))),
-        (&Method::GET, ["counters"]) => Ok(json(&view::counters(node, &scope))),
-        (&Method::GET, ["pools"]) => Ok(json(&view::pools(node, &scope))),
-        (&Method::GET, ["boxes"]) => Ok(json(&view::boxes(node, &scope))),
-        (&Method::GET, ["jobs"]) => Ok(json(&view::jobs(node, &scope))),
-        (&Method::GET, ["plans"]) => Ok(json(&view::plans(node, &scope))),
-        (&Method::GET, ["plans", id]) => Ok(json(&view::plan(node, &scope, plan_id(id)?)?)),
+        (&Method::GET, ["status"]) => Ok(to_json(&view::status(node))),
+        (&Method::GET, ["counters"]) => Ok(to_json(&view::counters(node, &scope))),
+        (&Method::GET, ["pools"]) => Ok(to_json(&view::pools(node, &scope))),
+        (&Method::GET, ["boxes"]) => Ok(to_json(&view::boxes(node, &scope))),
+        (&Method::GET, ["jobs"]) => Ok(to_json(&view::jobs(node, &scope))),
+        (&Method::GET, ["plans"]) => Ok(to_json(&view::plans(node, &scope))),
+        (&Method::GET, ["plans", id]) => Ok(to_json(&view::plan(node, &scope, plan_id(id)?)?)),
         (&Method::GET, ["records", id]) => {
             let id = parse_record(id).ok_or(ApiError::Malformed)?;
-            Ok(json(&change::ask(node, id)?))
+            Ok(to_json(&change::record_status(node, id)?))
         }
         (&Method::POST, ["publish"]) => {
-            Ok(json(&change::publish(node, &scope, text(&body)?).await?))
+            Ok(to_json(&change::publish(node, &scope, body_text(&body)?).await?))
         }
-        (&Method::POST, ["intents"]) => Ok(json(&change::propose(node, &scope, &body).await?)),
+        (&Method::POST, ["intents"]) => Ok(to_json(&change::propose(node, &scope, &body).await?)),
         (&Method::POST, ["plans", id, action]) => {
             let id = plan_id(id)?;
             let action = match *action {
@@ -83,7 +83,7 @@
                 "abort" => Some(Control::Abort),
                 _ => return Err(ApiError::Malformed),
             };
-            Ok(json(&change::control(node, &scope, id, action).await?))
+            Ok(to_json(&change::control(node, &scope, id, action).await?))
         }
         _ => Err(ApiError::Malformed),
     }
@@ -93,23 +93,23 @@
     parse_plan(text).ok_or(ApiError::NotFound { what: "plan".into() })
 }
 
-fn text(body: &Bytes) -> Result<&str, ApiError> {
+fn body_text(body: &Bytes) -> Result<&str, ApiError> {
     std::str::from_utf8(body).map_err(|_| ApiError::Malformed)
 }
 
 /// Whose objects the request's credential may see and change.
-fn scope(node: &Node, head: &Parts) -> Result<Scope, ApiError> {
-    let credential = bearer(head)?;
+fn authorize(node: &Node, head: &Parts) -> Result<Scope, ApiError> {
+    let credential = bearer_credential(head)?;
     if credential.account == SITE {
-        let valid = credential.matches(&[node.settings.site_key]);
+        let valid = credential.matches(&[node.settings.site_key_hash]);
         return if valid { Ok(Scope::Site) } else { Err(ApiError::Credential) };
     }
     let fleet = node.replica.fleet();
-    Ok(Scope::Account(credential.account(&fleet, Role::Operator)?))
+    Ok(Scope::Account(credential.authenticate(&fleet, Role::Operator)?))
 }
 
-async fn read(body: Incoming) -> Result<Bytes, ApiError> {
-    let whole = Limited::new(body, MAX_FILE).collect().await;
+async fn read_body(body: Incoming) -> Result<Bytes, ApiError> {
+    let whole = Limited::new(body, MAX_FILE_BYTES).collect().await;
     match whole {
         Ok(whole) => Ok(whole.to_bytes()),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(ApiError::TooLarge),
--- a/lib/src/operate/change.rs
+++ b/lib/src/operator_api/change.rs
@@ -6,10 +6,10 @@
 use tokio::time::sleep;
 
 use crate::coordination::append::AppendError;
-use crate::coordination::append::new_id;
-use crate::coordination::fresh::Basis;
+use crate::coordination::append::new_record_id;
+use crate::coordination::freshness::Basis;
 use crate::coordination::node::Node;
-use crate::operate::view;
+use crate::operator_api::view;
 use crate::protocol::api::ApiError;
 use crate::protocol::api::PlanView;
 use crate::protocol::api::Published;
@@ -28,9 +28,9 @@
 
 /// How long an accepted change waits to be seen in force on every live daemon before the answer
 /// says where it is so far.
-const IN_FORCE_WAIT: Duration = Duration::from_secs(3);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause between two looks at where it is in force.
-const LOOK: Duration = Duration::from_millis(20);
+const IN_FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A change may be tried only from the state in force: one that reads the log itself.
 fn check_fresh(node: &Node) -> Result<(), ApiError> {
@@ -48,44 +48,44 @@
 ) -> Result<Published, ApiError> {
     check_fresh(node)?;
     let document = Document::parse(text).map_err(|faults| ApiError::Config { faults })?;
-    let shapes = node.listing.shapes();
+    let shapes = node.box_list.shapes();
     let compiled = document.compile(&node.replica.fleet(), &shapes, scope);
     let change = compiled.map_err(|faults| ApiError::Config { faults })?;
     let changes = change.edits.len();
-    let id = new_id();
+    let id = new_record_id();
     if changes == 0 {
-        let in_force = in_force(node, node.replica.next());
+        let in_force = daemons_in_force(node, node.replica.next());
         return Ok(Published { record: format_record(id), position: None, changes, in_force });
     }
-    let position = submit(node, id, Body::Publish(change)).await?;
+    let position = submit_record(node, id, Body::Publish(change)).await?;
     let in_force = wait_in_force(node, position).await;
     Ok(Published { record: format_record(id), position: Some(position), changes, in_force })
 }
 
-async fn submit(node: &Node, id: RecordId, body: Body) -> Result<Offset, ApiError> {
+async fn submit_record(node: &Node, id: RecordId, body: Body) -> Result<Offset, ApiError> {
     match node.appender.submit(id, body).await {
         Ok(offset) => Ok(offset),
         Err(AppendError::Refused(refusal)) => Err(ApiError::Refused { refusal }),
         Err(AppendError::Unknown(id)) => Err(ApiError::Unknown { record: format_record(id) }),
-        Err(AppendError::Busy) => Err(ApiError::Busy),
+        Err(AppendError::QueueFull) => Err(ApiError::Busy),
     }
 }
 
 async fn wait_in_force(node: &Node, position: Offset) -> Vec<DaemonId> {
     let begun = clock::now();
     loop {
-        let in_force = in_force(node, position);
-        let live = node.members.offsets(clock::now()).len() + 1;
-        if in_force.len() >= live || clock::since(begun) > IN_FORCE_WAIT {
+        let in_force = daemons_in_force(node, position);
+        let live = node.members.live_offsets(clock::now()).len() + 1;
+        if in_force.len() >= live || clock::since(begun) > IN_FORCE_TIMEOUT {
             return in_force;
         }
-        sleep(LOOK).await;
+        sleep(IN_FORCE_CHECK_INTERVAL).await;
     }
 }
 
 /// Live daemons that have applied everything before a position.
-fn in_force(node: &Node, position: Offset) -> Vec<DaemonId> {
-    let peers = node.members.offsets(clock::now());
+fn daemons_in_force(node: &Node, position: Offset) -> Vec<DaemonId> {
+    let peers = node.members.live_offsets(clock::now());
     let applied = peers.into_iter().filter(|(_, own)| *own >= position);
     let mut daemons: Vec<DaemonId> = applied.map(|(id, _)| id).collect();
     if node.replica.next() >= position {
@@ -96,11 +96,11 @@
 }
 
 /// What became of a record whose verdict was not yet known.
-pub(super) fn ask(node: &Node, id: RecordId) -> Result<Published, ApiError> {
+pub(super) fn record_status(node: &Node, id: RecordId) -> Result<Published, ApiError> {
     let fleet = node.replica.fleet();
     match fleet.verdict(id) {
         Some(Ok(position)) => {
-            let in_force = in_force(node, *position);
+            let in_force = daemons_in_force(node, *position);
             let position = Some(*position);
             Ok(Published { record: format_record(id), position, changes: 0, in_force })
         }
@@ -117,7 +117,7 @@
 ) -> Result<PlanView, ApiError> {
     check_fresh(node)?;
     let intent: Intent = serde_json::from_slice(body).map_err(|_| ApiError::Malformed)?;
-    let shapes = node.listing.shapes();
+    let shapes = node.box_list.shapes();
     let planned = {
         let fleet = node.replica.fleet();
         let planner = Planner { fleet: &fleet, shapes: &shapes, scope };
@@ -125,7 +125,7 @@
     };
     let plan = planned.map_err(|cause| ApiError::Plan { cause })?;
     let id = plan.id;
-    submit(node, new_id(), Body::Propose(plan)).await?;
+    submit_record(node, new_record_id(), Body::Propose(plan)).await?;
     view::plan(node, scope, id)
 }
 
@@ -143,6 +143,6 @@
         None => Body::Confirm(plan),
         Some(action) => Body::Control { plan, action },
     };
-    submit(node, new_id(), body).await?;
+    submit_record(node, new_record_id(), body).await?;
     view::plan(node, scope, plan)
 }
--- a/lib/src/operate/view.rs
+++ b/lib/src/operator_api/view.rs
@@ -26,7 +26,7 @@
         basis: node.basis().as_str().to_owned(),
         next,
         configured,
-        peers: node.members.offsets(clock::now()),
+        peers: node.members.live_offsets(clock::now()),
         inflight: node.routes.inflight(),
     }
 }
@@ -43,14 +43,14 @@
 
 pub(super) fn pools(node: &Node, scope: &Scope) -> Vec<PoolView> {
     let fleet = node.replica.fleet();
-    let seen = fleet.pools.iter().filter(|(_, pool)| is_open(scope, pool));
+    let seen = fleet.pools.iter().filter(|(_, pool)| is_pool_visible(scope, pool));
     let view = seen.map(|(name, pool)| PoolView {
         name: name.clone(),
         account: pool.account.clone(),
         boxes: pool.boxes.len(),
-        out: fleet.out_of(pool).count(),
+        out: fleet.boxes_out(pool).count(),
         max_out: pool.budget.max_out,
-        weigh: pool.weigh,
+        objective: pool.objective,
         version: pool.version,
     });
     view.collect()
@@ -60,7 +60,7 @@
     let fleet = node.replica.fleet();
     let mut views = Vec::new();
     for (name, entry) in &fleet.boxes {
-        if !scope.sees(&fleet.pools[&entry.pool].account) {
+        if !scope.includes(&fleet.pools[&entry.pool].account) {
             continue;
         }
         views.push(BoxView {
@@ -73,7 +73,7 @@
             down: entry.down,
             jobs: fleet
                 .jobs_on(name)
-                .filter(|key| scope.sees(&key.0))
+                .filter(|key| scope.includes(&key.0))
                 .map(|k| k.1.clone())
                 .collect(),
         });
@@ -83,14 +83,14 @@
 
 pub(super) fn jobs(node: &Node, scope: &Scope) -> Vec<JobView> {
     let fleet = node.replica.fleet();
-    let seen = fleet.services.iter().filter(|(key, _)| scope.sees(&key.0));
+    let seen = fleet.services.iter().filter(|(key, _)| scope.includes(&key.0));
     let view = seen.map(|(key, service)| JobView {
         name: key.1.clone(),
         account: key.0.clone(),
         pool: service.pool.clone(),
         placed: service.placed.len(),
         starting: service.starting.len(),
-        up: fleet.up(service),
+        up: fleet.replicas_up(service),
         min_up: service.min_up,
         slots: service.slots,
     });
@@ -98,14 +98,14 @@
 }
 
 /// Whether the operator's account may place services on the pool.
-fn is_open(scope: &Scope, pool: &Pool) -> bool {
+fn is_pool_visible(scope: &Scope, pool: &Pool) -> bool {
     match scope {
         Scope::Site => true,
-        Scope::Account(account) => pool.serves(account),
+        Scope::Account(account) => pool.is_open_to(account),
     }
 }
 
-fn is_seen(scope: &Scope, plan: &Plan) -> bool {
+fn is_plan_visible(scope: &Scope, plan: &Plan) -> bool {
     match (scope, &plan.account) {
         (Scope::Site, _) => true,
         (Scope::Account(own), Some(account)) => own == account,
@@ -116,7 +116,8 @@
 /// The plans in the scope, the latest first, without their steps.
 pub(super) fn plans(node: &Node, scope: &Scope) -> Vec<PlanView> {
     let fleet = node.replica.fleet();
-    let mut seen: Vec<&Plan> = fleet.plans.values().filter(|plan| is_seen(scope, plan)).collect();
+    let mut seen: Vec<&Plan> =
+        fleet.plans.values().filter(|plan| is_plan_visible(scope, plan)).collect();
     seen.sort_by_key(|plan| std::cmp::Reverse(plan.version));
     let view = |plan: &&Plan| PlanView { steps: Vec::new(), ..plan_view(plan) };
     seen.iter().map(view).collect()
@@ -124,7 +125,7 @@
 
 pub(super) fn plan(node: &Node, scope: &Scope, id: PlanId) -> Result<PlanView, ApiError> {
     let fleet = node.replica.fleet();
-    let plan = fleet.plans.get(&id).filter(|plan| is_seen(scope, plan));
+    let plan = fleet.plans.get(&id).filter(|plan| is_plan_visible(scope, plan));
     plan.map(plan_view).ok_or_else(|| ApiError::NotFound { what: "plan".into() })
 }
 
@@ -134,7 +135,7 @@
         account: plan.account.clone(),
         intent: plan.intent.clone(),
         phase: plan.phase,
-        finished: plan.finished(),
+        finished: plan.count_ended_steps(),
         predicted: plan.predicted,
         width: plan.width.clone(),
         holder: plan.driver.holder,
--- a/lib/src/protocol/api.rs
+++ b/lib/src/protocol/api.rs
@@ -18,7 +18,7 @@
 
 use crate::state::account::CredentialError;
 use crate::state::config::Fault;
-use crate::state::fleet::Weigh;
+use crate::state::fleet::Objective;
 use crate::state::fold::Refusal;
 use crate::state::id::AccountId;
 use crate::state::id::BoxId;
@@ -84,7 +84,8 @@
     /// Boxes that may be out.
     pub max_out: u32,
     /// Which measure comes first.
-    pub weigh: Weigh,
+    #[serde(rename = "weigh")]
+    pub objective: Objective,
     /// Offset of the last change.
     pub version: Offset,
 }
--- a/lib/src/protocol/bearer.rs
+++ b/lib/src/protocol/bearer.rs
@@ -8,7 +8,7 @@
 /// The scheme; its letters may be of either case.
 const SCHEME: &str = "bearer";
 /// Longest token that is looked at, in bytes; keys are far shorter, and whatever is sent would be hashed.
-const LONGEST: usize = 1_024;
+const MAX_TOKEN_BYTES: usize = 1_024;
 
 /// The token of a call. Two of them name nobody.
 ///
@@ -36,6 +36,7 @@
     let text = value.to_str().map_err(|_| CredentialError::Malformed)?;
     let (scheme, token) = text.split_once(' ').ok_or(CredentialError::Malformed)?;
     let token = token.trim();
-    let is_sound = scheme.eq_ignore_ascii_case(SCHEME) && (1..=LONGEST).contains(&token.len());
+    let is_sound =
+        scheme.eq_ignore_ascii_case(SCHEME) && (1..=MAX_TOKEN_BYTES).contains(&token.len());
     if is_sound { Ok(token) } else { Err(CredentialError::Malformed) }
 }
--- a/lib/src/protocol/boxes.rs
+++ b/lib/src/protocol/boxes.rs
@@ -24,7 +24,7 @@
     /// Whether all boxes are here; those that are not are gone.
     pub whole: bool,
     /// Boxes.
-    pub boxes: Vec<Listed>,
+    pub boxes: Vec<ListedBox>,
     /// Boxes that are gone.
     pub gone: Vec<BoxId>,
 }
@@ -36,7 +36,7 @@
 
 /// A box in the box list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedBox {
     /// Its name.
     pub name: BoxId,
     /// Where it serves.
@@ -53,7 +53,7 @@
     pub leaving: bool,
 }
 
-impl Listed {
+impl ListedBox {
     /// What a plan or a claim keeps of the box.
     pub fn shape(&self) -> Shape {
         Shape {
--- a/lib/src/protocol/call.rs
+++ b/lib/src/protocol/call.rs
@@ -63,7 +63,8 @@
     TooLarge,
     /// The caller did not send the whole request.
     #[error("the request was not sent whole")]
-    HalfSent,
+    #[serde(rename = "half-sent")]
+    Incomplete,
     /// The daemon cannot tell that its state is the one in force.
     #[error("this entry box is cut off; another one may serve")]
     Stale,
@@ -93,7 +94,8 @@
     Timeout,
     /// The target answered another request than the one it was sent.
     #[error("the target answered with another request's id")]
-    Crossed,
+    #[serde(rename = "crossed")]
+    IdMismatch,
 }
 
 impl Reason {
@@ -104,7 +106,7 @@
             Reason::Malformed => "malformed",
             Reason::UnknownService => "unknown-service",
             Reason::TooLarge => "too-large",
-            Reason::HalfSent => "half-sent",
+            Reason::Incomplete => "half-sent",
             Reason::Stale => "stale",
             Reason::Stopping => "stopping",
             Reason::QueueFull => "queue-full",
@@ -114,7 +116,7 @@
             Reason::TurnedAway => "turned-away",
             Reason::Cut => "cut",
             Reason::Timeout => "timeout",
-            Reason::Crossed => "crossed",
+            Reason::IdMismatch => "crossed",
         }
     }
 
@@ -122,11 +124,11 @@
     pub fn status(self) -> u16 {
         match self {
             Reason::Credential => 401,
-            Reason::Malformed | Reason::HalfSent => 400,
+            Reason::Malformed | Reason::Incomplete => 400,
             Reason::UnknownService => 404,
             Reason::TooLarge => 413,
             Reason::QueueFull => 429,
-            Reason::Cut | Reason::Crossed => 502,
+            Reason::Cut | Reason::IdMismatch => 502,
             Reason::Timeout => 504,
             _ => 503,
         }
--- a/lib/src/protocol/catch_up.rs
+++ b/lib/src/protocol/catch_up.rs
@@ -16,9 +16,9 @@
 use crate::state::id::Offset;
 
 /// Bytes of the seal behind a piece.
-const SEAL: usize = 32;
+const SEAL_BYTES: usize = 32;
 /// Largest piece, in bytes.
-pub const MAX_PIECE: usize = 4 * 1024 * 1024;
+pub const MAX_PIECE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Random number that ties an answer to its request.
 pub type Nonce = u128;
@@ -53,12 +53,13 @@
     /// Whether it is the last one.
     pub last: bool,
     /// What it carries.
-    pub load: Load,
+    #[serde(rename = "load")]
+    pub payload: Payload,
 }
 
 /// What a piece carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Load {
+pub enum Payload {
     /// Batches as they are on the log, in order.
     Batches(Vec<(Offset, Vec<u8>)>),
     /// Part of an encoded fleet.
@@ -94,7 +95,7 @@
 
 /// Checks the seal and decodes a piece.
 pub fn open<T: DeserializeOwned>(key: &PeerKey, bytes: &[u8]) -> Result<T, PieceError> {
-    let split = bytes.len().checked_sub(SEAL).ok_or(PieceError::Decode)?;
+    let split = bytes.len().checked_sub(SEAL_BYTES).ok_or(PieceError::Decode)?;
     let (body, seal) = bytes.split_at(split);
     let expected = blake3::keyed_hash(key, body);
     if !bool::from(expected.as_bytes()[..].ct_eq(seal)) {
--- a/lib/src/protocol/wire.rs
+++ b/lib/src/protocol/wire.rs
@@ -15,11 +15,11 @@
 pub type PeerKey = [u8; 32];
 
 /// Bytes of the seal behind a frame.
-const SEAL: usize = 16;
+const SEAL_BYTES: usize = 16;
 /// Largest datagram, below the usual path limit.
-pub const MAX_DATAGRAM: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// Most boxes named as busy in one beat; with more, the beat says that all may be.
-pub const MAX_BUSY: usize = 256;
+pub const MAX_BUSY_BOXES: usize = 256;
 
 /// Derives the peers' key from a secret of any length.
 pub fn derive_key(secret: &str) -> PeerKey {
@@ -37,11 +37,13 @@
     pub sequence: u64,
     /// The receiver's life as the sender knows it, 0 if it does not: a datagram recorded before
     /// the receiver restarted does not name its new life.
-    pub to: Incarnation,
+    #[serde(rename = "to")]
+    pub receiver_incarnation: Incarnation,
     /// The last datagram of the receiver that the sender had, if any: this one was sent after it.
     pub echo: Option<Echo>,
     /// The heartbeat.
-    pub beat: Beat,
+    #[serde(rename = "beat")]
+    pub heartbeat: Heartbeat,
 }
 
 /// Names a datagram that was received, so that its sender can tell the age of the answer by its
@@ -56,13 +58,13 @@
 
 /// A heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Offset of the first batch the sender has not applied.
     pub next: Offset,
     /// Age of the sender's last read at the log's end, in milliseconds, if it has one.
     pub log_age_ms: Option<u32>,
     /// Position and hash of the sender's state at the last snapshot mark.
-    pub mark: Option<Hashed>,
+    pub mark: Option<StateHash>,
     /// Whether the sender has, in this life, had all that was in force.
     pub complete: bool,
     /// Whether the sender serves callers.
@@ -75,7 +77,7 @@
 
 /// The hash of a state, by which daemons find that they differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hashed {
+pub struct StateHash {
     /// Position of the snapshot mark.
     pub position: Offset,
     /// First bytes of the state's hash right after it.
@@ -99,7 +101,7 @@
     Replay,
     /// The sender is not one of the configured peers.
     #[error("not a peer")]
-    Stranger,
+    UnknownPeer,
 }
 
 impl WireError {
@@ -110,7 +112,7 @@
             WireError::Seal => "peer.dropped.seal",
             WireError::Decode => "peer.dropped.decode",
             WireError::Replay => "peer.dropped.replay",
-            WireError::Stranger => "peer.dropped.stranger",
+            WireError::UnknownPeer => "peer.dropped.stranger",
         }
     }
 }
@@ -119,10 +121,10 @@
     /// Encodes and seals the frame.
     ///
     /// ```
-    /// use spokelift_lib::protocol::wire::{Beat, Frame, WireError, derive_key};
+    /// use spokelift_lib::protocol::wire::{Heartbeat, Frame, WireError, derive_key};
     /// let key = derive_key("shared");
-    /// let beat = Beat::default();
-    /// let frame = Frame { from: 1, incarnation: 5, sequence: 1, to: 0, echo: None, beat };
+    /// let beat = Heartbeat::default();
+    /// let frame = Frame { from: 1, incarnation: 5, sequence: 1, receiver_incarnation: 0, echo: None, heartbeat: beat };
     /// let bytes = frame.seal(&key);
     /// assert_eq!(Frame::open(&key, &bytes).unwrap(), frame);
     /// assert_eq!(Frame::open(&derive_key("other"), &bytes), Err(WireError::Seal));
@@ -130,18 +132,18 @@
     pub fn seal(&self, key: &PeerKey) -> Vec<u8> {
         let mut bytes = to_stdvec(self).expect("a frame holds only types that postcard can encode");
         let seal = blake3::keyed_hash(key, &bytes);
-        bytes.extend_from_slice(&seal.as_bytes()[..SEAL]);
+        bytes.extend_from_slice(&seal.as_bytes()[..SEAL_BYTES]);
         bytes
     }
 
     /// Checks the seal and decodes the frame.
     pub fn open(key: &PeerKey, bytes: &[u8]) -> Result<Frame, WireError> {
-        if bytes.len() <= SEAL || bytes.len() > MAX_DATAGRAM {
+        if bytes.len() <= SEAL_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(WireError::Size);
         }
-        let (body, seal) = bytes.split_at(bytes.len() - SEAL);
+        let (body, seal) = bytes.split_at(bytes.len() - SEAL_BYTES);
         let expected = blake3::keyed_hash(key, body);
-        if !bool::from(expected.as_bytes()[..SEAL].ct_eq(seal)) {
+        if !bool::from(expected.as_bytes()[..SEAL_BYTES].ct_eq(seal)) {
             return Err(WireError::Seal);
         }
         from_bytes(body).map_err(|_| WireError::Decode)
--- a/lib/src/protocol/worker.rs
+++ b/lib/src/protocol/worker.rs
@@ -17,7 +17,7 @@
 /// Path of commands.
 pub const COMMAND: &str = "/platform/command";
 /// Prefix of requests to jobs.
-pub const WORK: &str = "/run";
+pub const RUN: &str = "/run";
 /// Header of an answer that says the request was not run, and why.
 pub const REFUSED: &str = "x-platform-refused";
 /// Header of an answer from a box that is on its way out.
@@ -70,9 +70,9 @@
 /// Path at which a job's requests are sent.
 ///
 /// ```
-/// use spokelift_lib::protocol::worker::work_path;
-/// assert_eq!(work_path("desk", "booking"), "/run/desk/booking");
+/// use spokelift_lib::protocol::worker::run_path;
+/// assert_eq!(run_path("desk", "booking"), "/run/desk/booking");
 /// ```
-pub fn work_path(account: &str, service: &str) -> String {
-    format!("{WORK}/{account}/{service}")
+pub fn run_path(account: &str, service: &str) -> String {
+    format!("{RUN}/{account}/{service}")
 }
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -18,7 +18,7 @@
 use crate::state::id::is_name;
 
 /// Shortest peer secret accepted, in bytes.
-const MIN_SECRET: usize = 16;
+const MIN_SECRET_BYTES: usize = 16;
 
 /// One setting, as the tables of flags and variables have it.
 #[derive(Clone, Copy, Debug)]
@@ -103,17 +103,17 @@
     /// Key derived from the shared secret.
     pub peer_key: PeerKey,
     /// Address of the log.
-    pub log: SocketAddr,
+    pub log_addr: SocketAddr,
     /// Address of the box list.
-    pub boxes: SocketAddr,
+    pub box_list_addr: SocketAddr,
     /// Hash of the site operator's secret.
-    pub site_key: KeyHash,
+    pub site_key_hash: KeyHash,
     /// How old the state served by may be.
     pub max_age: Duration,
     /// Time between heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Time between polls.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Bytes a second that polls of boxes may take.
     pub poll_bytes_per_s: u32,
     /// This daemon's share of the log's rate.
@@ -161,13 +161,13 @@
     Missing,
     /// It cannot be read.
     #[error("is {0:?}")]
-    Value(String),
+    Invalid(String),
     /// It is a secret that cannot be used, and is not shown.
     #[error("is too short")]
-    Secret,
+    SecretTooShort,
     /// It names the same peer twice, or this daemon itself.
     #[error("names daemon {0} twice, or this daemon itself")]
-    Peer(DaemonId),
+    DuplicatePeer(DaemonId),
 }
 
 /// Everything that is wrong with the settings.
@@ -190,12 +190,12 @@
         let setting = find(flag);
         let text = (self.get)(setting).or_else(|| setting.default.map(str::to_owned));
         if text.is_none() {
-            self.fault(setting, Problem::Missing);
+            self.record_fault(setting, Problem::Missing);
         }
         text
     }
 
-    fn fault(&mut self, setting: &Setting, problem: Problem) {
+    fn record_fault(&mut self, setting: &Setting, problem: Problem) {
         self.faults.push(Fault {
             flag: setting.flag,
             variable: setting.variable(),
@@ -209,7 +209,7 @@
         let text = self.text(flag)?;
         let value = read(&text);
         if value.is_none() {
-            self.fault(find(flag), Problem::Value(text));
+            self.record_fault(find(flag), Problem::Invalid(text));
         }
         value
     }
@@ -232,8 +232,8 @@
 
     fn secret(&mut self, flag: &'static str) -> Option<PeerKey> {
         let text = self.text(flag)?;
-        if text.len() < MIN_SECRET {
-            self.fault(find(flag), Problem::Secret);
+        if text.len() < MIN_SECRET_BYTES {
+            self.record_fault(find(flag), Problem::SecretTooShort);
             return None;
         }
         Some(derive_key(&text))
@@ -244,7 +244,7 @@
         let mut seen: BTreeSet<DaemonId> = own.into_iter().collect();
         for (id, _) in &peers {
             if !seen.insert(*id) {
-                self.fault(find("peers"), Problem::Peer(*id));
+                self.record_fault(find("peers"), Problem::DuplicatePeer(*id));
             }
         }
         Some(peers)
@@ -283,7 +283,7 @@
     /// ```
     pub fn resolve(get: impl Fn(&Setting) -> Option<String>) -> Result<Settings, SettingsError> {
         let mut reader = Reader { get, faults: Vec::new() };
-        let settings = read(&mut reader);
+        let settings = read_settings(&mut reader);
         match settings {
             Some(settings) if reader.faults.is_empty() => Ok(settings),
             _ => Err(SettingsError { faults: reader.faults }),
@@ -296,9 +296,9 @@
 pub struct NodeSettings {
     /// Hash of the site operator's secret; without one, nobody may change anything through the
     /// operators' port.
-    pub site_key: Option<KeyHash>,
+    pub site_key_hash: Option<KeyHash>,
     /// Workers that one node looks after for the scheduler.
-    pub workers_per_share: usize,
+    pub workers_per_shard: usize,
 }
 
 impl NodeSettings {
@@ -307,7 +307,7 @@
     /// ```
     /// use spokelift_lib::settings::NodeSettings;
     /// let settings = NodeSettings::resolve(|_| None).unwrap();
-    /// assert_eq!((settings.site_key, settings.workers_per_share), (None, 100));
+    /// assert_eq!((settings.site_key_hash, settings.workers_per_shard), (None, 100));
     /// assert!(NodeSettings::resolve(|_| Some("no hash, no number".to_owned())).is_err());
     /// ```
     ///
@@ -324,7 +324,7 @@
         let workers_per_share = reader.number("workers-per-share", 1..=100_000);
         match workers_per_share {
             Some(workers_per_share) if reader.faults.is_empty() => {
-                Ok(NodeSettings { site_key, workers_per_share })
+                Ok(NodeSettings { site_key_hash: site_key, workers_per_shard: workers_per_share })
             }
             _ => Err(SettingsError { faults: reader.faults }),
         }
@@ -332,7 +332,7 @@
 }
 
 /// Reads every setting before giving up, so that all faults are found.
-fn read<F: Fn(&Setting) -> Option<String>>(reader: &mut Reader<F>) -> Option<Settings> {
+fn read_settings<F: Fn(&Setting) -> Option<String>>(reader: &mut Reader<F>) -> Option<Settings> {
     let id = reader.parsed("id");
     let hall = reader.value("hall", |text| is_name(text).then(|| text.to_owned()));
     let call_addr = reader.parsed("call-addr");
@@ -365,12 +365,12 @@
         peer_addr: peer_addr?,
         peers: peers?,
         peer_key: peer_key?,
-        log: log?,
-        boxes: boxes?,
-        site_key: site_key?,
+        log_addr: log?,
+        box_list_addr: boxes?,
+        site_key_hash: site_key?,
         max_age: max_age?,
-        heartbeat: heartbeat?,
-        poll: poll?,
+        heartbeat_interval: heartbeat?,
+        poll_interval: poll?,
         poll_bytes_per_s: poll_bytes_per_s?,
         appends_per_s: appends_per_s?,
         queue_limit: queue_limit?,
--- a/lib/src/state/account.rs
+++ b/lib/src/state/account.rs
@@ -29,7 +29,7 @@
 
 impl Scope {
     /// Whether an object of `account` is within this scope.
-    pub fn sees(&self, account: &str) -> bool {
+    pub fn includes(&self, account: &str) -> bool {
         match self {
             Scope::Site => true,
             Scope::Account(own) => own.as_ref() == account,
@@ -89,7 +89,7 @@
     }
 
     /// The account this credential speaks for in `role`.
-    pub fn account(&self, fleet: &Fleet, role: Role) -> Result<AccountId, CredentialError> {
+    pub fn authenticate(&self, fleet: &Fleet, role: Role) -> Result<AccountId, CredentialError> {
         let entry = fleet.accounts.get_key_value(self.account);
         let Some((id, account)) = entry else {
             // Hash all the same, so that an unknown account takes as long as a wrong secret.
--- a/lib/src/state/config.rs
+++ b/lib/src/state/config.rs
@@ -20,7 +20,7 @@
 pub use crate::state::config::file::Document;
 
 /// Largest configuration file accepted, in bytes.
-pub const MAX_FILE: usize = 1024 * 1024;
+pub const MAX_FILE_BYTES: usize = 1024 * 1024;
 
 /// Boxes as the box list gives them, by name.
 pub type Shapes = BTreeMap<BoxId, Shape>;
@@ -53,7 +53,8 @@
     },
     /// The same name twice.
     #[error("{name} is given twice")]
-    Twice {
+    #[serde(rename = "twice")]
+    Duplicate {
         /// The name.
         name: Box<str>,
     },
--- a/lib/src/state/config/check.rs
+++ b/lib/src/state/config/check.rs
@@ -17,7 +17,7 @@
 use crate::state::config::file::AccountSection;
 use crate::state::config::file::PoolSection;
 use crate::state::config::file::ServiceSection;
-use crate::state::config::file::place;
+use crate::state::config::file::span_of;
 use crate::state::fleet::Account;
 use crate::state::fleet::Budget;
 use crate::state::fleet::Fleet;
@@ -47,12 +47,12 @@
         pools: BTreeMap::new(),
         claims: BTreeMap::new(),
     };
-    check.sections(document);
+    check.check_sections(document);
     if check.faults.is_empty() { Ok(Change { edits: check.edits }) } else { Err(check.faults) }
 }
 
 /// What a pool will be once the file is in force, as far as services need it.
-struct Planned {
+struct PlannedPool {
     pool: Pool,
     /// Boxes in it, with those that the file claims.
     boxes: u32,
@@ -65,79 +65,79 @@
     edits: Vec<Edit>,
     faults: Vec<Fault>,
     accounts: BTreeSet<&'a str>,
-    pools: BTreeMap<&'a str, Planned>,
+    pools: BTreeMap<&'a str, PlannedPool>,
     claims: BTreeMap<&'a str, &'a str>,
 }
 
 impl<'a> Check<'a> {
-    fn sections(&mut self, document: &'a Document) {
+    fn check_sections(&mut self, document: &'a Document) {
         if *self.scope != Scope::Site {
-            self.refuse_site_sections(document);
+            self.report_site_sections(document);
         }
         for section in &document.account {
-            self.account(section);
+            self.check_account(section);
         }
         for section in &document.pool {
-            self.pool(section);
+            self.check_pool(section);
         }
         let mut names = BTreeSet::new();
         for section in &document.service {
             let key = (section.account.as_ref().as_str(), section.name.as_ref().as_str());
             if !names.insert(key) {
-                self.twice(&section.name);
+                self.report_duplicate(&section.name);
             }
-            self.service(section);
+            self.check_service(section);
         }
     }
 
-    fn fault<T>(&mut self, at: &Spanned<T>, kind: FaultKind) {
-        self.faults.push(Fault { kind, span: place(at) });
+    fn report<T>(&mut self, at: &Spanned<T>, kind: FaultKind) {
+        self.faults.push(Fault { kind, span: span_of(at) });
     }
 
-    fn twice(&mut self, name: &Spanned<String>) {
-        let kind = FaultKind::Twice { name: name.as_ref().as_str().into() };
-        self.fault(name, kind);
+    fn report_duplicate(&mut self, name: &Spanned<String>) {
+        let kind = FaultKind::Duplicate { name: name.as_ref().as_str().into() };
+        self.report(name, kind);
     }
 
-    fn refuse_site_sections(&mut self, document: &Document) {
+    fn report_site_sections(&mut self, document: &Document) {
         for section in &document.account {
             let kind = FaultKind::NotAllowed { section: "account".into() };
-            self.fault(&section.name, kind);
+            self.report(&section.name, kind);
         }
         for section in &document.pool {
             let kind = FaultKind::NotAllowed { section: "pool".into() };
-            self.fault(&section.name, kind);
+            self.report(&section.name, kind);
         }
     }
 
-    fn name(&mut self, name: &Spanned<String>) {
+    fn check_name(&mut self, name: &Spanned<String>) {
         if !is_name(name.as_ref()) {
             let kind = FaultKind::Name { name: name.as_ref().as_str().into() };
-            self.fault(name, kind);
+            self.report(name, kind);
         }
     }
 
-    fn range(&mut self, key: &str, value: &Spanned<u32>, min: u32, max: u32) {
+    fn check_range(&mut self, key: &str, value: &Spanned<u32>, min: u32, max: u32) {
         let given = *value.as_ref();
         if given < min || given > max {
             let kind = FaultKind::Range { key: key.into(), value: given, min, max };
-            self.fault(value, kind);
+            self.report(value, kind);
         }
     }
 
-    fn account(&mut self, section: &'a AccountSection) {
-        self.name(&section.name);
+    fn check_account(&mut self, section: &'a AccountSection) {
+        self.check_name(&section.name);
         let name = section.name.as_ref().as_str();
         if name == SITE {
             let kind = FaultKind::Name { name: name.into() };
-            self.fault(&section.name, kind);
+            self.report(&section.name, kind);
         }
         if !self.accounts.insert(name) {
-            self.twice(&section.name);
+            self.report_duplicate(&section.name);
         }
         let mut account = Account {
-            caller_keys: self.hashes(&section.caller_key_hashes),
-            operator_keys: self.hashes(&section.operator_key_hashes),
+            caller_keys: self.parse_hashes(&section.caller_key_hashes),
+            operator_keys: self.parse_hashes(&section.operator_key_hashes),
             quota_slots: section.quota_slots,
             version: 0,
         };
@@ -149,38 +149,38 @@
         }
     }
 
-    fn hashes(&mut self, texts: &[Spanned<String>]) -> Vec<KeyHash> {
+    fn parse_hashes(&mut self, texts: &[Spanned<String>]) -> Vec<KeyHash> {
         let mut hashes = Vec::with_capacity(texts.len());
         for text in texts {
             match parse_hash(text.as_ref()) {
                 Some(hash) => hashes.push(hash),
-                None => self.fault(text, FaultKind::Hash),
+                None => self.report(text, FaultKind::Hash),
             }
         }
         hashes
     }
 
-    fn pool(&mut self, section: &'a PoolSection) {
-        self.name(&section.name);
+    fn check_pool(&mut self, section: &'a PoolSection) {
+        self.check_name(&section.name);
         let name = section.name.as_ref().as_str();
-        self.known_account(&section.account);
+        self.check_account_exists(&section.account);
         for account in &section.shared_with {
-            self.known_account(account);
+            self.check_account_exists(account);
         }
-        let claims = self.claims(section);
+        let claims = self.compile_claims(section);
         let boxes = self.fleet.pools.get(name).map_or(0, |pool| pool.boxes.len()) + claims.len();
-        let budget = self.budget(section, boxes as u32);
+        let budget = self.check_budget(section, boxes as u32);
         let pool = self.edit_pool(section, budget);
-        if self.pools.insert(name, Planned { pool, boxes: boxes as u32 }).is_some() {
-            self.twice(&section.name);
+        if self.pools.insert(name, PlannedPool { pool, boxes: boxes as u32 }).is_some() {
+            self.report_duplicate(&section.name);
         }
         self.edits.extend(claims);
     }
 
-    fn known_account(&mut self, name: &Spanned<String>) {
+    fn check_account_exists(&mut self, name: &Spanned<String>) {
         let account = name.as_ref().as_str();
         if !self.accounts.contains(account) && !self.fleet.accounts.contains_key(account) {
-            self.fault(name, FaultKind::UnknownAccount { name: account.into() });
+            self.report(name, FaultKind::UnknownAccount { name: account.into() });
         }
     }
 
@@ -197,7 +197,7 @@
                 .map(|name| name.as_ref().as_str().into())
                 .collect(),
             budget,
-            weigh: section.weigh,
+            objective: section.objective,
             drain_limit_s: section.drain_limit_s,
             maintenance_s: section.maintenance_s,
             boxes: current.map(|current| current.boxes.clone()).unwrap_or_default(),
@@ -209,11 +209,11 @@
         pool
     }
 
-    fn budget(&mut self, section: &PoolSection, boxes: u32) -> Budget {
+    fn check_budget(&mut self, section: &PoolSection, boxes: u32) -> Budget {
         let max_out = *section.max_out.as_ref();
         // A pool that is still empty is filled by an intent later.
         if boxes > 0 && (max_out < 1 || max_out >= boxes) {
-            self.fault(&section.max_out, FaultKind::Budget { max_out, boxes });
+            self.report(&section.max_out, FaultKind::Budget { max_out, boxes });
         }
         let areas = [
             ("max_out_per_hall", &section.max_out_per_hall),
@@ -221,7 +221,7 @@
         ];
         for (key, limit) in areas {
             if let Some(limit) = limit {
-                self.range(key, limit, 1, max_out.max(1));
+                self.check_range(key, limit, 1, max_out.max(1));
             }
         }
         let value = |limit: &Option<Spanned<u32>>| limit.as_ref().map(|limit| *limit.as_ref());
@@ -233,26 +233,26 @@
     }
 
     /// Claims of boxes that are in no pool yet.
-    fn claims(&mut self, section: &'a PoolSection) -> Vec<Edit> {
+    fn compile_claims(&mut self, section: &'a PoolSection) -> Vec<Edit> {
         let pool = section.name.as_ref().as_str();
         let mut claims = Vec::new();
         for target in &section.boxes {
             let name = target.as_ref().as_str();
             if let Some(first) = self.claims.insert(name, pool) {
                 let kind = FaultKind::ClaimedTwice { name: name.into(), first: first.into() };
-                self.fault(target, kind);
+                self.report(target, kind);
                 continue;
             }
             match self.fleet.boxes.get(name) {
                 Some(entry) if entry.pool.as_ref() == pool => continue,
                 Some(_) => {
-                    self.fault(target, FaultKind::BoxTaken { name: name.into() });
+                    self.report(target, FaultKind::BoxTaken { name: name.into() });
                     continue;
                 }
                 None => {}
             }
             let Some(shape) = self.shapes.get(name) else {
-                self.fault(target, FaultKind::UnknownBox { name: name.into() });
+                self.report(target, FaultKind::UnknownBox { name: name.into() });
                 continue;
             };
             claims.push(Edit::Claim(name.into(), pool.into(), shape.clone()));
@@ -260,19 +260,19 @@
         claims
     }
 
-    fn service(&mut self, section: &ServiceSection) {
-        self.name(&section.name);
-        self.range("slots", &section.slots, 1, MAX_SLOTS);
+    fn check_service(&mut self, section: &ServiceSection) {
+        self.check_name(&section.name);
+        self.check_range("slots", &section.slots, 1, MAX_SLOTS);
         let account = section.account.as_ref().as_str();
         let known = self.accounts.contains(account) || self.fleet.accounts.contains_key(account);
-        if !known || !self.scope.sees(account) {
+        if !known || !self.scope.includes(account) {
             let kind = FaultKind::UnknownAccount { name: account.into() };
-            self.fault(&section.account, kind);
+            self.report(&section.account, kind);
             return;
         }
         let pool = section.pool.as_ref().as_str();
         let Some((boxes, max_out)) = self.pool_size(pool, account) else {
-            self.fault(&section.pool, FaultKind::UnknownPool { name: pool.into() });
+            self.report(&section.pool, FaultKind::UnknownPool { name: pool.into() });
             return;
         };
         let min_up = section.min_up.as_ref().map_or(0, |min_up| *min_up.as_ref());
@@ -280,7 +280,7 @@
         if let Some(at) = &section.min_up
             && min_up > kept
         {
-            self.fault(at, FaultKind::MinUp { min_up, pool: pool.into(), kept });
+            self.report(at, FaultKind::MinUp { min_up, pool: pool.into(), kept });
         }
         self.edit_service(section, min_up);
     }
@@ -294,7 +294,7 @@
                 (pool, pool.boxes.len() as u32)
             }
         };
-        pool.serves(account).then_some((boxes, pool.budget.max_out))
+        pool.is_open_to(account).then_some((boxes, pool.budget.max_out))
     }
 
     fn edit_service(&mut self, section: &ServiceSection, min_up: u32) {
--- a/lib/src/state/config/file.rs
+++ b/lib/src/state/config/file.rs
@@ -7,7 +7,7 @@
 
 use crate::state::config::Fault;
 use crate::state::config::FaultKind;
-use crate::state::fleet::Weigh;
+use crate::state::fleet::Objective;
 
 /// A configuration file as written, with the place of each name.
 #[derive(Debug, Default, Deserialize)]
@@ -48,7 +48,8 @@
     pub max_out_per_hall: Option<Spanned<u32>>,
     pub max_out_per_rack: Option<Spanned<u32>>,
     #[serde(default)]
-    pub weigh: Weigh,
+    #[serde(rename = "weigh")]
+    pub objective: Objective,
     #[serde(default = "default_drain_limit_s")]
     pub drain_limit_s: u32,
     #[serde(default = "default_maintenance_s")]
@@ -85,6 +86,6 @@
 }
 
 /// Place of a value in the file.
-pub(super) fn place<T>(value: &Spanned<T>) -> Option<Range<usize>> {
+pub(super) fn span_of<T>(value: &Spanned<T>) -> Option<Range<usize>> {
     Some(value.span())
 }
--- a/lib/src/state/fleet.rs
+++ b/lib/src/state/fleet.rs
@@ -71,7 +71,8 @@
     /// The availability budget.
     pub budget: Budget,
     /// Which measure comes first when a plan is made.
-    pub weigh: Weigh,
+    #[serde(rename = "weigh")]
+    pub objective: Objective,
     /// How long a box may take to become idle, in seconds.
     pub drain_limit_s: u32,
     /// Declared time one box's maintenance takes, in seconds.
@@ -96,7 +97,7 @@
 /// Which measure comes first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Weigh {
+pub enum Objective {
     /// Least capacity held back.
     #[default]
     Buffer,
@@ -167,7 +168,7 @@
 
 impl Pool {
     /// Whether `account` may place services here.
-    pub fn serves(&self, account: &str) -> bool {
+    pub fn is_open_to(&self, account: &str) -> bool {
         self.account.as_ref() == account || self.shared_with.contains(account)
     }
 }
@@ -201,13 +202,13 @@
     }
 
     /// Boxes of `pool` that are out of service for any cause.
-    pub fn out_of<'a>(&'a self, pool: &'a Pool) -> impl Iterator<Item = (&'a BoxId, &'a Entry)> {
+    pub fn boxes_out<'a>(&'a self, pool: &'a Pool) -> impl Iterator<Item = (&'a BoxId, &'a Entry)> {
         let entries = pool.boxes.iter().filter_map(|id| Some((id, self.boxes.get(id)?)));
         entries.filter(|(_, entry)| !entry.is_serving())
     }
 
     /// Replicas of `service` on boxes that serve.
-    pub fn up(&self, service: &Service) -> u32 {
+    pub fn replicas_up(&self, service: &Service) -> u32 {
         let entries = service.placed.iter().filter_map(|id| self.boxes.get(id));
         entries.filter(|entry| entry.is_serving()).count() as u32
     }
@@ -218,7 +219,7 @@
     }
 
     /// Slots that an account's jobs take up, over all its services.
-    pub fn slots_of(&self, account: &str) -> u32 {
+    pub fn slots_used(&self, account: &str) -> u32 {
         let own = self.services.iter().filter(|(key, _)| key.0.as_ref() == account);
         let slots = own.map(|(_, service)| {
             let jobs = (service.placed.len() + service.starting.len()) as u32;
@@ -228,7 +229,7 @@
     }
 
     /// Slots of `target` not yet taken by a job, with the memory left in MB.
-    pub fn room(&self, target: &str, shape: &Shape) -> (u32, u32) {
+    pub fn free_resources(&self, target: &str, shape: &Shape) -> (u32, u32) {
         let mut slots = shape.slots;
         let mut memory_mb = shape.memory_mb;
         for key in self.jobs_on(target) {
