--- a/lib/src/state/fold.rs
+++ b/lib/src/state/fold.rs
@@ -36,11 +36,11 @@
 /// How many of the latest verdicts are kept for operators that ask again.
 pub const MAX_VERDICTS: usize = 4096;
 /// How many plans that are over are kept, the latest ones.
-pub const MAX_OVER: usize = 64;
+pub const MAX_ENDED_PLANS: usize = 64;
 /// How many unconfirmed plans an account may have; the oldest gives way to a new one.
-pub const MAX_PROPOSED: usize = 8;
+pub const MAX_PROPOSED_PLANS: usize = 8;
 /// How many confirmed plans an account may have under way.
-pub const MAX_RUNNING: usize = 32;
+pub const MAX_RUNNING_PLANS: usize = 32;
 /// How many steps a plan may have.
 pub const MAX_STEPS: usize = 10_000;
 
@@ -71,7 +71,7 @@
     #[error("the plan's id is taken")]
     PlanExists,
     /// The plan is not in a phase in which this can be done.
-    #[error("the plan is {}", phase_word(*phase))]
+    #[error("the plan is {}", describe_phase(*phase))]
     Phase {
         /// Where the plan stands.
         phase: Phase,
@@ -206,7 +206,7 @@
     Rack,
 }
 
-fn phase_word(phase: Phase) -> &'static str {
+fn describe_phase(phase: Phase) -> &'static str {
     match phase {
         Phase::Proposed => "not confirmed",
         Phase::Running => "running",
@@ -236,9 +236,9 @@
     pub fn apply(&mut self, offset: Offset, batch: &Batch) -> Vec<(RecordId, Verdict)> {
         self.next = offset + 1;
         match self.admit(batch) {
-            Admission::Seen => Vec::new(),
+            Admission::Duplicate => Vec::new(),
             Admission::Superseded => self.refuse_all(batch),
-            Admission::New => self.judge_all(offset + 1, batch),
+            Admission::New => self.apply_records(offset + 1, batch),
         }
     }
 
@@ -250,7 +250,7 @@
                 return Admission::Superseded;
             }
             if last.incarnation == writer.incarnation && last.sequence >= writer.sequence {
-                return Admission::Seen;
+                return Admission::Duplicate;
             }
         }
         self.writers.insert(batch.writer, writer);
@@ -260,27 +260,27 @@
     fn refuse_all(&mut self, batch: &Batch) -> Vec<(RecordId, Verdict)> {
         let ids = batch.records.iter().map(|record| record.id);
         let verdicts: Vec<_> = ids.map(|id| (id, Err(Refusal::Superseded))).collect();
-        self.remember(&verdicts);
+        self.keep_verdicts(&verdicts);
         verdicts
     }
 
-    fn judge_all(&mut self, at: Offset, batch: &Batch) -> Vec<(RecordId, Verdict)> {
+    fn apply_records(&mut self, at: Offset, batch: &Batch) -> Vec<(RecordId, Verdict)> {
         let mut verdicts = Vec::with_capacity(batch.records.len());
         for record in &batch.records {
-            let verdict = self.judge(at, &record.body);
+            let verdict = self.apply_record(at, &record.body);
             verdicts.push((record.id, verdict.map(|()| at)));
         }
-        self.remember(&verdicts);
+        self.keep_verdicts(&verdicts);
         verdicts
     }
 
-    fn remember(&mut self, verdicts: &[(RecordId, Verdict)]) {
+    fn keep_verdicts(&mut self, verdicts: &[(RecordId, Verdict)]) {
         self.verdicts.extend(verdicts.iter().cloned());
         let surplus = self.verdicts.len().saturating_sub(MAX_VERDICTS);
         self.verdicts.drain(..surplus);
     }
 
-    fn judge(&mut self, at: Offset, body: &Body) -> Result<(), Refusal> {
+    fn apply_record(&mut self, at: Offset, body: &Body) -> Result<(), Refusal> {
         match body {
             Body::Publish(change) => self.publish(at, change),
             Body::Propose(plan) => self.propose(at, plan),
@@ -292,13 +292,13 @@
             Body::Control { plan, action } => self.control(at, *plan, *action),
             Body::Down(targets) => self.set_down(at, targets, true),
             Body::Up(targets) => self.set_down(at, targets, false),
-            Body::Mark { after } => self.mark(at, *after),
+            Body::Mark { after } => self.mark_snapshot(at, *after),
             Body::Snapshot(_) => Ok(()),
         }
     }
 
     /// Two daemons that both mean to write a snapshot are kept from doing so at the same time.
-    fn mark(&mut self, at: Offset, after: Offset) -> Result<(), Refusal> {
+    fn mark_snapshot(&mut self, at: Offset, after: Offset) -> Result<(), Refusal> {
         if self.marked != after {
             return Err(Refusal::Marked { at: self.marked });
         }
@@ -336,11 +336,11 @@
             }
         }
         over.sort_unstable();
-        let surplus = over.len().saturating_sub(MAX_OVER);
+        let surplus = over.len().saturating_sub(MAX_ENDED_PLANS);
         let mut dropped: Vec<PlanId> = over[..surplus].iter().map(|(_, id)| *id).collect();
         proposed.sort_unstable();
         for group in proposed.chunk_by(|a, b| a.0 == b.0) {
-            let surplus = group.len().saturating_sub(MAX_PROPOSED);
+            let surplus = group.len().saturating_sub(MAX_PROPOSED_PLANS);
             dropped.extend(group[..surplus].iter().map(|(_, _, id)| *id));
         }
         for id in dropped {
@@ -356,11 +356,11 @@
         for base in &plan.base {
             self.check_base(base)?;
         }
-        let same = |other: &&Plan| other.account == plan.account && other.phase.is_driven();
-        if self.plans.values().filter(same).count() >= MAX_RUNNING {
-            return Err(Refusal::TooMany { limit: MAX_RUNNING as u32 });
+        let same = |other: &&Plan| other.account == plan.account && other.phase.needs_driver();
+        if self.plans.values().filter(same).count() >= MAX_RUNNING_PLANS {
+            return Err(Refusal::TooMany { limit: MAX_RUNNING_PLANS as u32 });
         }
-        self.start(at, id);
+        self.start_plan(at, id);
         Ok(())
     }
 
@@ -386,7 +386,7 @@
 
     /// Puts a checked plan in force. Its pools and services get a new version, so that another
     /// plan computed from the same state is stale from here on.
-    fn start(&mut self, at: Offset, id: PlanId) {
+    fn start_plan(&mut self, at: Offset, id: PlanId) {
         let plan = self.plans.get_mut(&id).expect("confirm looked the plan up");
         plan.version = at;
         plan.phase = if plan.is_finished() { Phase::Done } else { Phase::Running };
@@ -411,7 +411,7 @@
         epoch: u32,
     ) -> Result<(), Refusal> {
         let plan = self.plans.get_mut(&id).ok_or(Refusal::UnknownPlan)?;
-        if !plan.phase.is_driven() {
+        if !plan.phase.needs_driver() {
             return Err(Refusal::Phase { phase: plan.phase });
         }
         if epoch != plan.driver.epoch + 1 {
@@ -457,7 +457,7 @@
 
 enum Admission {
     New,
-    Seen,
+    Duplicate,
     Superseded,
 }
 
--- a/lib/src/state/fold/publish.rs
+++ b/lib/src/state/fold/publish.rs
@@ -23,7 +23,7 @@
             self.check_edit(change, edit, &mut claimed)?;
         }
         for edit in &change.edits {
-            self.put(at, edit);
+            self.apply_edit(at, edit);
         }
         if !change.edits.is_empty() {
             self.configured = at;
@@ -105,7 +105,7 @@
 
     /// Puts a checked edit in force. What the fold itself keeps (a pool's boxes, a service's
     /// places) stays as it is.
-    fn put(&mut self, at: Offset, edit: &Edit) {
+    fn apply_edit(&mut self, at: Offset, edit: &Edit) {
         match edit {
             Edit::Account(id, _, account) => {
                 let mut account = account.clone();
--- a/lib/src/state/fold/step.rs
+++ b/lib/src/state/fold/step.rs
@@ -16,14 +16,14 @@
 use crate::state::plan::Phase;
 use crate::state::plan::Progress;
 use crate::state::plan::Step;
-use crate::state::record::Claim;
+use crate::state::record::StepRef;
 
 impl Fleet {
     /// Takes a step's box out of service, if the budget allows it.
-    pub(super) fn permit(&mut self, at: Offset, claim: Claim) -> Result<(), Refusal> {
-        let step = self.step(claim)?;
+    pub(super) fn permit(&mut self, at: Offset, claim: StepRef) -> Result<(), Refusal> {
+        let step = self.claimed_step(claim)?;
         let target = step.target.clone();
-        if step.progress != Progress::Waiting || !step.action.takes_out() {
+        if step.progress != Progress::Waiting || !step.action.is_disruptive() {
             return Err(Refusal::Step);
         }
         self.check_running(claim)?;
@@ -52,9 +52,9 @@
     }
 
     /// How many boxes are out in the pool, in the hall and in the rack of `entry`, in its pool.
-    fn out_in(&self, entry: &Entry) -> [u32; 3] {
+    fn count_out_by_area(&self, entry: &Entry) -> [u32; 3] {
         let mut out = [0; 3];
-        for (_, other) in self.out_of(&self.pools[&entry.pool]) {
+        for (_, other) in self.boxes_out(&self.pools[&entry.pool]) {
             out[0] += 1;
             out[1] += u32::from(other.shape.hall == entry.shape.hall);
             out[2] += u32::from(other.shape.rack == entry.shape.rack);
@@ -64,7 +64,7 @@
 
     fn check_pool_budget(&self, entry: &Entry) -> Result<(), Refusal> {
         let budget = self.pools[&entry.pool].budget;
-        let [in_pool, in_hall, in_rack] = self.out_in(entry);
+        let [in_pool, in_hall, in_rack] = self.count_out_by_area(entry);
         let areas = [
             (Area::Pool, Some(budget.max_out), in_pool),
             (Area::Hall, budget.max_out_per_hall, in_hall),
@@ -83,7 +83,7 @@
     fn check_min_up(&self, target: &BoxId) -> Result<(), Refusal> {
         for key in self.jobs_on(target) {
             let service = &self.services[key];
-            let up = self.up(service);
+            let up = self.replicas_up(service);
             if up <= service.min_up {
                 let min_up = service.min_up;
                 let service = key.1.clone();
@@ -94,9 +94,9 @@
     }
 
     /// Puts a step's lasting effect in force.
-    pub(super) fn assign(&mut self, at: Offset, claim: Claim) -> Result<(), Refusal> {
-        let step = self.step(claim)?.clone();
-        let permit = match (&step.progress, step.action.takes_out()) {
+    pub(super) fn assign(&mut self, at: Offset, claim: StepRef) -> Result<(), Refusal> {
+        let step = self.claimed_step(claim)?.clone();
+        let permit = match (&step.progress, step.action.is_disruptive()) {
             (Progress::Out { permit }, true) => *permit,
             (Progress::Waiting, false) => {
                 self.check_running(claim)?;
@@ -123,7 +123,7 @@
         to: &PoolId,
         jobs: &[ServiceKey],
     ) -> Result<(), Refusal> {
-        self.pool(to)?;
+        self.existing_pool(to)?;
         let entry = self.boxes.get(target).cloned();
         let mut entry = entry.ok_or(Refusal::NoBox { target: target.clone() })?;
         self.remove_box(at, target)?;
@@ -133,8 +133,8 @@
         // A job that has meanwhile gone, or no longer fits, is left out; the box serves the rest.
         let fitting = jobs.iter().filter(|job| self.services.contains_key(*job));
         for job in fitting.cloned().collect::<Vec<_>>() {
-            if self.check_room(target, &job).is_ok() && self.check_quota(&job).is_ok() {
-                self.place(at, target, &job);
+            if self.check_resources(target, &job).is_ok() && self.check_quota(&job).is_ok() {
+                self.place_job(at, target, &job);
             }
         }
         Ok(())
@@ -164,7 +164,7 @@
         to: &PoolId,
         shape: &Shape,
     ) -> Result<(), Refusal> {
-        self.pool(to)?;
+        self.existing_pool(to)?;
         if self.boxes.contains_key(&step.target) {
             return Err(Refusal::BoxTaken { target: step.target.clone() });
         }
@@ -178,18 +178,18 @@
             let object = Object::Service(job.1.as_ref().into());
             return Err(Refusal::Missing { object });
         }
-        self.check_room(target, job)?;
+        self.check_resources(target, job)?;
         self.check_quota(job)?;
         let service = self.services.get_mut(job).expect("looked up above");
         service.starting.insert(target.clone());
         service.version = at;
-        self.touch(at, target);
+        self.bump_version(at, target);
         Ok(())
     }
 
     /// Judged for each job that is started; a quota lowered later takes nothing away.
     fn check_quota(&self, job: &ServiceKey) -> Result<(), Refusal> {
-        let used = self.slots_of(&job.0);
+        let used = self.slots_used(&job.0);
         match self.quota_slots(&job.0) {
             Some(quota) if used.saturating_add(self.services[job].slots) > quota => {
                 Err(Refusal::Quota { used, quota })
@@ -198,11 +198,11 @@
         }
     }
 
-    fn check_room(&self, target: &BoxId, job: &ServiceKey) -> Result<(), Refusal> {
+    fn check_resources(&self, target: &BoxId, job: &ServiceKey) -> Result<(), Refusal> {
         let entry = self.boxes.get(target);
         let entry = entry.ok_or(Refusal::NoBox { target: target.clone() })?;
         let service = &self.services[job];
-        let (slots, memory_mb) = self.room(target, &entry.shape);
+        let (slots, memory_mb) = self.free_resources(target, &entry.shape);
         let fits = slots >= service.slots && memory_mb >= service.memory_mb;
         if fits && entry.pool == service.pool {
             return Ok(());
@@ -217,10 +217,10 @@
             service.starting.remove(target);
             service.version = at;
         }
-        self.touch(at, target);
+        self.bump_version(at, target);
     }
 
-    fn place(&mut self, at: Offset, target: &BoxId, job: &ServiceKey) {
+    fn place_job(&mut self, at: Offset, target: &BoxId, job: &ServiceKey) {
         if let Some(service) = self.services.get_mut(job) {
             service.starting.remove(target);
             service.placed.insert(target.clone());
@@ -228,13 +228,13 @@
         }
     }
 
-    fn touch(&mut self, at: Offset, target: &BoxId) {
+    fn bump_version(&mut self, at: Offset, target: &BoxId) {
         if let Some(entry) = self.boxes.get_mut(target) {
             entry.version = at;
         }
     }
 
-    fn pool(&self, id: &PoolId) -> Result<&Pool, Refusal> {
+    fn existing_pool(&self, id: &PoolId) -> Result<&Pool, Refusal> {
         let object = || Object::Pool(id.as_ref().into());
         self.pools.get(id).ok_or_else(|| Refusal::Missing { object: object() })
     }
@@ -243,25 +243,25 @@
     pub(super) fn finish(
         &mut self,
         at: Offset,
-        claim: Claim,
+        claim: StepRef,
         outcome: Outcome,
     ) -> Result<(), Refusal> {
-        let step = self.step(claim)?.clone();
+        let step = self.claimed_step(claim)?.clone();
         let early = outcome != Outcome::Done && step.progress == Progress::Waiting;
-        if !step.progress.is_begun() && !early {
+        if !step.progress.is_under_way() && !early {
             return Err(Refusal::Step);
         }
-        self.give_back(at, claim, &step.target, outcome);
+        self.return_box(at, claim, &step.target, outcome);
         if let Action::Start { job } = &step.action {
-            self.settle_start(at, &step, job, outcome);
+            self.finish_start(at, &step, job, outcome);
         }
         self.set_progress(claim, Progress::Over { outcome });
-        self.close_if_finished(at, claim);
+        self.end_plan_if_finished(at, claim);
         Ok(())
     }
 
     /// A box that did not come back stays out as down, and so keeps its share of the budget.
-    fn give_back(&mut self, at: Offset, claim: Claim, target: &BoxId, outcome: Outcome) {
+    fn return_box(&mut self, at: Offset, claim: StepRef, target: &BoxId, outcome: Outcome) {
         let Some(entry) = self.boxes.get_mut(target) else {
             return;
         };
@@ -273,18 +273,18 @@
         }
     }
 
-    fn settle_start(&mut self, at: Offset, step: &Step, job: &ServiceKey, outcome: Outcome) {
+    fn finish_start(&mut self, at: Offset, step: &Step, job: &ServiceKey, outcome: Outcome) {
         let Some(service) = self.services.get_mut(job) else {
             return;
         };
         let starting = service.starting.remove(&step.target);
         if starting && outcome == Outcome::Done {
-            self.place(at, &step.target, job);
+            self.place_job(at, &step.target, job);
         }
-        self.touch(at, &step.target);
+        self.bump_version(at, &step.target);
     }
 
-    fn close_if_finished(&mut self, at: Offset, claim: Claim) {
+    fn end_plan_if_finished(&mut self, at: Offset, claim: StepRef) {
         let plan = self.plans.get_mut(&claim.plan).expect("step looked the plan up");
         if !plan.is_finished() {
             return;
@@ -297,9 +297,9 @@
         self.drop_old_plans();
     }
 
-    fn step(&self, claim: Claim) -> Result<&Step, Refusal> {
+    fn claimed_step(&self, claim: StepRef) -> Result<&Step, Refusal> {
         let plan = self.plans.get(&claim.plan).ok_or(Refusal::UnknownPlan)?;
-        if !plan.phase.is_driven() {
+        if !plan.phase.needs_driver() {
             return Err(Refusal::Phase { phase: plan.phase });
         }
         if plan.driver.epoch != claim.epoch {
@@ -308,7 +308,7 @@
         plan.steps.get(claim.step as usize).ok_or(Refusal::Step)
     }
 
-    fn check_running(&self, claim: Claim) -> Result<(), Refusal> {
+    fn check_running(&self, claim: StepRef) -> Result<(), Refusal> {
         let phase = self.plans[&claim.plan].phase;
         if phase == Phase::Running {
             return Ok(());
@@ -316,7 +316,7 @@
         Err(Refusal::Phase { phase })
     }
 
-    fn set_progress(&mut self, claim: Claim, progress: Progress) {
+    fn set_progress(&mut self, claim: StepRef, progress: Progress) {
         if let Some(plan) = self.plans.get_mut(&claim.plan) {
             plan.steps[claim.step as usize].progress = progress;
         }
--- a/lib/src/state/hash.rs
+++ b/lib/src/state/hash.rs
@@ -3,7 +3,7 @@
 use blake3::Hasher;
 
 /// Hash of `parts`, each kept apart from the next by its length.
-pub fn stable(parts: &[&[u8]]) -> u64 {
+pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = Hasher::new();
     for part in parts {
         hasher.update(&(part.len() as u64).to_le_bytes());
@@ -25,11 +25,11 @@
 /// assert_eq!(owner(b"box-7", &[]), None);
 /// ```
 pub fn owner(key: &[u8], members: &[u16]) -> Option<u16> {
-    members.iter().copied().max_by_key(|member| stable(&[key, &member.to_le_bytes()]))
+    members.iter().copied().max_by_key(|member| stable_hash(&[key, &member.to_le_bytes()]))
 }
 
 /// Position of `member` among `members` in the rendezvous order of `key`, best first.
 pub fn rank(key: &[u8], member: u16, members: &[u16]) -> usize {
-    let own = stable(&[key, &member.to_le_bytes()]);
-    members.iter().filter(|other| stable(&[key, &other.to_le_bytes()]) > own).count()
+    let own = stable_hash(&[key, &member.to_le_bytes()]);
+    members.iter().filter(|other| stable_hash(&[key, &other.to_le_bytes()]) > own).count()
 }
--- a/lib/src/state/plan.rs
+++ b/lib/src/state/plan.rs
@@ -122,7 +122,7 @@
     }
 
     /// Whether a driver is needed.
-    pub fn is_driven(self) -> bool {
+    pub fn needs_driver(self) -> bool {
         matches!(self, Phase::Running | Phase::Paused | Phase::Aborting)
     }
 }
@@ -176,7 +176,7 @@
 
 impl Action {
     /// Whether the box serves nothing while the step is under way.
-    pub fn takes_out(&self) -> bool {
+    pub fn is_disruptive(&self) -> bool {
         !matches!(self, Action::Claim { .. } | Action::Start { .. })
     }
 
@@ -227,7 +227,7 @@
 
 impl Progress {
     /// Whether the step is under way.
-    pub fn is_begun(&self) -> bool {
+    pub fn is_under_way(&self) -> bool {
         matches!(self, Progress::Out { .. } | Progress::Assigned { .. })
     }
 
@@ -293,7 +293,7 @@
     }
 
     /// How many steps have ended.
-    pub fn finished(&self) -> usize {
+    pub fn count_ended_steps(&self) -> usize {
         let over = self.steps.iter().filter(|step| step.progress.is_over());
         over.count()
     }
--- a/lib/src/state/planner.rs
+++ b/lib/src/state/planner.rs
@@ -133,12 +133,12 @@
     /// Computes a plan; nothing changes until it is confirmed.
     pub fn plan(&self, id: PlanId, intent: Intent) -> Result<Plan, PlanError> {
         let draft = match &intent {
-            Intent::Resize { pool, boxes } => self.resize(pool, *boxes)?,
-            Intent::Move { from, to, boxes } => self.move_boxes(from, to, *boxes)?,
+            Intent::Resize { pool, boxes } => self.draft_resize(pool, *boxes)?,
+            Intent::Move { from, to, boxes } => self.draft_move(from, to, *boxes)?,
             Intent::Place { account, service, replicas } => {
-                self.place(account, service, *replicas)?
+                self.draft_placement(account, service, *replicas)?
             }
-            Intent::Maintain { pools } => self.maintain(pools)?,
+            Intent::Maintain { pools } => self.draft_maintenance(pools)?,
         };
         if draft.steps.is_empty() {
             return Err(PlanError::Nothing);
@@ -163,24 +163,26 @@
 
     fn pool(&self, id: &PoolId) -> Result<&Pool, PlanError> {
         let pool = self.fleet.pools.get(id);
-        let seen = pool.filter(|pool| self.scope.sees(&pool.account));
+        let seen = pool.filter(|pool| self.scope.includes(&pool.account));
         seen.ok_or_else(|| PlanError::UnknownPool { pool: id.clone() })
     }
 
     fn service(&self, key: &ServiceKey) -> Result<&Service, PlanError> {
         let service = self.fleet.services.get(key);
-        let seen = service.filter(|_| self.scope.sees(&key.0));
+        let seen = service.filter(|_| self.scope.includes(&key.0));
         seen.ok_or_else(|| PlanError::UnknownService { service: key.1.clone() })
     }
 
-    fn maintain(&self, pools: &[PoolId]) -> Result<Draft, PlanError> {
+    fn draft_maintenance(&self, pools: &[PoolId]) -> Result<Draft, PlanError> {
         let mut draft = Draft::default();
         for id in pools {
             let pool = self.pool(id)?;
             let width = cost::width(self.fleet, pool);
-            let order = choose::spread(self.fleet, pool);
-            draft.cost = draft.cost.beside(cost::wave(pool, order.len() as u32, width));
-            let steps = order.into_iter().map(|target| step(target, Action::Reboot, Reason::Due));
+            let order = choose::maintenance_order(self.fleet, pool);
+            draft.cost =
+                draft.cost.in_parallel_with(cost::reboot_cost(pool, order.len() as u32, width));
+            let steps =
+                order.into_iter().map(|target| waiting_step(target, Action::Reboot, Reason::Due));
             draft.steps.extend(steps);
             draft.base.push(Base::Pool(id.clone(), pool.version));
             draft.width.push((id.clone(), width));
@@ -188,58 +190,58 @@
         Ok(draft)
     }
 
-    fn move_boxes(&self, from: &PoolId, to: &PoolId, boxes: u32) -> Result<Draft, PlanError> {
+    fn draft_move(&self, from: &PoolId, to: &PoolId, boxes: u32) -> Result<Draft, PlanError> {
         if from == to {
             return Err(PlanError::SamePool { pool: from.clone() });
         }
         let source = self.pool(from)?;
         let sink = self.pool(to)?;
-        let taken = choose::takeable(self.fleet, source, boxes)?;
-        let mut jobs = choose::Jobs::new(self.fleet, to);
-        let mut draft = self.taking(from, source, taken.len() as u32);
+        let taken = choose::removable_boxes(self.fleet, source, boxes)?;
+        let mut jobs = choose::JobAssigner::new(self.fleet, to);
+        let mut draft = self.removal_draft(from, source, taken.len() as u32);
         draft.base.push(Base::Pool(to.clone(), sink.version));
         for target in taken {
             let shape = &self.fleet.boxes[&target].shape;
-            let action = Action::Move { to: to.clone(), jobs: jobs.fill(shape) };
-            draft.steps.push(step(target, action, Reason::FewestJobs));
+            let action = Action::Move { to: to.clone(), jobs: jobs.assign(shape) };
+            draft.steps.push(waiting_step(target, action, Reason::FewestJobs));
         }
         Ok(draft)
     }
 
     /// A draft for taking `count` boxes out of `pool`, without its steps.
-    fn taking(&self, id: &PoolId, pool: &Pool, count: u32) -> Draft {
+    fn removal_draft(&self, id: &PoolId, pool: &Pool, count: u32) -> Draft {
         let width = cost::width(self.fleet, pool).min(count);
         Draft {
             steps: Vec::new(),
             base: vec![Base::Pool(id.clone(), pool.version)],
             width: vec![(id.clone(), width)],
-            cost: cost::moves(count, width),
+            cost: cost::move_cost(count, width),
         }
     }
 
-    fn resize(&self, id: &PoolId, boxes: u32) -> Result<Draft, PlanError> {
+    fn draft_resize(&self, id: &PoolId, boxes: u32) -> Result<Draft, PlanError> {
         let pool = self.pool(id)?;
         let now = pool.boxes.len() as u32;
         if boxes < now {
-            let taken = choose::takeable(self.fleet, pool, now - boxes)?;
-            let mut draft = self.taking(id, pool, now - boxes);
-            let release = |target| step(target, Action::Release, Reason::FewestJobs);
+            let taken = choose::removable_boxes(self.fleet, pool, now - boxes)?;
+            let mut draft = self.removal_draft(id, pool, now - boxes);
+            let release = |target| waiting_step(target, Action::Release, Reason::FewestJobs);
             draft.steps = taken.into_iter().map(release).collect();
             return Ok(draft);
         }
-        let chosen = choose::free(self.fleet, self.shapes, pool, boxes - now)?;
+        let chosen = choose::unassigned_boxes(self.fleet, self.shapes, pool, boxes - now)?;
         let mut draft = Draft::default();
         draft.base.push(Base::Pool(id.clone(), pool.version));
         draft.cost.moves = boxes - now;
         for (target, shape) in chosen {
             draft.base.push(Base::Box(target.clone(), 0));
             let action = Action::Claim { to: id.clone(), shape };
-            draft.steps.push(step(target, action, Reason::Free));
+            draft.steps.push(waiting_step(target, action, Reason::Free));
         }
         Ok(draft)
     }
 
-    fn place(
+    fn draft_placement(
         &self,
         account: &AccountId,
         service: &ServiceId,
@@ -255,15 +257,15 @@
         }
         let now = (found.placed.len() + found.starting.len()) as u32;
         let mut draft = if replicas >= now {
-            self.starts(&key, found, pool, replicas - now)?
+            self.draft_starts(&key, found, pool, replicas - now)?
         } else {
-            self.stops(&key, found, pool, now - replicas)
+            self.draft_stops(&key, found, pool, now - replicas)
         };
         draft.base.push(Base::Service(key, found.version));
         Ok(draft)
     }
 
-    fn starts(
+    fn draft_starts(
         &self,
         key: &ServiceKey,
         service: &Service,
@@ -271,13 +273,13 @@
         count: u32,
     ) -> Result<Draft, PlanError> {
         let more = count.saturating_mul(service.slots);
-        let asked = self.fleet.slots_of(&key.0).saturating_add(more);
+        let asked = self.fleet.slots_used(&key.0).saturating_add(more);
         if let Some(quota) = self.fleet.quota_slots(&key.0)
             && asked > quota
         {
             return Err(PlanError::Quota { asked, quota });
         }
-        let places = choose::places(self.fleet, service, pool, count);
+        let places = choose::placement_boxes(self.fleet, service, pool, count);
         if (places.len() as u32) < count {
             let available = (service.placed.len() + places.len()) as u32;
             let asked = service.placed.len() as u32 + count;
@@ -289,22 +291,22 @@
         draft.width.push((service.pool.clone(), count.max(1)));
         for target in places {
             let action = Action::Start { job: key.clone() };
-            draft.steps.push(step(target, action, Reason::Spread));
+            draft.steps.push(waiting_step(target, action, Reason::Spread));
         }
         Ok(draft)
     }
 
-    fn stops(&self, key: &ServiceKey, service: &Service, pool: &Pool, count: u32) -> Draft {
-        let mut draft = self.taking(&service.pool, pool, count);
+    fn draft_stops(&self, key: &ServiceKey, service: &Service, pool: &Pool, count: u32) -> Draft {
+        let mut draft = self.removal_draft(&service.pool, pool, count);
         draft.base.clear();
-        for target in choose::surplus(self.fleet, service, count) {
+        for target in choose::surplus_boxes(self.fleet, service, count) {
             let action = Action::Stop { job: key.clone() };
-            draft.steps.push(step(target, action, Reason::Surplus));
+            draft.steps.push(waiting_step(target, action, Reason::Surplus));
         }
         draft
     }
 }
 
-fn step(target: BoxId, action: Action, reason: Reason) -> Step {
+fn waiting_step(target: BoxId, action: Action, reason: Reason) -> Step {
     Step { target, action, reason, progress: Progress::Waiting }
 }
--- a/lib/src/state/planner/choose.rs
+++ b/lib/src/state/planner/choose.rs
@@ -21,7 +21,7 @@
 ///
 /// Taking from the fullest first keeps limits per hall and rack from leaving a tail of boxes
 /// that can only go one by one.
-pub fn spread(fleet: &Fleet, pool: &Pool) -> Vec<BoxId> {
+pub fn maintenance_order(fleet: &Fleet, pool: &Pool) -> Vec<BoxId> {
     let mut halls: BTreeMap<&HallId, BTreeMap<&RackId, Vec<&BoxId>>> = BTreeMap::new();
     for id in pool.boxes.iter().rev() {
         let Some(entry) = fleet.boxes.get(id) else {
@@ -31,13 +31,13 @@
         racks.entry(&entry.shape.rack).or_default().push(id);
     }
     let mut order = Vec::with_capacity(pool.boxes.len());
-    while let Some(id) = take_fullest(&mut halls) {
+    while let Some(id) = pop_from_fullest(&mut halls) {
         order.push(id.clone());
     }
     order
 }
 
-fn take_fullest<'a>(
+fn pop_from_fullest<'a>(
     halls: &mut BTreeMap<&HallId, BTreeMap<&RackId, Vec<&'a BoxId>>>,
 ) -> Option<&'a BoxId> {
     let left = |racks: &BTreeMap<&RackId, Vec<&BoxId>>| racks.values().map(Vec::len).sum::<usize>();
@@ -46,18 +46,18 @@
 }
 
 /// `count` boxes that may leave `pool`, those with the fewest jobs first.
-pub fn takeable(fleet: &Fleet, pool: &Pool, count: u32) -> Result<Vec<BoxId>, PlanError> {
+pub fn removable_boxes(fleet: &Fleet, pool: &Pool, count: u32) -> Result<Vec<BoxId>, PlanError> {
     let mut up: BTreeMap<&ServiceKey, u32> = BTreeMap::new();
     for (key, service) in &fleet.services {
-        up.insert(key, fleet.up(service));
+        up.insert(key, fleet.replicas_up(service));
     }
     let mut taken = Vec::new();
     let mut blocker = Blocker::NoneLeft;
-    for id in by_jobs(fleet, pool) {
+    for id in serving_boxes_by_jobs(fleet, pool) {
         if taken.len() == count as usize {
             break;
         }
-        match first_short(fleet, id, &up) {
+        match first_at_min_up(fleet, id, &up) {
             Some(key) => blocker = Blocker::MinUp { service: key.1.clone() },
             None => {
                 for key in fleet.jobs_on(id) {
@@ -74,7 +74,7 @@
     Ok(taken)
 }
 
-fn by_jobs<'a>(fleet: &'a Fleet, pool: &'a Pool) -> Vec<&'a BoxId> {
+fn serving_boxes_by_jobs<'a>(fleet: &'a Fleet, pool: &'a Pool) -> Vec<&'a BoxId> {
     let serving = |id: &&BoxId| fleet.boxes.get(*id).is_some_and(Entry::is_serving);
     let mut boxes: Vec<&BoxId> = pool.boxes.iter().filter(serving).collect();
     boxes.sort_by_key(|id| fleet.jobs_on(id).count());
@@ -82,7 +82,7 @@
 }
 
 /// A service on `target` that has no replica to spare.
-fn first_short<'a>(
+fn first_at_min_up<'a>(
     fleet: &'a Fleet,
     target: &'a str,
     up: &BTreeMap<&ServiceKey, u32>,
@@ -92,7 +92,7 @@
 }
 
 /// `count` boxes that are in no pool, spread over the halls that have fewest boxes of `pool`.
-pub fn free(
+pub fn unassigned_boxes(
     fleet: &Fleet,
     shapes: &Shapes,
     pool: &Pool,
@@ -100,10 +100,10 @@
 ) -> Result<Vec<(BoxId, Shape)>, PlanError> {
     let mut left: Vec<(&BoxId, &Shape)> =
         shapes.iter().filter(|(id, _)| !fleet.boxes.contains_key(*id)).collect();
-    let mut load = Load::of(fleet, &pool.boxes);
+    let mut load = AreaCounts::of(fleet, &pool.boxes);
     let mut chosen = Vec::new();
     while chosen.len() < count as usize {
-        let best = (0..left.len()).min_by_key(|index| load.of_shape(left[*index].1));
+        let best = (0..left.len()).min_by_key(|index| load.at(left[*index].1));
         let Some(best) = best else {
             let available = chosen.len() as u32;
             let blocker = Blocker::NoneFree;
@@ -118,14 +118,14 @@
 
 /// How many boxes of a set each hall and rack holds.
 #[derive(Default)]
-struct Load {
+struct AreaCounts {
     halls: BTreeMap<HallId, u32>,
     racks: BTreeMap<RackId, u32>,
 }
 
-impl Load {
-    fn of(fleet: &Fleet, boxes: &BTreeSet<BoxId>) -> Load {
-        let mut load = Load::default();
+impl AreaCounts {
+    fn of(fleet: &Fleet, boxes: &BTreeSet<BoxId>) -> AreaCounts {
+        let mut load = AreaCounts::default();
         for entry in boxes.iter().filter_map(|id| fleet.boxes.get(id)) {
             load.add(&entry.shape);
         }
@@ -137,7 +137,7 @@
         *self.racks.entry(shape.rack.clone()).or_default() += 1;
     }
 
-    fn of_shape(&self, shape: &Shape) -> (u32, u32) {
+    fn at(&self, shape: &Shape) -> (u32, u32) {
         let hall = self.halls.get(&shape.hall).copied().unwrap_or(0);
         let rack = self.racks.get(&shape.rack).copied().unwrap_or(0);
         (hall, rack)
@@ -146,24 +146,24 @@
 
 /// Up to `count` boxes of `pool` with room for one more job of `service`, spread over halls and
 /// racks.
-pub fn places(fleet: &Fleet, service: &Service, pool: &Pool, count: u32) -> Vec<BoxId> {
+pub fn placement_boxes(fleet: &Fleet, service: &Service, pool: &Pool, count: u32) -> Vec<BoxId> {
     let mut left: Vec<(&BoxId, &Entry, u32)> = Vec::new();
     for id in &pool.boxes {
         let Some(entry) = fleet.boxes.get(id) else {
             continue;
         };
-        let (slots, memory_mb) = fleet.room(id, &entry.shape);
+        let (slots, memory_mb) = fleet.free_resources(id, &entry.shape);
         let fits = slots >= service.slots && memory_mb >= service.memory_mb;
         if fits && !entry.down && !service.is_on(id) {
             left.push((id, entry, slots));
         }
     }
-    let mut load = Load::of(fleet, &service.placed);
+    let mut load = AreaCounts::of(fleet, &service.placed);
     let mut chosen = Vec::new();
     while chosen.len() < count as usize {
         let key = |index: &usize| {
             let (_, entry, slots) = left[*index];
-            (load.of_shape(&entry.shape), u32::MAX - slots)
+            (load.at(&entry.shape), u32::MAX - slots)
         };
         let Some(best) = (0..left.len()).min_by_key(key) else {
             break;
@@ -176,14 +176,14 @@
 }
 
 /// `count` boxes on which `service` has a replica too many, from the fullest halls first.
-pub fn surplus(fleet: &Fleet, service: &Service, count: u32) -> Vec<BoxId> {
-    let mut load = Load::of(fleet, &service.placed);
+pub fn surplus_boxes(fleet: &Fleet, service: &Service, count: u32) -> Vec<BoxId> {
+    let mut load = AreaCounts::of(fleet, &service.placed);
     let mut left: Vec<&BoxId> = service.placed.iter().collect();
     let mut chosen = Vec::new();
     while chosen.len() < count as usize {
         let key = |index: &usize| {
             let entry = fleet.boxes.get(left[*index]);
-            entry.map(|entry| load.of_shape(&entry.shape))
+            entry.map(|entry| load.at(&entry.shape))
         };
         let Some(best) = (0..left.len()).max_by_key(key) else {
             break;
@@ -199,21 +199,21 @@
 }
 
 /// Fills boxes that come into a pool with its services, the one with fewest replicas first.
-pub struct Jobs<'a> {
+pub struct JobAssigner<'a> {
     services: Vec<(&'a ServiceKey, &'a Service, usize)>,
 }
 
-impl<'a> Jobs<'a> {
+impl<'a> JobAssigner<'a> {
     /// The services that run on `pool`.
-    pub fn new(fleet: &'a Fleet, pool: &PoolId) -> Jobs<'a> {
+    pub fn new(fleet: &'a Fleet, pool: &PoolId) -> JobAssigner<'a> {
         let own = fleet.services.iter().filter(|(_, service)| service.pool == *pool);
         let running = own.filter(|(_, service)| service.is_placed());
         let services = running.map(|(key, service)| (key, service, service.placed.len()));
-        Jobs { services: services.collect() }
+        JobAssigner { services: services.collect() }
     }
 
     /// The jobs to start on the next box.
-    pub fn fill(&mut self, shape: &Shape) -> Vec<ServiceKey> {
+    pub fn assign(&mut self, shape: &Shape) -> Vec<ServiceKey> {
         let mut slots = shape.slots;
         let mut memory_mb = shape.memory_mb;
         let mut jobs = Vec::new();
--- a/lib/src/state/planner/cost.rs
+++ b/lib/src/state/planner/cost.rs
@@ -38,7 +38,7 @@
 }
 
 /// Cost of rebooting `boxes` boxes of `pool`, `width` at a time.
-pub fn wave(pool: &Pool, boxes: u32, width: u32) -> Cost {
+pub fn reboot_cost(pool: &Pool, boxes: u32, width: u32) -> Cost {
     let rounds = u64::from(boxes.div_ceil(width.max(1)));
     let rollout_seconds = rounds * u64::from(pool.maintenance_s);
     let buffer_box_seconds = u64::from(boxes) * u64::from(pool.maintenance_s);
@@ -46,7 +46,7 @@
 }
 
 /// Cost of moving `count` boxes or jobs, `width` at a time.
-pub fn moves(count: u32, width: u32) -> Cost {
+pub fn move_cost(count: u32, width: u32) -> Cost {
     let rounds = u64::from(count.div_ceil(width.max(1)));
     let rollout_seconds = rounds * MOVE_S;
     Cost { buffer_box_seconds: u64::from(count) * MOVE_S, rollout_seconds, moves: count }
@@ -54,7 +54,7 @@
 
 impl Cost {
     /// Cost of two plans carried out at the same time.
-    pub fn beside(self, other: Cost) -> Cost {
+    pub fn in_parallel_with(self, other: Cost) -> Cost {
         Cost {
             buffer_box_seconds: self.buffer_box_seconds + other.buffer_box_seconds,
             rollout_seconds: self.rollout_seconds.max(other.rollout_seconds),
--- a/lib/src/state/record.rs
+++ b/lib/src/state/record.rs
@@ -24,7 +24,7 @@
 use crate::state::snapshot::Chunk;
 
 /// Largest encoded batch, in bytes; the log's own limit is above it.
-pub const MAX_BATCH: usize = 512 * 1024;
+pub const MAX_BATCH_BYTES: usize = 512 * 1024;
 
 /// What one append carries.
 ///
@@ -70,11 +70,11 @@
         epoch: u32,
     },
     /// Asks for permission to take a step's box out of service.
-    Permit(Claim),
+    Permit(StepRef),
     /// Puts a step's lasting effect in force: the box's new pool, or a job's place.
-    Assign(Claim),
+    Assign(StepRef),
     /// Ends a step and gives its share of the budget back.
-    Finish(Claim, Outcome),
+    Finish(StepRef, Outcome),
     /// An operator pauses, resumes or aborts a confirmed plan, or drops a proposed one.
     Control {
         /// The plan.
@@ -98,7 +98,7 @@
 
 /// Names a step of a plan on behalf of an epoch of its driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Claim {
+pub struct StepRef {
     /// The plan.
     pub plan: PlanId,
     /// The driver's epoch; an earlier one is refused.
@@ -145,8 +145,8 @@
     /// The bytes do not decode.
     #[error("not a batch: {0}")]
     Postcard(#[from] postcard::Error),
-    /// The encoded batch is larger than [`MAX_BATCH`].
-    #[error("a batch of {0} bytes is over the limit of {MAX_BATCH}")]
+    /// The encoded batch is larger than [`MAX_BATCH_BYTES`].
+    #[error("a batch of {0} bytes is over the limit of {MAX_BATCH_BYTES}")]
     TooLarge(usize),
 }
 
@@ -154,7 +154,7 @@
     /// Encodes the batch for the log.
     pub fn encode(&self) -> Result<Vec<u8>, CodecError> {
         let bytes = to_stdvec(self)?;
-        if bytes.len() > MAX_BATCH {
+        if bytes.len() > MAX_BATCH_BYTES {
             return Err(CodecError::TooLarge(bytes.len()));
         }
         Ok(bytes)
--- a/lib/src/state/snapshot.rs
+++ b/lib/src/state/snapshot.rs
@@ -13,7 +13,7 @@
 pub type Digest = [u8; 32];
 
 /// Bytes of a snapshot that one record carries.
-pub const CHUNK: usize = 256 * 1024;
+pub const CHUNK_BYTES: usize = 256 * 1024;
 
 /// Part of a snapshot of the state right after the record at [`Chunk::mark`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,8 +64,8 @@
 /// ```
 pub fn split(encoded: &[u8], mark: Offset) -> Vec<Chunk> {
     let digest = digest(encoded);
-    let parts = encoded.len().div_ceil(CHUNK) as u32;
-    let pieces = encoded.chunks(CHUNK).enumerate();
+    let parts = encoded.len().div_ceil(CHUNK_BYTES) as u32;
+    let pieces = encoded.chunks(CHUNK_BYTES).enumerate();
     let chunk = |(part, bytes): (usize, &[u8])| {
         let bytes = bytes.to_vec();
         Chunk { mark, digest, part: part as u32, parts, bytes }
@@ -97,11 +97,11 @@
         if self.parts.len() < parts as usize {
             return Ok(None);
         }
-        let encoded = self.take();
+        let encoded = self.join_parts();
         decode(&encoded, self.mark, digest).map(Some)
     }
 
-    fn take(&mut self) -> Vec<u8> {
+    fn join_parts(&mut self) -> Vec<u8> {
         let parts = std::mem::take(&mut self.parts);
         let bytes = parts.into_values().flat_map(|chunk| chunk.bytes);
         bytes.collect()
--- a/lib/tests/test_account_load.rs
+++ b/lib/tests/test_account_load.rs
@@ -5,9 +5,9 @@
 //! overloading account delay those of all others. Of 475 jobs of nineteen modest accounts, all finish
 //! in time without the overload and 46 with it.
 
-use spokelift_testutils::batch::play::Served;
-use spokelift_testutils::batch::play::play_accounts;
-use spokelift_testutils::batch::play::play_beside_nobody;
+use spokelift_testutils::batch::simulation::Served;
+use spokelift_testutils::batch::simulation::simulate_accounts;
+use spokelift_testutils::batch::simulation::simulate_with_unowned;
 
 /// Number of modest accounts.
 const MODEST: usize = 19;
@@ -21,7 +21,7 @@
     rates.push(greedy_per_s);
     let (mut modest, mut greedy) = (Served::default(), Served::default());
     for seed in 1..=10 {
-        let served = play_accounts(&rates, seed);
+        let served = simulate_accounts(&rates, seed);
         greedy.jobs += served[MODEST].jobs;
         greedy.in_time += served[MODEST].in_time;
         for account in &served[..MODEST] {
@@ -49,7 +49,7 @@
 fn an_overload_without_an_account_does_not_delay_accounts() {
     let mut rates = vec![MODEST_PER_S; MODEST];
     rates.push(GREEDY_PER_S);
-    let served = play_beside_nobody(&rates, 1);
+    let served = simulate_with_unowned(&rates, 1);
     let (modest, unowned) = (&served[..MODEST], served[MODEST]);
     let jobs: u32 = modest.iter().map(|account| account.jobs).sum();
     let in_time: u32 = modest.iter().map(|account| account.in_time).sum();
--- a/lib/tests/test_accounts.rs
+++ b/lib/tests/test_accounts.rs
@@ -21,7 +21,7 @@
 use spokelift_platform::store::Record;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::published;
-use spokelift_testutils::batch::published::published;
+use spokelift_testutils::batch::published::published_config;
 
 const MISSING: Refusal = Refusal::Credential(CredentialError::Missing);
 const MALFORMED: Refusal = Refusal::Credential(CredentialError::Malformed);
@@ -30,7 +30,7 @@
 /// Queue `q` requires a key, `open` does not, and `unset` does not say.
 fn config(accounts: Value) -> Config {
     let queues = [("q", Some(false)), ("open", Some(true)), ("unset", None)];
-    Config::decode(&published(1, &queues, accounts)).unwrap()
+    Config::decode(&published_config(1, &queues, accounts)).unwrap()
 }
 
 fn account(name: &str, keys: &[&str]) -> Value {
@@ -103,7 +103,7 @@
     let config = self::config(json!([{ "name": "many", "apiKeys": many }]));
     assert_eq!(caller(&config, &[b"Bearer key-99999"]), Ok(account_caller("many")));
     for broken in [json!({ "cpu": -1 }), json!({ "cpu": "much" })] {
-        let text = published(2, &[], json!([{ "name": "a", "maximum": broken }]));
+        let text = published_config(2, &[], json!([{ "name": "a", "maximum": broken }]));
         assert!(Config::decode(&text).is_err());
     }
 }
--- a/lib/tests/test_batch.rs
+++ b/lib/tests/test_batch.rs
@@ -36,7 +36,7 @@
 use spokelift_platform::worker::Running;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::accepted;
-use spokelift_testutils::batch::addr;
+use spokelift_testutils::batch::unused_addr;
 
 const TOKEN: u64 = 10;
 const MILLI: Duration = Duration::from_millis(1);
@@ -75,7 +75,7 @@
     }
 
     fn discover(&mut self, id: &str, machine: &str) {
-        let peer = Peer { incarnation: id.into(), addr: addr() };
+        let peer = Peer { incarnation: id.into(), addr: unused_addr() };
         self.cell.discover(peer, entry(machine), self.now);
     }
 
@@ -714,7 +714,7 @@
 #[test]
 fn a_long_running_task_preempts_only_where_it_may_run() {
     let mut fixture = Fixture::new(1);
-    let peer = Peer { incarnation: "w9".into(), addr: addr() };
+    let peer = Peer { incarnation: "w9".into(), addr: unused_addr() };
     let labels = vec!["big".to_owned()];
     fixture.cell.discover(peer, Entry { labels, ..entry("m9") }, fixture.now);
     fixture.poll_all();
@@ -823,7 +823,7 @@
     let started = fixture.start();
     assert_eq!(started.len(), 4);
     let resize = |fixture: &mut Fixture, cpu: u32| {
-        let peer = Peer { incarnation: "w0".into(), addr: addr() };
+        let peer = Peer { incarnation: "w0".into(), addr: unused_addr() };
         let capacity = Resources { cpu, memory_mb: 4_000, gpu: 0 };
         fixture.cell.discover(peer, Entry { capacity, ..entry("m0") }, fixture.now);
     };
@@ -848,7 +848,7 @@
     fixture.poll_all();
     fixture.cell.admit(1, accepted(vec![step(4)]), None);
     assert_eq!(fixture.start().len(), 4);
-    let peer = Peer { incarnation: "w0".into(), addr: addr() };
+    let peer = Peer { incarnation: "w0".into(), addr: unused_addr() };
     let capacity = Resources { cpu: 2_000, memory_mb: 4_000, gpu: 0 };
     fixture.cell.discover(peer, Entry { capacity, ..entry("m0") }, fixture.now);
     fixture.cell.admit(2, accepted(vec![long_running_step(1)]), None);
--- a/lib/tests/test_bounds.rs
+++ b/lib/tests/test_bounds.rs
@@ -31,9 +31,9 @@
 use spokelift_platform::worker::Run;
 use spokelift_platform::worker::Running;
 use spokelift_testutils::batch;
-use spokelift_testutils::batch::addr;
 use spokelift_testutils::batch::published;
-use spokelift_testutils::batch::published::published;
+use spokelift_testutils::batch::published::published_config;
+use spokelift_testutils::batch::unused_addr;
 
 const TOKEN: u64 = 7;
 /// CPU in millicores and memory in MB of a worker.
@@ -51,7 +51,7 @@
 /// A configuration with these CPU quotas, in millicores.
 fn config(version: u64, quotas: &[(&str, u64)]) -> Arc<Config> {
     let accounts = quotas.iter().map(|(name, cpu)| published::account(name, &[], *cpu));
-    let text = published(version, &[], accounts.collect());
+    let text = published_config(version, &[], accounts.collect());
     Arc::new(Config::decode(&text).unwrap())
 }
 
@@ -90,7 +90,7 @@
     }
 
     fn discover(&mut self, number: usize) {
-        let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
+        let peer = Peer { incarnation: format!("w{number}").into(), addr: unused_addr() };
         self.cell.discover(peer, batch::entry(&format!("m{number}"), CAPACITY), self.now);
     }
 
@@ -185,7 +185,7 @@
 fn memory_is_limited_as_cpu_is_and_best_effort_tasks_count() {
     let mut fixture = Fixture::new(3);
     let maximum = json!({ "cpu": 5_000, "memMb": 250 });
-    let text = published(1, &[], json!([{ "name": "a", "maximum": maximum }]));
+    let text = published_config(1, &[], json!([{ "name": "a", "maximum": maximum }]));
     fixture.cell.set_quotas(&Arc::new(Config::decode(&text).unwrap()));
     fixture.submit("a", Step { long_running: true, best_effort: true, ..step(1) });
     fixture.submit("a", step(4));
@@ -305,7 +305,7 @@
     let mut fixture = after_takeover(&[0, 1, 2]);
     let tasks = vec![(1, (0, 0, 0))];
     let stored = StoredWorker {
-        addr: addr(),
+        addr: unused_addr(),
         service: "work".to_owned(),
         machine: None,
         unresponsive_with: Some(tasks),
--- a/lib/tests/test_box_list.rs
+++ b/lib/tests/test_box_list.rs
@@ -20,7 +20,7 @@
 use spokelift_platform::worker::PollResponse;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::accepted;
-use spokelift_testutils::batch::addr;
+use spokelift_testutils::batch::unused_addr;
 
 const TOKEN: u64 = 10;
 const MILLI: Duration = Duration::from_millis(1);
@@ -44,7 +44,7 @@
     fn new(workers: usize) -> Fixture {
         let mut fixture = Fixture { cell: Cell::new(TOKEN), now: clock::now(), clock: 1_000 };
         for number in 0..workers {
-            let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
+            let peer = Peer { incarnation: format!("w{number}").into(), addr: unused_addr() };
             fixture.cell.discover(peer, batch::entry(&format!("m{number}"), 4_000), fixture.now);
         }
         fixture
@@ -192,7 +192,7 @@
     fixture.advance(MILLI);
     let requested_at = fixture.now;
     fixture.advance(MILLI);
-    let peer = Peer { incarnation: "w1".into(), addr: addr() };
+    let peer = Peer { incarnation: "w1".into(), addr: unused_addr() };
     fixture.cell.discover(peer, batch::entry("m1", 4_000), fixture.now);
     fixture.poll(0);
     let list = [machine(0, Status::Down, None), machine(1, Status::Down, None)];
@@ -211,7 +211,7 @@
     fixture.list(vec![machine(0, Status::Down, None)]);
     assert_eq!(fixture.start(), [("w1".to_owned(), task(1))]);
     // The store lists it for some more seconds.
-    let peer = Peer { incarnation: "w0".into(), addr: addr() };
+    let peer = Peer { incarnation: "w0".into(), addr: unused_addr() };
     fixture.cell.discover(peer, batch::entry("m0", 4_000), fixture.now);
     assert!(!fixture.is_known(0));
 }
--- a/lib/tests/test_crash.rs
+++ b/lib/tests/test_crash.rs
@@ -24,8 +24,8 @@
 use spokelift_platform::worker::Run;
 use spokelift_platform::worker::Running;
 use spokelift_testutils::batch::accepted;
-use spokelift_testutils::batch::addr;
 use spokelift_testutils::batch::entry;
+use spokelift_testutils::batch::unused_addr;
 
 const TOKEN: u64 = 10;
 /// Time between two polls of a worker.
@@ -86,7 +86,7 @@
         let id = format!("w{}", self.count);
         self.incarnations.insert(machine.to_owned(), id.clone());
         self.cell.discover(
-            Peer { incarnation: id.clone().into(), addr: addr() },
+            Peer { incarnation: id.clone().into(), addr: unused_addr() },
             entry(machine, 8_000),
             self.now,
         );
@@ -392,7 +392,7 @@
             _ => {
                 let entry = fixture.cell.workers[worker.as_str()].entry.clone();
                 let entry = Entry { draining: true, ..entry };
-                let peer = Peer { incarnation: worker.clone().into(), addr: addr() };
+                let peer = Peer { incarnation: worker.clone().into(), addr: unused_addr() };
                 fixture.cell.discover(peer, entry, fixture.now);
                 fixture.crash(&worker);
             }
@@ -492,7 +492,7 @@
     let entry = second.cell.workers["w11"].entry.clone();
     let entry = Entry { machine: stored.machine.clone(), ..entry };
     second.cell.discover(
-        Peer { incarnation: unresponsive.clone().into(), addr: addr() },
+        Peer { incarnation: unresponsive.clone().into(), addr: unused_addr() },
         entry,
         second.now,
     );
--- a/lib/tests/test_crash_load.rs
+++ b/lib/tests/test_crash_load.rs
@@ -17,14 +17,14 @@
 //! Without poison tasks, with 30% of the workers crashing every 3 s and 9 jobs a second: 340 of 435
 //! in time if crashes are not counted, 345 if they are.
 
-use spokelift_testutils::batch::play::Load;
-use spokelift_testutils::batch::play::Outcomes;
-use spokelift_testutils::batch::play::play;
+use spokelift_testutils::batch::simulation::Load;
+use spokelift_testutils::batch::simulation::Outcomes;
+use spokelift_testutils::batch::simulation::simulate;
 
 fn run_all(load: Load) -> Outcomes {
     let mut sum = Outcomes::default();
     for seed in 1..=5 {
-        sum.add(&play(load, seed));
+        sum.add(&simulate(load, seed));
     }
     println!("{sum:?}");
     sum
@@ -32,18 +32,18 @@
 
 #[test]
 fn other_jobs_finish_while_one_job_in_twenty_has_a_poison_task() {
-    let sum = run_all(Load { jobs_per_s: 14.0, poison: 0.05, crashing: 0.0 });
-    assert!(sum.most_starts <= 5, "{sum:?}");
-    assert!(sum.done + sum.given_up == sum.innocent, "{sum:?}");
-    assert!(sum.given_up * 100 <= sum.innocent, "{sum:?}");
+    let sum = run_all(Load { jobs_per_s: 14.0, poison_fraction: 0.05, crash_fraction: 0.0 });
+    assert!(sum.max_starts <= 5, "{sum:?}");
+    assert!(sum.done + sum.abandoned == sum.normal, "{sum:?}");
+    assert!(sum.abandoned * 100 <= sum.normal, "{sum:?}");
     assert!(sum.crashes * 10 <= sum.poison * 27, "{sum:?}");
-    assert!(sum.in_time * 100 >= sum.innocent * 82, "{sum:?}");
+    assert!(sum.in_time * 100 >= sum.normal * 82, "{sum:?}");
 }
 
 #[test]
 fn jobs_are_not_abandoned_where_workers_crash_for_other_reasons() {
-    let sum = run_all(Load { jobs_per_s: 9.0, poison: 0.0, crashing: 0.3 });
-    assert!(sum.done + sum.given_up == sum.innocent, "{sum:?}");
-    assert!(sum.given_up * 100 <= sum.innocent, "{sum:?}");
-    assert!(sum.in_time * 100 >= sum.innocent * 76, "{sum:?}");
+    let sum = run_all(Load { jobs_per_s: 9.0, poison_fraction: 0.0, crash_fraction: 0.3 });
+    assert!(sum.done + sum.abandoned == sum.normal, "{sum:?}");
+    assert!(sum.abandoned * 100 <= sum.normal, "{sum:?}");
+    assert!(sum.in_time * 100 >= sum.normal * 76, "{sum:?}");
 }
--- a/lib/tests/test_encoding.rs
+++ b/lib/tests/test_encoding.rs
@@ -48,7 +48,7 @@
 use spokelift_platform::job::TaskName;
 use spokelift_platform::store::Appended;
 use spokelift_platform::store::Guard;
-use spokelift_platform::store::Newest;
+use spokelift_platform::store::LatestRecords;
 use spokelift_platform::store::Page;
 use spokelift_platform::store::Partition;
 use spokelift_platform::store::Producer;
@@ -116,7 +116,7 @@
         speculative: true,
         long_running: true,
         image: Some("img".to_owned()),
-        tail_limit_ms: 40,
+        max_tail_latency_ms: 40,
         best_effort: true,
         max_unavailable: Some(1),
     }
@@ -134,8 +134,8 @@
         Outcome::Failed,
         Outcome::Stopped,
         Outcome::Expired,
-        Outcome::Broken,
-        Outcome::Alone,
+        Outcome::GangMemberEnded,
+        Outcome::GangIncomplete,
     ];
     let ended = outcomes.into_iter().zip(1..).map(|(outcome, number)| End {
         number,
@@ -276,13 +276,13 @@
 
 fn config() -> Config {
     let accounts = json!([published::account("clinics", &["k1"], 100)]);
-    Config::decode(&published::published(3, &[("q", Some(true))], accounts)).unwrap()
+    Config::decode(&published::published_config(3, &[("q", Some(true))], accounts)).unwrap()
 }
 
 fn between_nodes(lines: &mut Lines) {
     let session = Session { token: 1 << 20, shard: 2 };
     let partition = Partition { topic: "keyed.jobs".to_owned(), number: 3 };
-    let kept = vec![Record::set("k", *b"v"), Record::drop_key("d")];
+    let kept = vec![Record::set("k", *b"v"), Record::tombstone("d")];
     let producer = Producer { name: "n-1".to_owned(), epoch: 2, sequence: 3 };
     let append =
         |guard| relay::Call::Append { partition: partition.clone(), records: kept.clone(), guard };
@@ -294,7 +294,7 @@
         Request::Cancel(0x5c0e, Caller::Account("clinics".into())),
         Request::Pending("q".to_owned(), Caller::Anyone { queue: "q".to_owned() }),
         Request::Relay(append(Guard::None)),
-        Request::Relay(append(Guard::At(8))),
+        Request::Relay(append(Guard::EndsAt(8))),
         Request::Relay(append(Guard::Producer(producer))),
         Request::Relay(relay::Call::Read {
             partition: partition.clone(),
@@ -326,7 +326,7 @@
         Reply::Pending(7),
         Reply::Relayed(relay::Answer::Appended(Appended { offset: 8, end: 10 })),
         Reply::Relayed(relay::Answer::Page(Page { end: 10, first: 2, records: kept.clone() })),
-        Reply::Relayed(relay::Answer::Newest(Newest { records: kept, end: 10 })),
+        Reply::Relayed(relay::Answer::Newest(LatestRecords { records: kept, end: 10 })),
         Reply::Relayed(refused),
         Reply::Relayed(relay::Answer::Unavailable),
         Reply::Relayed(relay::Answer::Unknown),
@@ -412,7 +412,7 @@
                     max_out_per_hall: Some(2),
                     max_out_per_rack: None,
                 },
-                weigh: fleet::Weigh::Rollout,
+                objective: fleet::Objective::Rollout,
                 drain_limit_s: 30,
                 maintenance_s: 60,
                 boxes: boxes.clone(),
@@ -441,7 +441,7 @@
 
 fn on_the_log(lines: &mut Lines) {
     let fleet = fleet();
-    let claim = log_record::Claim { plan: 0x4f0c, epoch: 2, step: 1 };
+    let claim = log_record::StepRef { plan: 0x4f0c, epoch: 2, step: 1 };
     let shape = fleet.boxes["b-1"].shape.clone();
     let edits = vec![
         log_record::Edit::Account("clinics".into(), 1, fleet.accounts["clinics"].clone()),
@@ -476,25 +476,32 @@
 }
 
 fn between_daemons(lines: &mut Lines) {
-    let beat = wire::Beat {
+    let beat = wire::Heartbeat {
         next: 10,
         log_age_ms: Some(20),
-        mark: Some(wire::Hashed { position: 8, head: 9 }),
+        mark: Some(wire::StateHash { position: 8, head: 9 }),
         complete: true,
         serving: true,
         inflight: 3,
         busy: vec![4],
     };
     let echo = Some(wire::Echo { sequence: 6, held_ms: 7 });
-    let frame = wire::Frame { from: 1, incarnation: 2, sequence: 3, to: 4, echo, beat };
+    let frame = wire::Frame {
+        from: 1,
+        incarnation: 2,
+        sequence: 3,
+        receiver_incarnation: 4,
+        echo,
+        heartbeat: beat,
+    };
     let key = wire::derive_key("shared");
     lines.bytes("frame", &frame.seal(&key));
     lines.bytes("greeting", &catch_up::seal(&key, &catch_up::Greeting { server: 7 }));
     let request = catch_up::Request { server: 7, client: 8, from: 9, whole: true };
     lines.bytes("catch-up", &catch_up::seal(&key, &request));
-    let loads = [catch_up::Load::Batches(vec![(9, vec![1])]), catch_up::Load::State(vec![2])];
+    let loads = [catch_up::Payload::Batches(vec![(9, vec![1])]), catch_up::Payload::State(vec![2])];
     for load in loads {
-        let piece = catch_up::Piece { client: 8, index: 1, last: true, load };
+        let piece = catch_up::Piece { client: 8, index: 1, last: true, payload: load };
         lines.bytes("piece", &catch_up::seal(&key, &piece));
     }
 }
--- a/lib/tests/test_fold.rs
+++ b/lib/tests/test_fold.rs
@@ -17,9 +17,9 @@
 use spokelift_lib::state::planner::Planner;
 use spokelift_lib::state::record::Batch;
 use spokelift_lib::state::record::Body;
-use spokelift_lib::state::record::Claim;
 use spokelift_lib::state::record::Control;
 use spokelift_lib::state::record::Record;
+use spokelift_lib::state::record::StepRef;
 use spokelift_lib::state::snapshot;
 
 const BOXES: usize = 12;
@@ -120,7 +120,7 @@
     let plan = |index: &usize| seen.plans.values().nth(*index);
     let claim = |index: &usize, step: &u32| {
         let plan = plan(index)?;
-        Some(Claim { plan: plan.id, epoch: plan.driver.epoch, step: *step })
+        Some(StepRef { plan: plan.id, epoch: plan.driver.epoch, step: *step })
     };
     let name = |index: &usize| vec![format!("box-{index}").into()];
     Some(match step {
@@ -147,7 +147,7 @@
 /// Boxes of a pool that are out on a permit, and in all.
 fn out(fleet: &Fleet, pool: &str) -> (u32, u32) {
     let pool = &fleet.pools[pool];
-    let out: Vec<_> = fleet.out_of(pool).collect();
+    let out: Vec<_> = fleet.boxes_out(pool).collect();
     let permitted = out.iter().filter(|(_, entry)| entry.out.is_some()).count();
     (permitted as u32, out.len() as u32)
 }
@@ -173,8 +173,8 @@
         let budget = after.pools[pool].budget;
         assert!(out(after, pool).1 <= budget.max_out, "{pool} is over its budget");
         for service in after.services.values() {
-            let fell = after.up(service) < before.up(service);
-            assert!(!fell || after.up(service) >= service.min_up);
+            let fell = after.replicas_up(service) < before.replicas_up(service);
+            assert!(!fell || after.replicas_up(service) >= service.min_up);
         }
     }
     if !accepted {
--- a/lib/tests/test_fresh.rs
+++ b/lib/tests/test_fresh.rs
@@ -7,11 +7,11 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use spokelift_lib::coordination::fresh::Basis;
-use spokelift_lib::coordination::fresh::Heard;
-use spokelift_lib::coordination::fresh::Own;
-use spokelift_lib::coordination::fresh::completes;
-use spokelift_lib::coordination::fresh::judge;
+use spokelift_lib::coordination::freshness::Basis;
+use spokelift_lib::coordination::freshness::OwnState;
+use spokelift_lib::coordination::freshness::PeerState;
+use spokelift_lib::coordination::freshness::becomes_complete;
+use spokelift_lib::coordination::freshness::evaluate;
 
 const DAEMONS: usize = 3;
 const MAX_AGE: u64 = 30;
@@ -159,14 +159,18 @@
         let heard = own.heard.iter().flatten().filter_map(|(sent_after, beat)| {
             let age = self.now - sent_after;
             let log_age = beat.log_age.map(|own| millis(own + age));
-            (age < MAX_AGE).then_some(Heard { next: beat.next, log_age, complete: beat.complete })
+            (age < MAX_AGE).then_some(PeerState {
+                next: beat.next,
+                log_age,
+                is_complete: beat.complete,
+            })
         });
-        let heard: Vec<Heard> = heard.collect();
+        let heard: Vec<PeerState> = heard.collect();
         let alive = millis(self.now - own.started);
-        let own = Own { next: own.next, log_age, complete: own.complete, alive };
+        let own = OwnState { next: own.next, log_age, is_complete: own.complete, uptime: alive };
         let max_age = millis(MAX_AGE);
-        self.daemons[daemon].complete |= completes(own, &heard, DAEMONS, max_age);
-        judge(own, &heard, DAEMONS, max_age)
+        self.daemons[daemon].complete |= becomes_complete(own, &heard, DAEMONS, max_age);
+        evaluate(own, &heard, DAEMONS, max_age)
     }
 }
 
--- a/lib/tests/test_lives.rs
+++ b/lib/tests/test_lives.rs
@@ -33,7 +33,7 @@
 use spokelift_platform::worker::Token;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::accepted;
-use spokelift_testutils::batch::addr;
+use spokelift_testutils::batch::unused_addr;
 
 const TOKEN: Token = 10;
 const WORKERS: usize = 3;
@@ -47,7 +47,7 @@
 }
 
 fn peer(id: &str, birth_ms: BirthMs) -> Peer {
-    Peer { incarnation: Incarnation::new(id, Some(birth_ms)), addr: addr() }
+    Peer { incarnation: Incarnation::new(id, Some(birth_ms)), addr: unused_addr() }
 }
 
 fn entry(machine: &str, birth_ms: BirthMs) -> Entry {
@@ -167,7 +167,7 @@
 fn an_entry_without_birth_time_belongs_to_the_known_incarnation() {
     let (mut cell, now, _) = with_two_incarnations();
     let entry = Entry { birth_ms: None, draining: true, ..entry("m", 0) };
-    assert!(!cell.discover(Peer { incarnation: "w".into(), addr: addr() }, entry, now));
+    assert!(!cell.discover(Peer { incarnation: "w".into(), addr: unused_addr() }, entry, now));
     assert!(cell.workers[&Incarnation::new("w", Some(3))].entry.draining);
 }
 
--- a/lib/tests/test_log_limit.rs
+++ b/lib/tests/test_log_limit.rs
@@ -18,13 +18,14 @@
 fn a_storm_of_lines_is_cut_and_counted() {
     let now = clock::now();
     let mut budget = Budget::new(now);
-    let passed = (0..10_000).filter(|_| budget.take(Level::Info, now).is_some()).count();
+    let passed = (0..10_000).filter(|_| budget.try_take_line(Level::Info, now).is_some()).count();
     assert_eq!(passed, 1_000);
     // Warnings still have room.
-    assert_eq!(budget.take(Level::Warn, now), Some(9_000));
+    assert_eq!(budget.try_take_line(Level::Warn, now), Some(9_000));
     let later = now + Duration::from_secs(1);
-    assert!(budget.take(Level::Info, later).is_some());
-    let warnings = (0..10_000).filter(|_| budget.take(Level::Error, later).is_some()).count();
+    assert!(budget.try_take_line(Level::Info, later).is_some());
+    let warnings =
+        (0..10_000).filter(|_| budget.try_take_line(Level::Error, later).is_some()).count();
     assert!((100..=700).contains(&warnings), "{warnings}");
 }
 
@@ -69,13 +70,13 @@
         String::from_utf8_lossy(&seen).contains(text)
     };
     while !contains("line 4000\n") && clock::now() < until {
-        progress.settle();
+        progress.wait_written();
     }
     assert!(contains("line 4000\n"));
     // The queue may still be full behind the lines that were seen, and then this one is lost too.
     while !contains("the end\n") && clock::now() < until {
         pipe.write_all(b"the end\n").unwrap();
-        progress.settle();
+        progress.wait_written();
     }
     assert!(contains("lines were lost, the reader of the log is slow\nthe end\n"));
 }
--- a/lib/tests/test_suspended.rs
+++ b/lib/tests/test_suspended.rs
@@ -15,8 +15,8 @@
 use spokelift_platform::worker::Peer;
 use spokelift_platform::worker::PollResponse;
 use spokelift_testutils::batch::accepted;
-use spokelift_testutils::batch::addr;
 use spokelift_testutils::batch::entry;
+use spokelift_testutils::batch::unused_addr;
 
 const SUSPENDED_TIME: Duration = Duration::from_secs(6);
 
@@ -31,7 +31,7 @@
 fn the_suspended_time_counts() {
     let _clock = lock();
     let before = clock::now();
-    clock::pretend_suspended(SUSPENDED_TIME);
+    clock::simulate_suspension(SUSPENDED_TIME);
     assert!(clock::since(before) >= SUSPENDED_TIME);
     assert!(clock::now() - before < SUSPENDED_TIME * 10, "it counts once");
 }
@@ -40,8 +40,11 @@
 fn a_timer_is_set_for_the_remaining_time() {
     let _clock = lock();
     let due = clock::now() + SUSPENDED_TIME / 2;
-    clock::pretend_suspended(SUSPENDED_TIME);
-    assert!(clock::timer(due) <= tokio::time::Instant::now(), "it is due when the node wakes up");
+    clock::simulate_suspension(SUSPENDED_TIME);
+    assert!(
+        clock::timer_instant(due) <= tokio::time::Instant::now(),
+        "it is due when the node wakes up"
+    );
 }
 
 #[test]
@@ -49,7 +52,7 @@
     let _clock = lock();
     let renewed_at = clock::now();
     assert!(is_sole_leader(Some(renewed_at), clock::now()));
-    clock::pretend_suspended(SUSPENDED_TIME);
+    clock::simulate_suspension(SUSPENDED_TIME);
     assert!(!is_sole_leader(Some(renewed_at), clock::now()));
 }
 
@@ -58,7 +61,7 @@
     let _clock = lock();
     let lease = Lease::bounded();
     lease.extend(clock::now());
-    clock::pretend_suspended(SUSPENDED_TIME);
+    clock::simulate_suspension(SUSPENDED_TIME);
     assert!(!lease.is_valid());
 }
 
@@ -69,9 +72,9 @@
     let _clock = lock();
     let mut cell = Cell::new(10);
     cell.renewed_at = Some(clock::now());
-    clock::pretend_suspended(SUSPENDED_TIME);
+    clock::simulate_suspension(SUSPENDED_TIME);
     cell.discover(
-        Peer { incarnation: "w0".into(), addr: addr() },
+        Peer { incarnation: "w0".into(), addr: unused_addr() },
         entry("m0", 4_000),
         clock::now(),
     );
--- a/lib/tests/test_table.rs
+++ b/lib/tests/test_table.rs
@@ -21,7 +21,7 @@
 use spokelift_platform::worker::Run;
 use spokelift_platform::worker::Running;
 use spokelift_testutils::batch;
-use spokelift_testutils::batch::addr;
+use spokelift_testutils::batch::unused_addr;
 
 const TOKEN: u64 = 7;
 /// Time between two rounds of placement that only the passing of time requires.
@@ -33,7 +33,7 @@
 fn entry(number: usize, draining: bool) -> Entry {
     Entry {
         service: SERVICES[number % SERVICES.len()].to_owned(),
-        address: addr(),
+        address: unused_addr(),
         hall: "hall-1".to_owned(),
         draining,
         capacity: Resources { cpu: 8_000, memory_mb: 8_000, gpu: 0 },
@@ -118,7 +118,7 @@
     }
 
     fn discover(&mut self, number: usize, draining: bool) {
-        let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
+        let peer = Peer { incarnation: format!("w{number}").into(), addr: unused_addr() };
         self.cell.discover(peer, entry(number, draining), self.now);
     }
 
@@ -209,7 +209,7 @@
             Event::Drain(number) => self.discover(number, true),
             Event::Unlist(number) => self.cell.mark_unlisted(&format!("w{number}"), None),
             Event::Resize(number, cpu) => {
-                let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
+                let peer = Peer { incarnation: format!("w{number}").into(), addr: unused_addr() };
                 let capacity = Resources { cpu, ..entry(number, false).capacity };
                 self.cell.discover(peer, Entry { capacity, ..entry(number, false) }, self.now);
             }
@@ -325,7 +325,7 @@
     let mut fixture = Fixture::new();
     for number in 0..own + other {
         let service = if number < own { "one" } else { "two" };
-        let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
+        let peer = Peer { incarnation: format!("w{number}").into(), addr: unused_addr() };
         let machine = Some(format!("m{number}"));
         let entry = Entry { service: service.to_owned(), machine, ..entry(number, false) };
         fixture.cell.discover(peer, entry, fixture.now);
--- a/lib/tests/test_takeover.rs
+++ b/lib/tests/test_takeover.rs
@@ -18,8 +18,8 @@
 use spokelift_lib::state::planner::Planner;
 use spokelift_lib::state::record::Batch;
 use spokelift_lib::state::record::Body;
-use spokelift_lib::state::record::Claim;
 use spokelift_lib::state::record::Record;
+use spokelift_lib::state::record::StepRef;
 use spokelift_lib::state::snapshot;
 
 const PLAN: u64 = 7;
@@ -118,7 +118,7 @@
 
     /// Performs the next action of a driver. A driver that is refused stops, as in the product.
     fn act(&mut self, driver: usize, compare: bool) {
-        let claim = |epoch| Claim { plan: PLAN, epoch, step: 0 };
+        let claim = |epoch| StepRef { plan: PLAN, epoch, step: 0 };
         self.drivers[driver] = match self.drivers[driver] {
             DriverState::Start => {
                 let epoch = self.fleet.plans[&PLAN].driver.epoch + 1;
--- a/lib/tests/test_unheard.rs
+++ b/lib/tests/test_unheard.rs
@@ -16,7 +16,7 @@
 use spokelift_platform::worker::PollResponse;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::accepted;
-use spokelift_testutils::batch::addr;
+use spokelift_testutils::batch::unused_addr;
 
 const TICK: Duration = Duration::from_millis(100);
 /// What a slow clock and the interval between two records may add to the longest lease.
@@ -31,7 +31,7 @@
 }
 
 fn peer(id: &str) -> Peer {
-    Peer { incarnation: id.into(), addr: addr() }
+    Peer { incarnation: id.into(), addr: unused_addr() }
 }
 
 fn idle(clock: u64) -> PollResponse {
--- a/lib/tests/test_upkeep.rs
+++ b/lib/tests/test_upkeep.rs
@@ -17,12 +17,16 @@
 use spokelift_platform::worker::Run;
 use spokelift_platform::worker::Running;
 use spokelift_testutils::batch::accepted;
-use spokelift_testutils::batch::addr;
 use spokelift_testutils::batch::entry;
+use spokelift_testutils::batch::unused_addr;
 
 fn discover(cell: &mut Cell, id: &str, now: Instant) {
     let machine = format!("m-{id}");
-    cell.discover(Peer { incarnation: id.into(), addr: addr() }, entry(&machine, 8_000), now);
+    cell.discover(
+        Peer { incarnation: id.into(), addr: unused_addr() },
+        entry(&machine, 8_000),
+        now,
+    );
 }
 
 /// A worker answers a poll, `at` milliseconds on its clock, and runs these tasks.
@@ -155,7 +159,7 @@
 
 fn list_as_draining(cell: &mut Cell, id: &str, now: Instant) {
     let draining = Entry { draining: true, ..entry(&format!("m-{id}"), 8_000) };
-    cell.discover(Peer { incarnation: id.into(), addr: addr() }, draining, now);
+    cell.discover(Peer { incarnation: id.into(), addr: unused_addr() }, draining, now);
 }
 
 /// Stopping both at the same moment would leave one more unavailable than allowed.
--- a/lib/tests/test_wave.rs
+++ b/lib/tests/test_wave.rs
@@ -17,9 +17,9 @@
 use spokelift_lib::state::planner::Planner;
 use spokelift_lib::state::record::Batch;
 use spokelift_lib::state::record::Body;
-use spokelift_lib::state::record::Claim;
 use spokelift_lib::state::record::Record;
-use spokelift_lib::state::wave::choose;
+use spokelift_lib::state::record::StepRef;
+use spokelift_lib::state::wave::choose_steps;
 
 const PLAN: u64 = 1;
 
@@ -51,8 +51,8 @@
     }
 }
 
-fn claim(step: u32) -> Claim {
-    Claim { plan: PLAN, epoch: 1, step }
+fn claim(step: u32) -> StepRef {
+    StepRef { plan: PLAN, epoch: 1, step }
 }
 
 fn site(boxes: usize, limits: (u32, u32, u32), min_up: u32, replicas: u32) -> Site {
@@ -82,7 +82,7 @@
     site.start(2, place);
     if let Some(plan) = site.fleet.plans.get(&2).cloned() {
         for step in 0..plan.steps.len() as u32 {
-            let claim = Claim { plan: 2, epoch: 1, step };
+            let claim = StepRef { plan: 2, epoch: 1, step };
             assert!(site.apply(Body::Assign(claim)));
             assert!(site.apply(Body::Finish(claim, Outcome::Done)));
         }
@@ -110,12 +110,12 @@
     ) {
         let mut site = site(boxes, limits, min_up, replicas);
         for (number, down) in events {
-            let begin = choose(&site.fleet, site.plan(), &BTreeSet::new()).begin;
+            let begin = choose_steps(&site.fleet, site.plan(), &BTreeSet::new()).ready;
             for step in begin {
                 prop_assert!(site.apply(Body::Permit(claim(step))), "step {step} was chosen");
             }
             let width = site.plan().width_of("p");
-            let started_steps = site.plan().steps.iter().filter(|s| s.progress.is_begun()).count();
+            let started_steps = site.plan().steps.iter().filter(|s| s.progress.is_under_way()).count();
             for step in 0..site.plan().steps.len() as u32 {
                 let waiting = site.plan().steps[step as usize].progress == Progress::Waiting;
                 let mut other = Site { fleet: site.fleet.clone(), shapes: site.shapes.clone() };
@@ -129,7 +129,7 @@
             } else {
                 site.apply(Body::Up(vec![target]));
             }
-            let started = site.plan().steps.iter().position(|step| step.progress.is_begun());
+            let started = site.plan().steps.iter().position(|step| step.progress.is_under_way());
             if let Some(step) = started {
                 prop_assert!(site.apply(Body::Finish(claim(step as u32), Outcome::Done)));
             }
--- a/lib/tests/test_wave_plan.rs
+++ b/lib/tests/test_wave_plan.rs
@@ -35,8 +35,8 @@
 use spokelift_platform::worker::Running;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::accepted;
-use spokelift_testutils::batch::addr;
 use spokelift_testutils::batch::entry;
+use spokelift_testutils::batch::unused_addr;
 
 const STEP: Duration = Duration::from_millis(150);
 /// How long a box is down for its maintenance.
@@ -121,7 +121,7 @@
     fn start_worker(&mut self, name: &str) {
         self.count += 1;
         let worker = format!("w{}", self.count);
-        let peer = Peer { incarnation: worker.clone().into(), addr: addr() };
+        let peer = Peer { incarnation: worker.clone().into(), addr: unused_addr() };
         self.cell.discover(peer, entry(name, CAPACITY), self.now);
         let simulated =
             SimulatedWorker { worker, runs: BTreeMap::new(), stopping: Vec::new(), last_end: 0 };
@@ -148,7 +148,7 @@
             })
             .collect();
         for (name, worker) in &workers {
-            let peer = Peer { incarnation: worker.clone().into(), addr: addr() };
+            let peer = Peer { incarnation: worker.clone().into(), addr: unused_addr() };
             self.cell.discover(peer, entry(name, CAPACITY), self.now);
         }
         self.admit(true);
--- a/testutils/src/batch.rs
+++ b/testutils/src/batch.rs
@@ -1,7 +1,7 @@
 //! Samples for tests of batch work that need no process: an accepted job, a worker's entry.
 
-pub mod play;
 pub mod published;
+pub mod simulation;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 use tokio::net::TcpListener;
 
 /// An address at which nothing is called.
-pub fn addr() -> SocketAddr {
+pub fn unused_addr() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
@@ -56,7 +56,7 @@
 pub fn entry(machine: &str, cpu: u32) -> Entry {
     Entry {
         service: "work".to_owned(),
-        address: addr(),
+        address: unused_addr(),
         hall: "hall-1".to_owned(),
         draining: false,
         capacity: Resources { cpu, memory_mb: cpu, gpu: 0 },
--- a/testutils/src/batch/published.rs
+++ b/testutils/src/batch/published.rs
@@ -9,11 +9,11 @@
 /// ```
 /// use serde_json::Value;
 /// use spokelift_lib::batch::config::Config;
-/// use spokelift_testutils::batch::published::published;
-/// let config = Config::decode(&published(3, &[("q", Some(true))], Value::Null)).unwrap();
+/// use spokelift_testutils::batch::published_config::published_config;
+/// let config = Config::decode(&published_config(3, &[("q", Some(true))], Value::Null)).unwrap();
 /// assert_eq!((config.version, config.queues.len()), (3, 1));
 /// ```
-pub fn published(version: u64, queues: &[(&str, Option<bool>)], accounts: Value) -> Vec<u8> {
+pub fn published_config(version: u64, queues: &[(&str, Option<bool>)], accounts: Value) -> Vec<u8> {
     let queues = queues.iter().map(|(name, is_public)| {
         let mut queue = json!({
             "name": name, "host": "h", "pathPrefix": format!("/{name}/"), "service": "work",
--- a/testutils/src/boxes.rs
+++ b/testutils/src/boxes.rs
@@ -8,14 +8,14 @@
 use hyper::Response;
 use hyper::body::Incoming;
 use spokelift_lib::protocol::boxes::List;
-use spokelift_lib::protocol::boxes::Listed;
+use spokelift_lib::protocol::boxes::ListedBox;
 use spokelift_lib::transport::dial::Body;
 use spokelift_lib::transport::serve::serve;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::log::json;
-use crate::log::query;
+use crate::log::json_response;
+use crate::log::query_number;
 
 /// A running box list. Clones are the same list.
 #[derive(Clone)]
@@ -29,12 +29,12 @@
 struct State {
     version: u64,
     /// Each box with the version at which it last changed.
-    boxes: Vec<(u64, Listed)>,
+    boxes: Vec<(u64, ListedBox)>,
 }
 
 impl State {
     /// Boxes that changed after a version.
-    fn after(&self, version: u64) -> List {
+    fn changed_since(&self, version: u64) -> List {
         let changed = self.boxes.iter().filter(|(at, _)| *at > version);
         let boxes = changed.map(|(_, listed)| listed.clone());
         List {
@@ -48,7 +48,7 @@
 
 impl Boxes {
     /// Starts a list on a port chosen by the system.
-    pub async fn start(boxes: Vec<Listed>) -> std::io::Result<Boxes> {
+    pub async fn start(boxes: Vec<ListedBox>) -> std::io::Result<Boxes> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
         let inner = Arc::new(Mutex::new(State {
@@ -86,5 +86,5 @@
 
 fn answer(inner: &Mutex<State>, request: &Request<Incoming>) -> Response<Body> {
     let state = inner.lock().expect("no holder panics");
-    json(&state.after(query(request, "after").unwrap_or(0)))
+    json_response(&state.changed_since(query_number(request, "after").unwrap_or(0)))
 }
--- a/testutils/src/caller.rs
+++ b/testutils/src/caller.rs
@@ -19,17 +19,17 @@
 use tokio::time::sleep;
 
 use crate::ledger::Ledger;
+use crate::ledger::Outcome;
 use crate::ledger::Token;
-use crate::ledger::Told;
 use crate::worker::RUN_MS;
 use crate::worker::TOKEN;
 
 /// How long a caller waits for its answer.
-const WAIT: Duration = Duration::from_secs(20);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 /// Largest answer a caller takes, in bytes.
-const MAX_ANSWER: usize = 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 /// How long the balancer waits for a health check.
-const HEALTH_WAIT: Duration = Duration::from_millis(300);
+const HEALTH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// One request of a caller.
 #[derive(Clone, Debug)]
@@ -62,41 +62,51 @@
 
 /// Sends a request to an entry box and returns what the caller was told, and what it saw last where
 /// that is no outcome.
-pub async fn call(dialer: &Dialer, entry: SocketAddr, call: &Call) -> (Told, Option<String>) {
-    let answer = dialer.exchange(entry, call.request(), MAX_ANSWER, WAIT).await;
+pub async fn call(dialer: &Dialer, entry: SocketAddr, call: &Call) -> (Outcome, Option<String>) {
+    let answer = dialer.exchange(entry, call.request(), MAX_ANSWER_BYTES, ANSWER_TIMEOUT).await;
     match answer {
         Ok(answer) => {
-            let told = read(call, &answer);
-            let seen = (told == Told::Nothing).then(|| format!("saw status {}", answer.status()));
+            let told = read_outcome(call, &answer);
+            let seen =
+                (told == Outcome::Nothing).then(|| format!("saw status {}", answer.status()));
             (told, seen)
         }
         // Nobody has heard of the request; a balancer would say so, too.
-        Err(ExchangeError::NotSent(_)) => (Told::NotRun, None),
-        Err(error) => (Told::Nothing, Some(format!("saw {error:?}"))),
+        Err(ExchangeError::NotSent(_)) => (Outcome::NotRun, None),
+        Err(error) => (Outcome::Nothing, Some(format!("saw {error:?}"))),
     }
 }
 
-fn read(call: &Call, answer: &Response<Bytes>) -> Told {
+fn read_outcome(call: &Call, answer: &Response<Bytes>) -> Outcome {
     let outcome = answer.headers().get(OUTCOME).map(|value| value.as_bytes());
     match outcome {
-        Some(b"not-run") => Told::NotRun,
-        Some(b"unknown") => Told::Unknown,
+        Some(b"not-run") => Outcome::NotRun,
+        Some(b"unknown") => Outcome::Unknown,
         Some(b"answered") => {
             let own = format!("{} ran {} bytes", call.token, call.body.len());
-            if answer.body().as_ref() == own.as_bytes() { Told::Answered } else { Told::Crossed }
+            if answer.body().as_ref() == own.as_bytes() {
+                Outcome::Answered
+            } else {
+                Outcome::Crossed
+            }
         }
-        _ => Told::Nothing,
+        _ => Outcome::Nothing,
     }
 }
 
 /// Sends a request and writes both sides of it into the ledger.
-pub async fn call_on(ledger: &Ledger, dialer: &Dialer, entry: SocketAddr, request: &Call) -> Told {
-    ledger.sent(request.token, request.repeatable);
+pub async fn call_and_record(
+    ledger: &Ledger,
+    dialer: &Dialer,
+    entry: SocketAddr,
+    request: &Call,
+) -> Outcome {
+    ledger.record_sent(request.token, request.repeatable);
     let (told, seen) = call(dialer, entry, request).await;
     if let Some(seen) = seen {
-        ledger.note(request.token, seen);
+        ledger.add_note(request.token, seen);
     }
-    ledger.told(request.token, told);
+    ledger.record_outcome(request.token, told);
     told
 }
 
@@ -111,7 +121,7 @@
     /// A balancer over these entry boxes, none of them known to be healthy.
     pub fn new(entries: Vec<SocketAddr>) -> Balancer {
         let healthy = Mutex::new(vec![false; entries.len()]);
-        Balancer { entries, healthy, dialer: Dialer::new(HEALTH_WAIT) }
+        Balancer { entries, healthy, dialer: Dialer::new(HEALTH_TIMEOUT) }
     }
 
     /// A healthy entry box, chosen at random.
@@ -130,7 +140,7 @@
     }
 
     /// Whether all entry boxes are healthy.
-    pub fn all_healthy(&self) -> bool {
+    pub fn are_all_healthy(&self) -> bool {
         self.healthy.lock().expect("no holder panics").iter().all(|healthy| *healthy)
     }
 
@@ -138,7 +148,7 @@
     pub async fn check(&self) {
         for (index, addr) in self.entries.iter().enumerate() {
             let request = Request::get(HEALTH).body(full("")).expect("a constant path is valid");
-            let answer = self.dialer.exchange(*addr, request, 1024, HEALTH_WAIT).await;
+            let answer = self.dialer.exchange(*addr, request, 1024, HEALTH_TIMEOUT).await;
             let ok = answer.is_ok_and(|answer| answer.status().is_success());
             self.healthy.lock().expect("no holder panics")[index] = ok;
         }
--- a/testutils/src/entry.rs
+++ b/testutils/src/daemon.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 /// A daemon on its own runtime. Dropped, it ends like one that is killed.
-pub struct Entry {
+pub struct Daemon {
     /// Where it listens.
     pub addrs: Addrs,
     runtime: Option<Runtime>,
@@ -21,9 +21,9 @@
     stopped: Option<oneshot::Receiver<()>>,
 }
 
-impl Entry {
+impl Daemon {
     /// Starts a daemon. Must not be called on a runtime's own thread.
-    pub fn start(settings: Settings) -> io::Result<Entry> {
+    pub fn start(settings: Settings) -> io::Result<Daemon> {
         let name = format!("entry-{}", settings.id);
         let runtime =
             Builder::new_multi_thread().worker_threads(1).thread_name(name).enable_all().build()?;
@@ -37,7 +37,7 @@
                 let _ = done.send(());
             }
         });
-        Ok(Entry { addrs, runtime: Some(runtime), stop, stopped: Some(stopped) })
+        Ok(Daemon { addrs, runtime: Some(runtime), stop, stopped: Some(stopped) })
     }
 
     /// Ends the daemon at once: its tasks stop where they are and its sockets close.
@@ -57,7 +57,7 @@
     }
 }
 
-impl Drop for Entry {
+impl Drop for Daemon {
     fn drop(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
--- a/testutils/src/fixture.rs
+++ b/testutils/src/fixture.rs
@@ -13,7 +13,7 @@
 use hyper::Response;
 use hyper::header::AUTHORIZATION;
 use serde_json::Value;
-use spokelift_lib::protocol::boxes::Listed;
+use spokelift_lib::protocol::boxes::ListedBox;
 use spokelift_lib::state::account::format_hash;
 use spokelift_lib::state::account::hash_secret;
 use spokelift_lib::transport::dial::Dialer;
@@ -24,7 +24,7 @@
 use crate::caller;
 use crate::caller::Call;
 use crate::ledger::Ledger;
-use crate::ledger::Told;
+use crate::ledger::Outcome;
 use crate::log::Log;
 use crate::process::Process;
 use crate::proxy::Link;
@@ -35,20 +35,20 @@
 use crate::worker::Worker;
 
 /// Longest that a test waits for something to come about.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(30);
+const CHECK_INTERVAL: Duration = Duration::from_millis(30);
 /// Time a worker's reboot takes.
-const REBOOT: Duration = Duration::from_millis(300);
+const REBOOT_TIME: Duration = Duration::from_millis(300);
 /// How long a daemon may take to answer an operator.
-const WAIT: Duration = Duration::from_secs(15);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 /// The site operator's secret.
 pub const SITE_SECRET: &str = "fixture-site-secret";
 /// The site operator's credential.
 pub const SITE_KEY: &str = "site:fixture-site-secret";
 
 /// A site of twelve boxes: two accounts with a pool and a service each.
-pub const SMALL: Site = Site {
+pub const SMALL_SITE: Site = Site {
     name: "small",
     halls: &["hall-1", "hall-2", "hall-3"],
     weigh: "buffer",
@@ -101,12 +101,12 @@
         daemons: usize,
         flags: &[(&'static str, &str)],
     ) -> io::Result<Fixture> {
-        let site = SMALL;
+        let site = SMALL_SITE;
         let ledger = Ledger::new(site.ledger_pools());
         let log = Log::start().await?;
         let mut workers = Vec::new();
         for listed in site.boxes() {
-            workers.push(Worker::start(own_addr(listed), ledger.clone(), REBOOT).await?);
+            workers.push(Worker::start(with_test_addr(listed), ledger.clone(), REBOOT_TIME).await?);
         }
         let listed = workers.iter().map(|worker| worker.listed.clone());
         let boxes = Boxes::start(listed.collect()).await?;
@@ -124,7 +124,7 @@
             workers,
             boxes_link,
             log_links,
-            peer_links: links(daemons).await?,
+            peer_links: start_links(daemons).await?,
             daemons: (0..daemons).map(|_| None).collect(),
             program: program.to_owned(),
             dialer: Dialer::new(Duration::from_secs(1)),
@@ -133,7 +133,7 @@
         for id in 0..daemons {
             fixture.start_daemon(id)?;
         }
-        fixture.until_serving().await;
+        fixture.wait_until_serving().await;
         Ok(fixture)
     }
 
@@ -187,34 +187,34 @@
     }
 
     /// Waits until `holds` returns true. Panics if it does not in time.
-    pub async fn until(&self, what: &str, mut holds: impl AsyncFnMut() -> bool) {
+    pub async fn wait_until(&self, what: &str, mut holds: impl AsyncFnMut() -> bool) {
         let begun = Instant::now();
         while !holds().await {
-            if begun.elapsed() > PATIENCE {
-                panic!("waited in vain until {what}\n{}", self.report().await);
+            if begun.elapsed() > WAIT_TIMEOUT {
+                panic!("waited in vain until {what}\n{}", self.describe_daemons().await);
             }
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
     }
 
     /// What the daemons that answer say of themselves, for whoever reads a failed test.
-    async fn report(&self) -> String {
+    async fn describe_daemons(&self) -> String {
         let mut report = String::new();
         for id in (0..self.daemons.len()).filter(|id| self.daemons[*id].is_some()) {
-            let (_, status) = self.operate(id, "GET", "/v1/status", "").await;
-            let (_, counters) = self.operate(id, "GET", "/v1/counters", "").await;
+            let (_, status) = self.call_operator_api(id, "GET", "/v1/status", "").await;
+            let (_, counters) = self.call_operator_api(id, "GET", "/v1/counters", "").await;
             report += &format!("daemon {id}: {status}\n{counters:#}\n");
         }
         report
     }
 
     /// Waits until every daemon that runs serves and hears all others that run.
-    pub async fn until_serving(&self) {
+    pub async fn wait_until_serving(&self) {
         let running: Vec<usize> =
             (0..self.daemons.len()).filter(|id| self.daemons[*id].is_some()).collect();
-        self.until("every daemon serves", async || {
+        self.wait_until("every daemon serves", async || {
             for id in &running {
-                let (_, status) = self.operate(*id, "GET", "/v1/status", "").await;
+                let (_, status) = self.call_operator_api(*id, "GET", "/v1/status", "").await;
                 let peers = status["peers"].as_array().map_or(0, Vec::len);
                 if status["serving"] != true || peers + 1 < running.len() {
                     return false;
@@ -226,12 +226,18 @@
     }
 
     /// An operator's request with the site's credential: status and JSON.
-    pub async fn operate(&self, id: usize, method: &str, path: &str, body: &str) -> (u16, Value) {
-        self.operate_as(SITE_KEY, id, method, path, body).await
+    pub async fn call_operator_api(
+        &self,
+        id: usize,
+        method: &str,
+        path: &str,
+        body: &str,
+    ) -> (u16, Value) {
+        self.call_operator_api_as(SITE_KEY, id, method, path, body).await
     }
 
     /// An operator's request with a credential; status 0 if there was no answer.
-    pub async fn operate_as(
+    pub async fn call_operator_api_as(
         &self,
         key: &str,
         id: usize,
@@ -246,7 +252,7 @@
             .body(full(body.to_owned()))
             .expect("tests make valid requests");
         let addr = self.addrs(id).operate;
-        match self.dialer.exchange(addr, request, 1 << 26, WAIT).await {
+        match self.dialer.exchange(addr, request, 1 << 26, ANSWER_TIMEOUT).await {
             Ok(answer) => {
                 let json = serde_json::from_slice(answer.body()).unwrap_or(Value::Null);
                 (answer.status().as_u16(), json)
@@ -257,7 +263,8 @@
 
     /// Publishes the site's configuration and places each service on all boxes of its pool.
     pub async fn set_up(&self) {
-        let (status, answer) = self.operate(0, "POST", "/v1/publish", &self.site.config()).await;
+        let (status, answer) =
+            self.call_operator_api(0, "POST", "/v1/publish", &self.site.config()).await;
         assert_eq!(status, 200, "{answer}");
         for pool in self.site.pools {
             for (service, _) in pool.services {
@@ -265,36 +272,36 @@
                     r#"{{"place":{{"account":"{}","service":"{service}","replicas":{}}}}}"#,
                     pool.account, pool.boxes
                 );
-                let plan = self.confirmed(0, &intent).await;
-                self.until_over(0, &plan).await;
+                let plan = self.propose_and_confirm(0, &intent).await;
+                self.wait_until_plan_ended(0, &plan).await;
             }
         }
     }
 
     /// States an intent; returns the plan's id.
-    pub async fn proposed(&self, id: usize, intent: &str) -> String {
-        let (status, plan) = self.operate(id, "POST", "/v1/intents", intent).await;
+    pub async fn propose(&self, id: usize, intent: &str) -> String {
+        let (status, plan) = self.call_operator_api(id, "POST", "/v1/intents", intent).await;
         assert_eq!(status, 200, "{plan}");
         plan["id"].as_str().expect("a plan has an id").to_owned()
     }
 
     /// States an intent and confirms its plan; returns the plan's id.
-    pub async fn confirmed(&self, id: usize, intent: &str) -> String {
-        let plan = self.proposed(id, intent).await;
+    pub async fn propose_and_confirm(&self, id: usize, intent: &str) -> String {
+        let plan = self.propose(id, intent).await;
         let path = format!("/v1/plans/{plan}/confirm");
-        let (status, answer) = self.operate(id, "POST", &path, "").await;
+        let (status, answer) = self.call_operator_api(id, "POST", &path, "").await;
         assert_eq!(status, 200, "{answer}");
         plan
     }
 
     /// A plan as a daemon sees it.
     pub async fn plan(&self, id: usize, plan: &str) -> Value {
-        self.operate(id, "GET", &format!("/v1/plans/{plan}"), "").await.1
+        self.call_operator_api(id, "GET", &format!("/v1/plans/{plan}"), "").await.1
     }
 
     /// Waits until a plan is over.
-    pub async fn until_over(&self, id: usize, plan: &str) {
-        self.until("the plan is over", async || {
+    pub async fn wait_until_plan_ended(&self, id: usize, plan: &str) {
+        self.wait_until("the plan is over", async || {
             let phase = self.plan(id, plan).await["phase"].clone();
             phase == "done" || phase == "aborted"
         })
@@ -303,12 +310,12 @@
 
     /// One counter of a daemon.
     pub async fn counter(&self, id: usize, name: &str) -> u64 {
-        let (_, counters) = self.operate(id, "GET", "/v1/counters", "").await;
+        let (_, counters) = self.call_operator_api(id, "GET", "/v1/counters", "").await;
         counters[name].as_u64().unwrap_or(0)
     }
 
     /// A request of an account's caller.
-    pub fn call_of(&self, account: &str, service: &str, token: u64) -> Call {
+    pub fn build_call(&self, account: &str, service: &str, token: u64) -> Call {
         Call {
             token,
             credential: format!("{account}:{}", caller_secret(account)),
@@ -320,29 +327,29 @@
     }
 
     /// Sends a request through a daemon and writes both sides into the ledger.
-    pub async fn call(&self, id: usize, call: &Call) -> Told {
-        caller::call_on(&self.ledger, &self.dialer, self.addrs(id).call, call).await
+    pub async fn call(&self, id: usize, call: &Call) -> Outcome {
+        caller::call_and_record(&self.ledger, &self.dialer, self.addrs(id).call, call).await
     }
 
     /// Sends any request to a daemon's address for callers.
-    pub async fn raw_call(
+    pub async fn send_raw(
         &self,
         id: usize,
         request: Request<spokelift_lib::transport::dial::Body>,
     ) -> Option<Response<Bytes>> {
         let addr = self.addrs(id).call;
-        self.dialer.exchange(addr, request, 1 << 20, WAIT).await.ok()
+        self.dialer.exchange(addr, request, 1 << 20, ANSWER_TIMEOUT).await.ok()
     }
 }
 
 /// Test sites run side by side in one process and each other's: a box's address is its own by
 /// its port.
-fn own_addr(listed: Listed) -> Listed {
+fn with_test_addr(listed: ListedBox) -> ListedBox {
     let addr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 3, 0, 1)), 0);
-    Listed { addr, ..listed }
+    ListedBox { addr, ..listed }
 }
 
-async fn links(daemons: usize) -> io::Result<Vec<Vec<Option<Link>>>> {
+async fn start_links(daemons: usize) -> io::Result<Vec<Vec<Option<Link>>>> {
     let mut all = Vec::new();
     for from in 0..daemons {
         let mut links = Vec::new();
--- a/testutils/src/kills.rs
+++ b/testutils/src/kills.rs
@@ -12,7 +12,7 @@
 
 #[derive(Debug, Default)]
 struct Counts {
-    begun: AtomicU64,
+    started: AtomicU64,
     ended: AtomicU64,
 }
 
@@ -27,12 +27,12 @@
     }
 
     /// A kill of an entry box begins.
-    pub fn begin(&self, entry: usize) {
-        self.boxes[entry].begun.fetch_add(1, Ordering::SeqCst);
+    pub fn record_started(&self, entry: usize) {
+        self.boxes[entry].started.fetch_add(1, Ordering::SeqCst);
     }
 
     /// A kill of an entry box is over: nothing of it runs any more.
-    pub fn end(&self, entry: usize) {
+    pub fn record_ended(&self, entry: usize) {
         self.boxes[entry].ended.fetch_add(1, Ordering::SeqCst);
     }
 
@@ -47,14 +47,14 @@
     /// # use spokelift_testutils::kills::Kills;
     /// let kills = Kills::new(1);
     /// let before = kills.mark(0);
-    /// assert!(!kills.reached(0, before));
-    /// kills.begin(0);
+    /// assert!(!kills.was_killed_since(0, before));
+    /// kills.record_started(0);
     /// let during = kills.mark(0);
-    /// kills.end(0);
-    /// assert!(kills.reached(0, before) && kills.reached(0, during));
-    /// assert!(!kills.reached(0, kills.mark(0)));
+    /// kills.record_ended(0);
+    /// assert!(kills.was_killed_since(0, before) && kills.was_killed_since(0, during));
+    /// assert!(!kills.was_killed_since(0, kills.mark(0)));
     /// ```
-    pub fn reached(&self, entry: usize, since: Mark) -> bool {
-        self.boxes[entry].begun.load(Ordering::SeqCst) > since.0
+    pub fn was_killed_since(&self, entry: usize, since: Mark) -> bool {
+        self.boxes[entry].started.load(Ordering::SeqCst) > since.0
     }
 }
--- a/testutils/src/ledger.rs
+++ b/testutils/src/ledger.rs
@@ -16,13 +16,13 @@
 pub type Token = u64;
 
 /// How long a box may still get work after it was told to drain.
-pub const LEAVING_GRACE: Duration = Duration::from_secs(2);
+pub const DRAIN_GRACE: Duration = Duration::from_secs(2);
 /// How long a dead box may go unnoticed before it counts against a budget.
-pub const NOTICE: Duration = Duration::from_secs(4);
+pub const DETECTION_TIME: Duration = Duration::from_secs(4);
 
 /// What a caller was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Outcome {
     /// A whole answer with the caller's own token.
     Answered,
     /// A whole answer with another token.
@@ -63,7 +63,7 @@
     work_after_leaving: u64,
     budget_breaches: u64,
     /// Each of them: when, the box that was told to drain, and which boxes of its pool were out and why.
-    breaches: Vec<(Instant, String)>,
+    breach_reports: Vec<(Instant, String)>,
     boxes_in_two_pools: u64,
     over_slots: u64,
     moves: u64,
@@ -75,22 +75,22 @@
     repeatable: bool,
     /// When and on which boxes it ran.
     runs: Vec<(Instant, BoxId)>,
-    told: Option<Told>,
-    told_at: Option<Instant>,
+    outcome: Option<Outcome>,
+    outcome_at: Option<Instant>,
     /// What the caller knows of it besides, in words.
     notes: Vec<String>,
 }
 
 impl Call {
     /// How a request ended that must not end so, if it did.
-    fn harm(&self) -> Option<&'static str> {
+    fn violation(&self) -> Option<&'static str> {
         let ran = !self.runs.is_empty();
-        match self.told {
+        match self.outcome {
             _ if !self.repeatable && self.runs.len() > 1 => Some("doubled"),
-            Some(Told::Answered) if !ran => Some("lost: answered, though no worker ran it"),
-            Some(Told::Crossed) => Some("crossed"),
-            Some(Told::NotRun) if ran => Some("told not run, though it ran"),
-            Some(Told::Nothing) | None => Some("lost: no outcome"),
+            Some(Outcome::Answered) if !ran => Some("lost: answered, though no worker ran it"),
+            Some(Outcome::Crossed) => Some("crossed"),
+            Some(Outcome::NotRun) if ran => Some("told not run, though it ran"),
+            Some(Outcome::Nothing) | None => Some("lost: no outcome"),
             _ => None,
         }
     }
@@ -104,7 +104,7 @@
     dead_since: Option<Instant>,
     /// It was told to run nothing, and does not serve again yet: on its way to another pool, it is out of none. A box
     /// that has never served in a pool cannot be missed there.
-    in_transit: bool,
+    is_in_transit: bool,
     inflight: BTreeSet<Token>,
 }
 
@@ -188,28 +188,28 @@
     }
 
     /// A caller sends a request.
-    pub fn sent(&self, token: Token, repeatable: bool) {
+    pub fn record_sent(&self, token: Token, repeatable: bool) {
         let mut inner = self.inner();
         inner.calls.entry(token).or_default().repeatable = repeatable;
     }
 
     /// A caller was told something.
-    pub fn told(&self, token: Token, told: Told) {
+    pub fn record_outcome(&self, token: Token, told: Outcome) {
         let mut inner = self.inner();
         let call = inner.calls.entry(token).or_default();
-        call.told = Some(told);
-        call.told_at = Some(Instant::now());
+        call.outcome = Some(told);
+        call.outcome_at = Some(Instant::now());
     }
 
     /// Writes down what else a caller knows of its request, for [`Ledger::harms`].
-    pub fn note(&self, token: Token, note: String) {
+    pub fn add_note(&self, token: Token, note: String) {
         self.inner().calls.entry(token).or_default().notes.push(note);
     }
 
     /// One line for each time that a box was told to drain beyond the budget of its pool. Times count from `since`.
-    pub fn breaches(&self, since: Instant) -> Vec<String> {
+    pub fn describe_breaches(&self, since: Instant) -> Vec<String> {
         let inner = self.inner();
-        let lines = inner.breaches.iter().map(|(at, line)| {
+        let lines = inner.breach_reports.iter().map(|(at, line)| {
             format!("at {} ms: {line}", at.saturating_duration_since(since).as_millis())
         });
         lines.collect()
@@ -217,21 +217,21 @@
 
     /// One line for each request that was lost, doubled, crossed or falsely told: what the caller was
     /// told, where it ran, and what was noted. Times count from `since`.
-    pub fn harms(&self, since: Instant) -> Vec<String> {
+    pub fn describe_violations(&self, since: Instant) -> Vec<String> {
         let ms = |at: Instant| at.saturating_duration_since(since).as_millis();
         let inner = self.inner();
         let harmed =
-            inner.calls.iter().filter_map(|(token, call)| Some((token, call, call.harm()?)));
+            inner.calls.iter().filter_map(|(token, call)| Some((token, call, call.violation()?)));
         let lines = harmed.map(|(token, call, harm)| {
             let runs: Vec<String> = call
                 .runs
                 .iter()
                 .map(|(at, target)| format!("{target} at {} ms", ms(*at)))
                 .collect();
-            let told_at = call.told_at.map(ms);
+            let told_at = call.outcome_at.map(ms);
             format!(
                 "request {token}: {harm}; told {:?} at {told_at:?} ms; ran on {runs:?}; {}",
-                call.told,
+                call.outcome,
                 call.notes.join("; ")
             )
         });
@@ -239,35 +239,36 @@
     }
 
     /// A worker begins to run a request.
-    pub fn begun(&self, target: &BoxId, token: Token) {
+    pub fn record_started(&self, target: &BoxId, token: Token) {
         let mut inner = self.inner();
         let run = (Instant::now(), target.clone());
         inner.calls.entry(token).or_default().runs.push(run);
         let state = inner.boxes.entry(target.clone()).or_default();
         state.inflight.insert(token);
-        let late = state.draining_since.is_some_and(|since| since.elapsed() > LEAVING_GRACE);
+        let late = state.draining_since.is_some_and(|since| since.elapsed() > DRAIN_GRACE);
         inner.work_after_leaving += u64::from(late);
     }
 
     /// A worker has run a request, or its caller has gone.
-    pub fn ended(&self, target: &BoxId, token: Token) {
+    pub fn record_ended(&self, target: &BoxId, token: Token) {
         let mut inner = self.inner();
         inner.boxes.entry(target.clone()).or_default().inflight.remove(&token);
     }
 
     /// A request came when all slots of its box were taken.
-    pub fn over_slots(&self) {
+    pub fn record_over_slots(&self) {
         self.inner().over_slots += 1;
     }
 
     /// A worker was told which jobs to run.
-    pub fn jobs(&self, target: &BoxId, jobs: &[ServiceKey]) {
+    pub fn record_jobs(&self, target: &BoxId, jobs: &[ServiceKey]) {
         let mut inner = self.inner();
-        let pools = inner.pools_of(jobs);
+        let pools = inner.pools_with(jobs);
         inner.boxes_in_two_pools += u64::from(pools.len() > 1);
         let state = inner.boxes.entry(target.clone()).or_default();
         // One that has new jobs and was told to drain does not serve them yet.
-        state.in_transit = jobs.is_empty() || state.in_transit && state.draining_since.is_some();
+        state.is_in_transit =
+            jobs.is_empty() || state.is_in_transit && state.draining_since.is_some();
         let Some(pool) = pools.first().copied() else {
             return;
         };
@@ -277,7 +278,7 @@
     }
 
     /// A worker was told to drain.
-    pub fn draining(&self, target: &BoxId) {
+    pub fn record_draining(&self, target: &BoxId) {
         let mut inner = self.inner();
         let state = inner.boxes.entry(target.clone()).or_default();
         if state.draining_since.is_some() {
@@ -286,26 +287,26 @@
         state.draining_since = Some(Instant::now());
         state.out_since = Some(Instant::now());
         let pool = state.pool;
-        let breach = pool.is_some_and(|pool| inner.out_of(pool) > inner.pools[pool].max_out);
+        let breach = pool.is_some_and(|pool| inner.count_out(pool) > inner.pools[pool].max_out);
         inner.budget_breaches += u64::from(breach);
         if let Some(pool) = pool.filter(|_| breach) {
-            let line = inner.breach(target, pool);
-            inner.breaches.push((Instant::now(), line));
+            let line = inner.describe_breach(target, pool);
+            inner.breach_reports.push((Instant::now(), line));
         }
     }
 
     /// A worker was told to serve again.
-    pub fn resumed(&self, target: &BoxId) {
+    pub fn record_resumed(&self, target: &BoxId) {
         let mut inner = self.inner();
         let state = inner.boxes.entry(target.clone()).or_default();
         state.draining_since = None;
-        state.in_transit = false;
+        state.is_in_transit = false;
         let out = state.out_since.take().map(|since| since.elapsed());
         inner.out_time += out.unwrap_or_default();
     }
 
     /// A worker reboots on command.
-    pub fn rebooted(&self, target: &BoxId) {
+    pub fn record_reboot(&self, target: &BoxId) {
         let mut inner = self.inner();
         let state = inner.boxes.entry(target.clone()).or_default();
         let cut = std::mem::take(&mut state.inflight).len() as u64;
@@ -313,7 +314,7 @@
     }
 
     /// A worker died.
-    pub fn died(&self, target: &BoxId) {
+    pub fn record_death(&self, target: &BoxId) {
         let mut inner = self.inner();
         let state = inner.boxes.entry(target.clone()).or_default();
         state.inflight.clear();
@@ -334,42 +335,42 @@
             ..Counts::default()
         };
         for call in inner.calls.values() {
-            counts.add(call);
+            counts.add_call(call);
         }
         counts
     }
 }
 
 impl Counts {
-    fn add(&mut self, call: &Call) {
+    fn add_call(&mut self, call: &Call) {
         self.requests += 1;
         let run = !call.runs.is_empty();
         self.doubled += u64::from(!call.repeatable && call.runs.len() > 1);
-        match call.told {
-            Some(Told::Answered) => {
+        match call.outcome {
+            Some(Outcome::Answered) => {
                 self.answered += 1;
                 self.lost += u64::from(!run);
             }
-            Some(Told::Crossed) => self.crossed += 1,
-            Some(Told::NotRun) => {
+            Some(Outcome::Crossed) => self.crossed += 1,
+            Some(Outcome::NotRun) => {
                 self.refused_not_run += 1;
                 self.false_not_run += u64::from(run);
             }
-            Some(Told::Unknown | Told::Killed) => self.unknown += 1,
-            Some(Told::Nothing) | None => self.lost += 1,
+            Some(Outcome::Unknown | Outcome::Killed) => self.unknown += 1,
+            Some(Outcome::Nothing) | None => self.lost += 1,
         }
     }
 }
 
 impl Inner {
-    fn pools_of(&self, jobs: &[ServiceKey]) -> Vec<usize> {
+    fn pools_with(&self, jobs: &[ServiceKey]) -> Vec<usize> {
         let pools = self.pools.iter().enumerate();
         let used = pools.filter(|(_, pool)| jobs.iter().any(|job| pool.services.contains(job)));
         used.map(|(index, _)| index).collect()
     }
 
     /// What is to be said of a box that was told to drain beyond the budget of its pool.
-    fn breach(&self, target: &BoxId, pool: usize) -> String {
+    fn describe_breach(&self, target: &BoxId, pool: usize) -> String {
         let ms = |since: Option<Instant>| since.map(|since| since.elapsed().as_millis());
         let own = self.boxes.iter().filter(|(_, state)| state.pool == Some(pool));
         let out = own.filter(|(_, state)| state.out_since.is_some() || state.dead_since.is_some());
@@ -377,7 +378,7 @@
             let (drains, dead) = (ms(state.out_since), ms(state.dead_since));
             format!(
                 "{name} told {drains:?} ms ago, dead {dead:?} ms, in transit {}",
-                state.in_transit
+                state.is_in_transit
             )
         });
         let (name, most) = (&self.pools[pool].name, self.pools[pool].max_out);
@@ -386,11 +387,11 @@
     }
 
     /// Boxes of a pool that are out, as far as anyone can know.
-    fn out_of(&self, pool: usize) -> usize {
-        let is_own = |state: &&BoxState| state.pool == Some(pool) && !state.in_transit;
+    fn count_out(&self, pool: usize) -> usize {
+        let is_own = |state: &&BoxState| state.pool == Some(pool) && !state.is_in_transit;
         let own = self.boxes.values().filter(is_own);
         let out = own.filter(|state| {
-            let dead = state.dead_since.is_some_and(|since| since.elapsed() > NOTICE);
+            let dead = state.dead_since.is_some_and(|since| since.elapsed() > DETECTION_TIME);
             dead || state.out_since.is_some()
         });
         out.count()
--- a/testutils/src/lib.rs
+++ b/testutils/src/lib.rs
@@ -8,8 +8,7 @@
 pub mod batch;
 pub mod boxes;
 pub mod caller;
-pub mod entry;
-pub mod file;
+pub mod daemon;
 pub mod fixture;
 pub mod kills;
 pub mod ledger;
@@ -20,4 +19,5 @@
 pub mod proxy;
 pub mod scenario;
 pub mod site;
+pub mod temp_file;
 pub mod worker;
--- a/testutils/src/log.rs
+++ b/testutils/src/log.rs
@@ -29,7 +29,7 @@
 use tokio::time::timeout;
 
 /// Most bytes of records in one answer.
-const MAX_PAGE: usize = 8 * 1024 * 1024;
+const MAX_PAGE_BYTES: usize = 8 * 1024 * 1024;
 
 /// A running log. Clones are the same log.
 #[derive(Clone)]
@@ -43,12 +43,12 @@
 #[derive(Default)]
 struct Inner {
     state: Mutex<State>,
-    grown: Notify,
+    appended: Notify,
 }
 
 #[derive(Default)]
 struct State {
-    first: Offset,
+    first_offset: Offset,
     records: VecDeque<Bytes>,
     faults: Faults,
     appends: u64,
@@ -59,13 +59,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     /// Every request is answered with 503.
-    pub away: bool,
+    pub unavailable: bool,
     /// Every answer is this late.
     pub delay: Duration,
     /// So many appends take effect and are then answered with 503.
     pub lose_answers: u32,
     /// So many appends take effect twice.
-    pub double: u32,
+    pub duplicate: u32,
 }
 
 impl Log {
@@ -92,25 +92,25 @@
     /// Appends a record past the protocol.
     pub fn put(&self, bytes: Bytes) {
         self.state().append(bytes);
-        self.inner.grown.notify_waiters();
+        self.inner.appended.notify_waiters();
     }
 
     /// Lets go of all records before `first`.
     pub fn retain_from(&self, first: Offset) {
         let mut state = self.state();
-        while state.first < first && !state.records.is_empty() {
+        while state.first_offset < first && !state.records.is_empty() {
             state.records.pop_front();
-            state.first += 1;
+            state.first_offset += 1;
         }
     }
 
     /// Offset that the next append will get.
-    pub fn next(&self) -> Offset {
-        self.state().next()
+    pub fn next_offset(&self) -> Offset {
+        self.state().next_offset()
     }
 
     /// Appends and reads answered so far.
-    pub fn served(&self) -> (u64, u64) {
+    pub fn request_counts(&self) -> (u64, u64) {
         let state = self.state();
         (state.appends, state.reads)
     }
@@ -118,7 +118,7 @@
     /// The records kept, with their offsets.
     pub fn records(&self) -> Vec<(Offset, Bytes)> {
         let state = self.state();
-        let offsets = state.first..;
+        let offsets = state.first_offset..;
         offsets.zip(state.records.iter().cloned()).collect()
     }
 
@@ -129,105 +129,105 @@
 }
 
 impl State {
-    fn next(&self) -> Offset {
-        self.first + self.records.len() as Offset
+    fn next_offset(&self) -> Offset {
+        self.first_offset + self.records.len() as Offset
     }
 
     fn append(&mut self, bytes: Bytes) -> Offset {
-        let offset = self.next();
+        let offset = self.next_offset();
         self.records.push_back(bytes);
         self.appends += 1;
         offset
     }
 
     fn page(&self, from: Offset, max: usize) -> Page {
-        let from = from.max(self.first);
-        let skip = (from - self.first) as usize;
+        let from = from.max(self.first_offset);
+        let skip = (from - self.first_offset) as usize;
         let mut bytes = 0;
         let mut records = Vec::new();
         for (index, record) in self.records.iter().enumerate().skip(skip).take(max) {
             bytes += record.len();
-            if bytes > MAX_PAGE && !records.is_empty() {
+            if bytes > MAX_PAGE_BYTES && !records.is_empty() {
                 break;
             }
-            records.push(Item::new(self.first + index as Offset, record));
+            records.push(Item::new(self.first_offset + index as Offset, record));
         }
-        Page { first: self.first, next: self.next(), records }
+        Page { first: self.first_offset, next: self.next_offset(), records }
     }
 }
 
 async fn answer(inner: Arc<Inner>, request: Request<Incoming>) -> Response<Body> {
     let faults = inner.state.lock().expect("no holder panics").faults;
     sleep(faults.delay).await;
-    if faults.away {
-        return status(503);
+    if faults.unavailable {
+        return empty_response(503);
     }
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::POST, APPEND) => append(&inner, request).await,
         (&Method::GET, READ) => read(&inner, request).await,
-        _ => status(404),
+        _ => empty_response(404),
     }
 }
 
 async fn append(inner: &Inner, request: Request<Incoming>) -> Response<Body> {
     let Ok(body) = request.into_body().collect().await else {
-        return status(400);
+        return empty_response(400);
     };
     let bytes = body.to_bytes();
     let (offset, lose) = {
         let mut state = inner.state.lock().expect("no holder panics");
         let offset = state.append(bytes.clone());
-        if state.faults.double > 0 {
-            state.faults.double -= 1;
+        if state.faults.duplicate > 0 {
+            state.faults.duplicate -= 1;
             state.append(bytes);
         }
         let lose = state.faults.lose_answers > 0;
         state.faults.lose_answers = state.faults.lose_answers.saturating_sub(1);
         (offset, lose)
     };
-    inner.grown.notify_waiters();
+    inner.appended.notify_waiters();
     if lose {
-        return status(503);
+        return empty_response(503);
     }
-    json(&Appended { offset })
+    json_response(&Appended { offset })
 }
 
 async fn read(inner: &Inner, request: Request<Incoming>) -> Response<Body> {
-    let from = query(&request, "from").unwrap_or(0);
-    let max = query(&request, "max").unwrap_or(100) as usize;
-    let wait = Duration::from_millis(query(&request, "wait_ms").unwrap_or(0));
-    let grown = inner.grown.notified();
+    let from = query_number(&request, "from").unwrap_or(0);
+    let max = query_number(&request, "max").unwrap_or(100) as usize;
+    let wait = Duration::from_millis(query_number(&request, "wait_ms").unwrap_or(0));
+    let grown = inner.appended.notified();
     let mut grown = std::pin::pin!(grown);
     grown.as_mut().enable();
-    let next = inner.state.lock().expect("no holder panics").next();
+    let next = inner.state.lock().expect("no holder panics").next_offset();
     if next <= from {
         let _ = timeout(wait, grown).await;
     }
     let mut state = inner.state.lock().expect("no holder panics");
-    if state.faults.away {
-        return status(503);
+    if state.faults.unavailable {
+        return empty_response(503);
     }
     state.reads += 1;
     let page = state.page(from, max);
     drop(state);
-    json(&page)
+    json_response(&page)
 }
 
 /// A number in a request's query.
-pub(crate) fn query(request: &Request<Incoming>, name: &str) -> Option<u64> {
+pub(crate) fn query_number(request: &Request<Incoming>, name: &str) -> Option<u64> {
     let query = request.uri().query().unwrap_or_default();
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(key, _)| *key == name)?;
     value.parse().ok()
 }
 
-pub(crate) fn json<T: serde::Serialize>(value: &T) -> Response<Body> {
+pub(crate) fn json_response<T: serde::Serialize>(value: &T) -> Response<Body> {
     let body = serde_json::to_vec(value).expect("the protocol's types can be written as JSON");
     Response::new(full(body))
 }
 
-pub(crate) fn status(code: u16) -> Response<Body> {
+pub(crate) fn empty_response(code: u16) -> Response<Body> {
     let response = Response::builder().status(code);
     response.body(full("")).expect("a status makes an answer")
 }
--- a/testutils/src/platform.rs
+++ b/testutils/src/platform.rs
@@ -18,7 +18,7 @@
 use spokelift_lib::transport::dial::full;
 
 /// An answer in JSON.
-pub(crate) fn answer(status: u16, body: &Value) -> Response<Body> {
+pub(crate) fn json_response(status: u16, body: &Value) -> Response<Body> {
     let response = Response::builder().status(status).header("content-type", "application/json");
     response.body(full(body.to_string())).expect("a status makes an answer")
 }
--- a/testutils/src/platform/advice.rs
+++ b/testutils/src/platform/advice.rs
@@ -13,12 +13,12 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::platform::answer;
+use crate::platform::json_response;
 use crate::platform::machines::Machines;
 use crate::platform::read_json;
 
 /// The only machine whose workers may run steps of queues that need advice.
-pub const GOOD_MACHINE: &str = "m-1";
+pub const ADVISED_MACHINE: &str = "m-1";
 /// How long a ticket is said to hold, in milliseconds.
 const VALID_MS: u64 = 1_000;
 
@@ -31,7 +31,7 @@
 pub struct Advice {
     /// Where it answers.
     pub addr: SocketAddr,
-    _open: Arc<watch::Sender<bool>>,
+    _shutdown: Arc<watch::Sender<bool>>,
 }
 
 impl Advice {
@@ -42,7 +42,7 @@
         let addr = listener.local_addr()?;
         let machines = machines.clone();
         tokio::spawn(serve(listener, closed, move |request| advise(machines.clone(), request)));
-        Ok(Advice { addr, _open: Arc::new(open) })
+        Ok(Advice { addr, _shutdown: Arc::new(open) })
     }
 }
 
@@ -50,8 +50,8 @@
     let question = read_json(request.into_body()).await;
     let named: Vec<&str> =
         question["workers"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
-    let good = machines.worker(GOOD_MACHINE).map(|worker| worker.id);
+    let good = machines.worker(ADVISED_MACHINE).map(|worker| worker.id);
     let good = good.filter(|id| named.contains(&id.as_str()));
     let rows: Vec<Value> = good.iter().map(|id| json!([id, ticket(id)])).collect();
-    answer(200, &json!({ "good": rows, "valid_ms": VALID_MS }))
+    json_response(200, &json!({ "good": rows, "valid_ms": VALID_MS }))
 }
--- a/testutils/src/platform/ledger.rs
+++ b/testutils/src/platform/ledger.rs
@@ -18,33 +18,33 @@
 struct LedgerInner {
     running: HashMap<String, u32>,
     /// Since when each task that ran before is not running.
-    away: HashMap<String, Instant>,
+    not_running_since: HashMap<String, Instant>,
     done: HashMap<String, u32>,
     /// Tasks that were ever done, also where the end is lost.
     ever_done: HashSet<String>,
     starts: HashMap<String, u32>,
     /// How often each task was lost with its worker.
-    lost: HashMap<String, u32>,
+    lost_with_worker: HashMap<String, u32>,
     /// Workers that each task has brought down, and its starts after the third.
     crashes: HashMap<String, (u32, u32)>,
     /// Tasks of each step of the jobs that clients sent; empty where nobody says.
-    sent: HashMap<String, Vec<u32>>,
+    expected_steps: HashMap<String, Vec<u32>>,
     /// Jobs of which nothing may start any more, and since when.
-    barred: HashMap<String, Instant>,
-    faults: Vec<String>,
+    starts_forbidden_from: HashMap<String, Instant>,
+    violations: Vec<String>,
     /// Accounts of jobs.
     owners: HashMap<String, String>,
     /// Most tasks that accounts may have running.
-    most: HashMap<String, u32>,
+    max_running: HashMap<String, u32>,
 }
 
-/// A task under which so many workers have crashed may be started [`MORE_STARTS`] times more.
-const CRASHES: u32 = 3;
+/// A task under which so many workers have crashed may be started [`MAX_STARTS_AFTER_CRASHES`] times more.
+const CRASH_LIMIT: u32 = 3;
 /// How often a task may be started after that.
-const MORE_STARTS: u32 = 2;
+const MAX_STARTS_AFTER_CRASHES: u32 = 2;
 
 /// The job, the step and the rest of a task's name.
-fn parts(task: &str) -> (&str, usize) {
+fn parse_task(task: &str) -> (&str, usize) {
     let mut parts = task.split('.');
     let job = parts.next().unwrap_or_default();
     let step = parts.nth(1).and_then(|step| step.parse().ok()).unwrap_or(0);
@@ -54,18 +54,19 @@
 impl LedgerInner {
     /// What was wrong with a start, beside that the task ran twice.
     fn check_start(&self, task: &str) -> Option<String> {
-        let (job, step) = parts(task);
-        if self.barred.get(job).is_some_and(|since| since.elapsed() > Duration::ZERO) {
+        let (job, step) = parse_task(task);
+        if self.starts_forbidden_from.get(job).is_some_and(|since| since.elapsed() > Duration::ZERO)
+        {
             return Some(format!("{task} was started after its job was cancelled"));
         }
-        if self.sent.is_empty() {
+        if self.expected_steps.is_empty() {
             return None;
         }
-        let Some(counts) = self.sent.get(job) else {
+        let Some(counts) = self.expected_steps.get(job) else {
             return Some(format!("{task} was started and nobody sent its job"));
         };
         let before = step.checked_sub(1)?;
-        let of_step = |done: &&String| parts(done) == (job, before);
+        let of_step = |done: &&String| parse_task(done) == (job, before);
         let done = self.ever_done.iter().filter(of_step).count();
         (done < counts[before] as usize)
             .then(|| format!("{task} was started with {done} tasks of step {before} done"))
@@ -74,10 +75,10 @@
 
 impl LedgerInner {
     /// Whether a start that has been counted lifts its account above its bound, and by how much.
-    fn check_bound(&self, task: &str) -> Option<String> {
-        let owner = self.owners.get(parts(task).0)?;
-        let most = *self.most.get(owner)?;
-        let of_owner = |task: &&String| self.owners.get(parts(task).0) == Some(owner);
+    fn check_quota(&self, task: &str) -> Option<String> {
+        let owner = self.owners.get(parse_task(task).0)?;
+        let most = *self.max_running.get(owner)?;
+        let of_owner = |task: &&String| self.owners.get(parse_task(task).0) == Some(owner);
         let running = self.running.iter().filter(|(task, _)| of_owner(task));
         let running: u32 = running.map(|(_, running)| running).sum();
         (running > most).then(|| format!("{task} lifts {owner} to {running} tasks of {most}"))
@@ -90,41 +91,41 @@
     }
 
     /// A run of a task has begun.
-    pub(super) fn started(&self, task: &str, run: u64) {
+    pub(super) fn record_start(&self, task: &str, run: u64) {
         let mut ledger = self.lock();
         let fault = ledger.check_start(task);
-        ledger.faults.extend(fault);
+        ledger.violations.extend(fault);
         *ledger.starts.entry(task.to_owned()).or_default() += 1;
         let running = ledger.running.entry(task.to_owned()).or_default();
         *running += 1;
-        ledger.away.remove(task);
-        let above = ledger.check_bound(task);
-        ledger.faults.extend(above);
+        ledger.not_running_since.remove(task);
+        let above = ledger.check_quota(task);
+        ledger.violations.extend(above);
         let running = ledger.running.entry(task.to_owned()).or_default();
         if *running > 1 {
-            ledger.faults.push(format!("two runs of {task} at once, the later one is {run}"));
+            ledger.violations.push(format!("two runs of {task} at once, the later one is {run}"));
         }
-        if let Some((CRASHES.., more)) = ledger.crashes.get_mut(task) {
+        if let Some((CRASH_LIMIT.., more)) = ledger.crashes.get_mut(task) {
             *more += 1;
-            if *more > MORE_STARTS {
+            if *more > MAX_STARTS_AFTER_CRASHES {
                 let more = *more;
-                ledger.faults.push(format!(
+                ledger.violations.push(format!(
                     "{task} brings its workers down and is started {more} times more"
                 ));
             }
         }
         if ledger.done.contains_key(task) {
-            ledger.faults.push(format!("{task} was done and is run {run} again"));
+            ledger.violations.push(format!("{task} was done and is run {run} again"));
         }
     }
 
     /// A run of a task is over.
-    pub(super) fn ended(&self, task: &str, done: bool) {
+    pub(super) fn record_end(&self, task: &str, done: bool) {
         let mut ledger = self.lock();
         if let Some(running) = ledger.running.get_mut(task) {
             *running = running.saturating_sub(1);
             if *running == 0 {
-                ledger.away.insert(task.to_owned(), Instant::now());
+                ledger.not_running_since.insert(task.to_owned(), Instant::now());
             }
         }
         if done {
@@ -134,53 +135,53 @@
     }
 
     /// A start brought a worker that does not guard its room over it.
-    pub(super) fn over_room(&self, task: &str, used: u64, room: u64) {
-        self.lock().faults.push(format!("{task} brings its worker to {used} of {room}"));
+    pub(super) fn record_overcommit(&self, task: &str, used: u64, room: u64) {
+        self.lock().violations.push(format!("{task} brings its worker to {used} of {room}"));
     }
 
     /// A task was on a worker that has crashed.
-    pub(super) fn lost_with_worker(&self, task: &str) {
-        *self.lock().lost.entry(task.to_owned()).or_default() += 1;
+    pub(super) fn record_lost_with_worker(&self, task: &str) {
+        *self.lock().lost_with_worker.entry(task.to_owned()).or_default() += 1;
     }
 
     /// The most workers that were lost under one task of a job.
-    pub fn lost_with_workers(&self, job: &str) -> u32 {
+    pub fn max_workers_lost(&self, job: &str) -> u32 {
         let ledger = self.lock();
-        let of_job = ledger.lost.iter().filter(|(task, _)| task.starts_with(job));
+        let of_job = ledger.lost_with_worker.iter().filter(|(task, _)| task.starts_with(job));
         of_job.map(|(_, lost)| *lost).max().unwrap_or(0)
     }
 
     /// A task has brought its worker down.
-    pub(super) fn crashed_under(&self, task: &str) {
+    pub(super) fn record_crash_by(&self, task: &str) {
         self.lock().crashes.entry(task.to_owned()).or_default().0 += 1;
     }
 
     /// How many workers the tasks of a job have brought down.
-    pub fn crashes_of(&self, job: &str) -> u32 {
+    pub fn crashes_by_job(&self, job: &str) -> u32 {
         let ledger = self.lock();
         let of_job = ledger.crashes.iter().filter(|(task, _)| task.starts_with(job));
         of_job.map(|(_, (crashes, _))| crashes).sum()
     }
 
     /// The end of a task that was done is known to nobody, so it may run again.
-    pub(super) fn lost_end(&self, task: &str) {
+    pub(super) fn forget_end(&self, task: &str) {
         self.lock().done.remove(task);
     }
 
     /// A client is about to send a job with so many tasks in each step, each step after the one
     /// before. From then on, jobs that nobody has sent must not run.
-    pub fn expect(&self, job: &str, steps: &[u32]) {
-        self.lock().sent.insert(job.to_owned(), steps.to_vec());
+    pub fn expect_job(&self, job: &str, steps: &[u32]) {
+        self.lock().expected_steps.insert(job.to_owned(), steps.to_vec());
     }
 
     /// A job belongs to an account.
-    pub fn own(&self, job: &str, account: &str) {
+    pub fn set_owner(&self, job: &str, account: &str) {
         self.lock().owners.insert(job.to_owned(), account.to_owned());
     }
 
     /// An account may have no more tasks than that running.
-    pub fn bound(&self, account: &str, most: u32) {
-        self.lock().most.insert(account.to_owned(), most);
+    pub fn set_max_running(&self, account: &str, most: u32) {
+        self.lock().max_running.insert(account.to_owned(), most);
     }
 
     /// The account of a job.
@@ -189,8 +190,8 @@
     }
 
     /// Nothing of a job may start any more, beginning at a time.
-    pub fn bar(&self, job: &str, since: Instant) {
-        self.lock().barred.insert(job.to_owned(), since);
+    pub fn forbid_starts(&self, job: &str, since: Instant) {
+        self.lock().starts_forbidden_from.insert(job.to_owned(), since);
     }
 
     /// How often tasks of a job were started.
@@ -201,30 +202,30 @@
     }
 
     /// Tasks run twice, or again after they were done.
-    pub fn faults(&self) -> Vec<String> {
-        self.lock().faults.clone()
+    pub fn violations(&self) -> Vec<String> {
+        self.lock().violations.clone()
     }
 
     /// How many tasks are done.
-    pub fn done(&self) -> usize {
+    pub fn done_count(&self) -> usize {
         self.lock().done.len()
     }
 
     /// How often tasks were started.
-    pub fn starts(&self) -> u32 {
+    pub fn start_count(&self) -> u32 {
         self.lock().starts.values().sum()
     }
 
     /// The task of a job that ran before and has now been away for longest, and for how long.
-    pub fn longest_away(&self, job: &str) -> Option<(String, Duration)> {
+    pub fn longest_not_running(&self, job: &str) -> Option<(String, Duration)> {
         let ledger = self.lock();
-        let of_job = ledger.away.iter().filter(|(task, _)| task.starts_with(job));
+        let of_job = ledger.not_running_since.iter().filter(|(task, _)| task.starts_with(job));
         let away = of_job.map(|(task, since)| (task.clone(), since.elapsed()));
         away.max_by_key(|(_, time)| *time)
     }
 
     /// Tasks of a job that run now.
-    pub fn running(&self, job: &str) -> u32 {
+    pub fn running_tasks(&self, job: &str) -> u32 {
         let ledger = self.lock();
         let of_job = ledger.running.iter().filter(|(task, _)| task.starts_with(job));
         of_job.map(|(_, running)| *running).sum()
--- a/testutils/src/platform/machines.rs
+++ b/testutils/src/platform/machines.rs
@@ -21,21 +21,21 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use crate::platform::answer;
 use crate::platform::header_number;
+use crate::platform::json_response;
 use crate::platform::ledger::Ledger;
 use crate::platform::read_json;
 use crate::platform::store::Store;
-use crate::platform::worker::Birth;
-use crate::platform::worker::Downs;
+use crate::platform::worker::CrashSender;
 use crate::platform::worker::Shape;
+use crate::platform::worker::StartOptions;
 use crate::platform::worker::Worker;
 
 /// How long a machine is away for a move or for upkeep.
-const AWAY: Duration = Duration::from_millis(600);
+const AWAY_TIME: Duration = Duration::from_millis(600);
 
 /// By how much the clock of a life is ahead of the one before, where it is not behind, in milliseconds.
-const OTHER_CLOCK: u64 = 40_000;
+const CLOCK_ADVANCE_MS: u64 = 40_000;
 
 struct Machine {
     shape: Shape,
@@ -52,17 +52,17 @@
 #[derive(Default)]
 struct State {
     machines: BTreeMap<String, Machine>,
-    upkept: HashMap<u64, HashSet<String>>,
-    most_down: usize,
+    maintained: HashMap<u64, HashSet<String>>,
+    max_down: usize,
     moves: usize,
     /// Orders that are still to be lost.
     orders_to_lose: usize,
     /// Machines that refuse every order as busy, and how many they have refused.
-    busy: HashMap<String, usize>,
+    busy_refusals: HashMap<String, usize>,
     /// Workers start again under the id that they had on their machine in their service.
-    keeps_ids: bool,
+    reuses_ids: bool,
     /// The last life on each machine in each service.
-    last: HashMap<(String, String), Worker>,
+    last_incarnations: HashMap<(String, String), Worker>,
 }
 
 /// The machines of a site. Clones are the same machines.
@@ -73,8 +73,8 @@
     store: Store,
     ledger: Ledger,
     state: Arc<Mutex<State>>,
-    downs: Downs,
-    _open: Arc<watch::Sender<bool>>,
+    crash_sender: CrashSender,
+    _shutdown: Arc<watch::Sender<bool>>,
 }
 
 impl Machines {
@@ -88,20 +88,20 @@
             store: store.clone(),
             ledger: ledger.clone(),
             state: Arc::default(),
-            downs,
-            _open: Arc::new(open),
+            crash_sender: downs,
+            _shutdown: Arc::new(open),
         };
         let crashing = machines.clone();
         tokio::spawn(async move {
-            while let Some(id) = down.recv().await {
+            while let Some(worker_id) = down.recv().await {
                 let machines = crashing.clone();
-                tokio::spawn(async move { machines.crash(&id).await });
+                tokio::spawn(async move { machines.crash(&worker_id).await });
             }
         });
         let shared = machines.clone();
         tokio::spawn(serve(listener, closed, move |request| {
             let machines = shared.clone();
-            async move { machines.answer(request).await }
+            async move { machines.handle(request).await }
         }));
         Ok(machines)
     }
@@ -112,7 +112,7 @@
 
     /// Adds a machine, with a worker unless it is in the reserve.
     pub async fn add(&self, id: &str, shape: Shape) -> std::io::Result<()> {
-        let worker = self.start_worker(id, &shape, Birth::default()).await?;
+        let worker = self.start_worker(id, &shape, StartOptions::default()).await?;
         let machine = Machine { shape, worker, status: "up", fence: 0 };
         self.state().machines.insert(id.to_owned(), machine);
         Ok(())
@@ -129,12 +129,12 @@
     }
 
     /// Machines in a pool.
-    pub fn in_pool(&self, pool: &str) -> usize {
+    pub fn count_in_pool(&self, pool: &str) -> usize {
         self.state().machines.values().filter(|machine| machine.shape.service == pool).count()
     }
 
     /// A line for each machine: its pool, its status and its worker.
-    pub fn account(&self) -> String {
+    pub fn describe(&self) -> String {
         let state = self.state();
         let lines = state.machines.iter().map(|(id, machine)| {
             let worker = machine.worker.as_ref().map(|worker| worker.id.as_str());
@@ -145,9 +145,9 @@
     }
 
     /// Machines of a wave whose upkeep has begun, and the most that were down at once.
-    pub fn upkept(&self, wave: u64) -> (usize, usize) {
+    pub fn maintenance_counts(&self, wave: u64) -> (usize, usize) {
         let state = self.state();
-        (state.upkept.get(&wave).map_or(0, HashSet::len), state.most_down)
+        (state.maintained.get(&wave).map_or(0, HashSet::len), state.max_down)
     }
 
     /// Crashes a machine's worker; another life begins a moment later. A machine that is away has none, and the one that is
@@ -157,37 +157,37 @@
             return;
         }
         self.take_down(id, DOWN);
-        self.bring_up(id.to_owned(), AWAY).await;
+        self.bring_up(id.to_owned(), AWAY_TIME).await;
     }
 
     /// Crashes a machine's worker; no other one begins there.
-    pub fn lose(&self, id: &str) {
+    pub fn crash_for_good(&self, id: &str) {
         self.take_down(id, DOWN);
     }
 
     /// From now on workers start again under the id that they had on their machine in their service, on clocks that
     /// begin below and above those of the lives before, each second time at another address.
-    pub fn keep_ids(&self) {
-        self.state().keeps_ids = true;
+    pub fn reuse_ids(&self) {
+        self.state().reuses_ids = true;
     }
 
     /// Crashes a machine's worker; another life with its id begins after a pause, in this way.
-    pub async fn start_again(&self, id: &str, after: Duration, birth: Birth) {
+    pub async fn restart(&self, id: &str, after: Duration, birth: StartOptions) {
         let before = {
             let mut state = self.state();
             let machine = state.machines.get_mut(id).expect("there is such a machine");
             machine.status = DOWN;
             machine.worker.take().expect("a worker lives there")
         };
-        before.crash_before_another();
+        before.crash_before_successor();
         sleep(after).await;
-        let birth = Birth { after: Some(before), ..birth };
-        self.bring_up_as(id, Some(birth)).await;
+        let birth = StartOptions { predecessor: Some(before), ..birth };
+        self.bring_up_with(id, Some(birth)).await;
     }
 
     /// The upkeep of a machine for a wave has been done already.
-    pub fn note_upkept(&self, wave: u64, id: &str) {
-        self.state().upkept.entry(wave).or_default().insert(id.to_owned());
+    pub fn record_maintained(&self, wave: u64, id: &str) {
+        self.state().maintained.entry(wave).or_default().insert(id.to_owned());
     }
 
     /// The next orders are neither carried out nor answered.
@@ -196,17 +196,17 @@
     }
 
     /// A machine refuses every order as busy from now on, as one does that is about to leave.
-    pub fn keep_busy(&self, id: &str) {
-        self.state().busy.insert(id.to_owned(), 0);
+    pub fn refuse_as_busy(&self, id: &str) {
+        self.state().busy_refusals.insert(id.to_owned(), 0);
     }
 
     /// How many orders a machine has refused as busy.
-    pub fn refused(&self, id: &str) -> usize {
-        self.state().busy.get(id).copied().unwrap_or(0)
+    pub fn refused_orders(&self, id: &str) -> usize {
+        self.state().busy_refusals.get(id).copied().unwrap_or(0)
     }
 
     /// Whether an order that has just come is lost.
-    fn loses_order(&self) -> bool {
+    fn take_lost_order(&self) -> bool {
         let mut state = self.state();
         let lost = state.orders_to_lose > 0;
         state.orders_to_lose = state.orders_to_lose.saturating_sub(1);
@@ -215,31 +215,31 @@
 
     fn take_down(&self, id: &str, status: &'static str) {
         let mut state = self.state();
-        let keeps_ids = state.keeps_ids;
+        let keeps_ids = state.reuses_ids;
         if let Some(machine) = state.machines.get_mut(id) {
             machine.status = status;
             if let Some(worker) = machine.worker.take() {
                 match status {
-                    DOWN if keeps_ids => worker.crash_before_another(),
+                    DOWN if keeps_ids => worker.crash_before_successor(),
                     DOWN => worker.crash(),
-                    _ => worker.end(),
+                    _ => worker.terminate(),
                 }
             }
         }
         let down = state.machines.values().filter(|machine| machine.status == "upkeep").count();
-        state.most_down = state.most_down.max(down);
+        state.max_down = state.max_down.max(down);
     }
 
     async fn bring_up(&self, id: String, after: Duration) {
         sleep(after).await;
-        self.bring_up_as(&id, None).await;
+        self.bring_up_with(&id, None).await;
     }
 
-    async fn bring_up_as(&self, id: &str, birth: Option<Birth>) {
+    async fn bring_up_with(&self, id: &str, birth: Option<StartOptions>) {
         let Some(shape) = self.state().machines.get(id).map(|machine| machine.shape.clone()) else {
             return;
         };
-        let birth = birth.unwrap_or_else(|| self.birth(id, &shape.service));
+        let birth = birth.unwrap_or_else(|| self.next_start_options(id, &shape.service));
         let worker = self.start_worker(id, &shape, birth).await;
         if let (Ok(worker), Some(machine)) = (worker, self.state().machines.get_mut(id)) {
             machine.worker = worker;
@@ -248,14 +248,19 @@
     }
 
     /// How the next life on a machine in a service begins, if nothing else is said.
-    fn birth(&self, id: &str, service: &str) -> Birth {
+    fn next_start_options(&self, id: &str, service: &str) -> StartOptions {
         let state = self.state();
-        let last = state.last.get(&(id.to_owned(), service.to_owned()));
-        let Some(last) = last.filter(|_| state.keeps_ids) else { return Birth::default() };
-        let clock = last.clock();
-        let clock_ms = if clock.is_multiple_of(2) { clock / 2 } else { clock + OTHER_CLOCK };
+        let last = state.last_incarnations.get(&(id.to_owned(), service.to_owned()));
+        let Some(last) = last.filter(|_| state.reuses_ids) else { return StartOptions::default() };
+        let clock = last.clock_ms();
+        let clock_ms = if clock.is_multiple_of(2) { clock / 2 } else { clock + CLOCK_ADVANCE_MS };
         let same_address = clock.is_multiple_of(4);
-        Birth { after: Some(last.clone()), clock_ms, same_address, ..Birth::default() }
+        StartOptions {
+            predecessor: Some(last.clone()),
+            clock_ms,
+            reuses_address: same_address,
+            ..StartOptions::default()
+        }
     }
 
     /// Machines of the reserve are switched off.
@@ -263,29 +268,30 @@
         &self,
         id: &str,
         shape: &Shape,
-        birth: Birth,
+        birth: StartOptions,
     ) -> std::io::Result<Option<Worker>> {
         if shape.service == RESERVE {
             return Ok(None);
         }
-        let started = Worker::start(&self.store, &self.ledger, id, shape, &self.downs, birth);
+        let started =
+            Worker::start(&self.store, &self.ledger, id, shape, &self.crash_sender, birth);
         let worker = started.await?;
         let place = (id.to_owned(), shape.service.clone());
-        self.state().last.insert(place, worker.clone());
+        self.state().last_incarnations.insert(place, worker.clone());
         Ok(Some(worker))
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let path = request.uri().path().to_owned();
         let token = header_number(request.headers(), "x-fencing-token");
         let body = read_json(request.into_body()).await;
         match path.as_str() {
             "/api/machines" => self.list(),
-            "/api/machine-move" | "/api/machine-upkeep" if self.loses_order() => {
+            "/api/machine-move" | "/api/machine-upkeep" if self.take_lost_order() => {
                 std::future::pending().await
             }
-            "/api/machine-move" | "/api/machine-upkeep" => self.order(&path, token, &body),
-            _ => answer(404, &json!({})),
+            "/api/machine-move" | "/api/machine-upkeep" => self.handle_order(&path, token, &body),
+            _ => json_response(404, &json!({})),
         }
     }
 
@@ -302,48 +308,50 @@
                     "zone": "hall-1",
                     "labels": ["a", machine.shape.rack], "id": worker,
                     "capacity": {
-                        "cpu": machine.shape.cpu, "memMb": machine.shape.memory, "gpu": 0,
+                        "cpu": machine.shape.cpu, "memMb": machine.shape.memory_mb, "gpu": 0,
                     },
                 })
             })
             .collect();
-        answer(200, &json!({ "machines": rows, "nextToken": null }))
+        json_response(200, &json!({ "machines": rows, "nextToken": null }))
     }
 
-    fn order(&self, path: &str, token: u64, body: &Value) -> Response<Body> {
+    fn handle_order(&self, path: &str, token: u64, body: &Value) -> Response<Body> {
         let id = body["machine"].as_str().unwrap_or_default().to_owned();
         let wave = body["wave"].as_u64();
         let status = {
             let mut state = self.state();
             if let Some(wave) = wave
-                && state.upkept.get(&wave).is_some_and(|upkept| upkept.contains(&id))
+                && state.maintained.get(&wave).is_some_and(|upkept| upkept.contains(&id))
             {
-                return answer(200, &json!({}));
+                return json_response(200, &json!({}));
             }
-            if let Some(refused) = state.busy.get_mut(&id) {
+            if let Some(refused) = state.busy_refusals.get_mut(&id) {
                 *refused += 1;
-                return answer(409, &json!({ "reason": "busy" }));
+                return json_response(409, &json!({ "reason": "busy" }));
             }
-            let Some(machine) = state.machines.get_mut(&id) else { return answer(400, &json!({})) };
+            let Some(machine) = state.machines.get_mut(&id) else {
+                return json_response(400, &json!({}));
+            };
             if token < machine.fence {
-                return answer(409, &json!({ "reason": "fence" }));
+                return json_response(409, &json!({ "reason": "fence" }));
             }
             machine.fence = token;
             if machine.status != "up" {
-                return answer(409, &json!({ "reason": "busy" }));
+                return json_response(409, &json!({ "reason": "busy" }));
             }
             if path == "/api/machine-move" {
                 machine.shape.service = body["pool"].as_str().unwrap_or_default().to_owned();
                 state.moves += 1;
                 "moving"
             } else {
-                state.upkept.entry(wave.unwrap_or(0)).or_default().insert(id.clone());
+                state.maintained.entry(wave.unwrap_or(0)).or_default().insert(id.clone());
                 "upkeep"
             }
         };
         self.take_down(&id, status);
         let machines = self.clone();
-        tokio::spawn(async move { machines.bring_up(id, AWAY).await });
-        answer(200, &json!({}))
+        tokio::spawn(async move { machines.bring_up(id, AWAY_TIME).await });
+        json_response(200, &json!({}))
     }
 }
--- a/testutils/src/platform/site.rs
+++ b/testutils/src/platform/site.rs
@@ -28,9 +28,9 @@
 use crate::platform::site::config::Account;
 use crate::platform::site::config::HOST;
 use crate::platform::site::config::config;
-use crate::platform::site::config::config_with;
+use crate::platform::site::config::config_with_accounts;
 use crate::platform::site::node::Node;
-use crate::platform::site::node::Place;
+use crate::platform::site::node::NodeOptions;
 use crate::platform::store;
 use crate::platform::store::Store;
 use crate::platform::worker;
@@ -39,13 +39,13 @@
 use crate::proxy::Proxy;
 
 /// How long a client waits for an answer.
-const ANSWER: Duration = Duration::from_secs(3);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause between looks at something awaited.
-const PAUSE: Duration = Duration::from_millis(25);
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// Share of a core that the settings give a node.
 const CPU_SHARE: f64 = 0.25;
 /// Least time between the turns of two schedulers, where nothing else is said.
-const TURN_GAP: Duration = Duration::from_secs(1);
+const HANDOVER_GAP: Duration = Duration::from_secs(1);
 
 /// A site.
 pub struct Site {
@@ -54,7 +54,7 @@
     /// The machines.
     pub machines: Machines,
     /// What lies between daemons and the interface for machines.
-    pub machines_line: Proxy,
+    pub machines_proxy: Proxy,
     /// What the workers saw.
     pub ledger: Ledger,
     /// The daemons.
@@ -64,7 +64,7 @@
 }
 
 /// The key that an account has as long as it is there.
-pub fn key_of(account: &str) -> String {
+pub fn account_key(account: &str) -> String {
     format!("key-of-{account}")
 }
 
@@ -78,11 +78,11 @@
         workers: usize,
         reserve: usize,
     ) -> io::Result<Site> {
-        Site::start_uneven(program, &vec![CPU_SHARE; nodes], workers, reserve).await
+        Site::start_with_cpu_shares(program, &vec![CPU_SHARE; nodes], workers, reserve).await
     }
 
     /// The same with this least time between the turns of two schedulers.
-    pub async fn start_with_turn_gap(
+    pub async fn start_with_handover_gap(
         program: &str,
         nodes: usize,
         workers: usize,
@@ -90,32 +90,32 @@
         turn_gap: Duration,
     ) -> io::Result<Site> {
         let cpu_shares = vec![CPU_SHARE; nodes];
-        Site::begin(program, &cpu_shares, workers, reserve, (turn_gap, None)).await
+        Site::start_with(program, &cpu_shares, workers, reserve, (turn_gap, None)).await
     }
 
     /// The same where one node looks after so many workers for the scheduler.
-    pub async fn start_sharing(
+    pub async fn start_sharded(
         program: &str,
         nodes: usize,
         workers: usize,
         reserve: usize,
         workers_per_share: usize,
     ) -> io::Result<Site> {
-        let settings = (TURN_GAP, Some(workers_per_share));
-        Site::begin(program, &vec![CPU_SHARE; nodes], workers, reserve, settings).await
+        let settings = (HANDOVER_GAP, Some(workers_per_share));
+        Site::start_with(program, &vec![CPU_SHARE; nodes], workers, reserve, settings).await
     }
 
     /// The same with nodes that have these shares of a core.
-    pub async fn start_uneven(
+    pub async fn start_with_cpu_shares(
         program: &str,
         cpu_shares: &[f64],
         workers: usize,
         reserve: usize,
     ) -> io::Result<Site> {
-        Site::begin(program, cpu_shares, workers, reserve, (TURN_GAP, None)).await
+        Site::start_with(program, cpu_shares, workers, reserve, (HANDOVER_GAP, None)).await
     }
 
-    async fn begin(
+    async fn start_with(
         program: &str,
         cpu_shares: &[f64],
         workers: usize,
@@ -127,49 +127,59 @@
         for number in 0..workers + reserve {
             let service = if number < workers { "work" } else { RESERVE };
             let rack = format!("r1-{}", number / 2);
-            let shape = Shape { service: service.to_owned(), rack, cpu: 8_000, memory: 8_000 };
+            let shape = Shape { service: service.to_owned(), rack, cpu: 8_000, memory_mb: 8_000 };
             machines.add(&format!("m-{number}"), shape).await?;
         }
         store.put(OPERATOR_TOPIC, Record::set("config", config().to_string()));
         let advice = Advice::start(&machines).await?;
         let machines_line = Proxy::start(machines.addr).await?;
-        let dialer = Dialer::new(ANSWER);
+        let dialer = Dialer::new(ANSWER_TIMEOUT);
         let nodes = Vec::new();
-        let mut site = Site { store, machines, machines_line, ledger, nodes, dialer, advice };
+        let mut site =
+            Site { store, machines, machines_proxy: machines_line, ledger, nodes, dialer, advice };
         for (number, cpu_share) in cpu_shares.iter().copied().enumerate() {
-            let (machines, advice) = (site.machines_line.addr, site.advice.addr);
-            let place = Place { number, cpu_share, turn_gap, workers_per_share, machines, advice };
+            let (machines, advice) = (site.machines_proxy.addr, site.advice.addr);
+            let place = NodeOptions {
+                number,
+                cpu_share,
+                handover_gap: turn_gap,
+                workers_per_shard: workers_per_share,
+                machines,
+                advice,
+            };
             let node = Node::prepare(program, &site.store, &place).await?;
             node.start()?;
             site.nodes.push(node);
         }
         for number in 0..site.nodes.len() {
-            site.until("each daemon answers", async |site| site.pending(number).await.is_some())
-                .await;
+            site.wait_until("each daemon answers", async |site| {
+                site.pending_jobs(number).await.is_some()
+            })
+            .await;
         }
         Ok(site)
     }
 
     /// Ends every fault, and starts the daemons that do not run.
-    pub fn mend(&self) -> io::Result<()> {
+    pub fn end_faults(&self) -> io::Result<()> {
         for node in &self.nodes {
-            node.door.set(store::Fault::None);
-            node.store_line.set(proxy::Fault::default());
-            node.client_line.set(proxy::Fault::default());
+            node.store_endpoint.set_fault(store::Fault::None);
+            node.store_proxy.set_fault(proxy::Fault::default());
+            node.client_proxy.set_fault(proxy::Fault::default());
             node.signal(Signal::SIGCONT)?;
             if !node.is_running() {
                 node.start()?;
             }
         }
         for worker in self.machines.workers() {
-            worker.set(worker::Fault::None);
+            worker.set_fault(worker::Fault::None);
         }
         Ok(())
     }
 
     /// Publishes a configuration with these accounts.
-    pub fn configure(&self, version: u64, accounts: &[Account]) {
-        let config = config_with(version, accounts).to_string();
+    pub fn publish_config(&self, version: u64, accounts: &[Account]) {
+        let config = config_with_accounts(version, accounts).to_string();
         self.store.put(OPERATOR_TOPIC, Record::set("config", config));
     }
 
@@ -178,7 +188,7 @@
     async fn call(&self, node: usize, method: Method, path: &str, body: Value) -> (u16, Value) {
         let job = path.rsplit('/').next().unwrap_or_default();
         match self.ledger.owner(job) {
-            Some(account) => self.call_as(&key_of(&account), node, method, path, body).await,
+            Some(account) => self.call_as(&account_key(&account), node, method, path, body).await,
             None => self.call_with(&[], node, method, path, body).await,
         }
     }
@@ -192,14 +202,14 @@
         path: &str,
         body: Value,
     ) -> (u16, Value) {
-        let addr = self.nodes[node].client_line.addr;
+        let addr = self.nodes[node].client_proxy.addr;
         let body = if body.is_null() { String::new() } else { body.to_string() };
         let mut request = Request::builder().method(method).uri(path).header("host", HOST);
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
         let request = request.body(full(body)).expect("the tests make sound requests");
-        match self.dialer.exchange(addr, request, 65_536, ANSWER).await {
+        match self.dialer.exchange(addr, request, 65_536, ANSWER_TIMEOUT).await {
             Ok(response) => {
                 let status = response.status().as_u16();
                 (status, serde_json::from_slice(response.body()).unwrap_or(Value::Null))
@@ -210,20 +220,21 @@
 
     /// The metrics of a node.
     pub async fn metrics(&self, node: usize) -> Option<String> {
-        let addr = self.nodes[node].operate_addr;
+        let addr = self.nodes[node].operator_addr;
         let request = Request::builder().uri("/metrics").header("host", HOST).body(full(""));
         let request = request.expect("the tests make sound requests");
-        let response = self.dialer.exchange(addr, request, 65_536, ANSWER).await.ok()?;
+        let response = self.dialer.exchange(addr, request, 65_536, ANSWER_TIMEOUT).await.ok()?;
         String::from_utf8(response.body().to_vec()).ok()
     }
 
     /// What operators see under a path of the views, by whichever node answers.
-    pub async fn view(&self, path: &str) -> Option<String> {
+    pub async fn operator_view(&self, path: &str) -> Option<String> {
         for node in self.nodes.iter().filter(|node| node.is_running()) {
             let uri = format!("{}{path}", view::PATH);
             let request = Request::builder().uri(uri).header("host", HOST).body(full(""));
             let request = request.expect("the tests make sound requests");
-            let answer = self.dialer.exchange(node.operate_addr, request, 65_536, ANSWER).await;
+            let answer =
+                self.dialer.exchange(node.operator_addr, request, 65_536, ANSWER_TIMEOUT).await;
             if let Ok(answer) = answer
                 && answer.status() == 200
             {
@@ -257,18 +268,18 @@
     }
 
     /// Hands in a job again and again, at one node after another, as clients do.
-    pub async fn insist(&self, id: &str, job: Value) {
+    pub async fn submit_until_accepted(&self, id: &str, job: Value) {
         for attempt in 0..200 {
             if self.submit(attempt % self.nodes.len(), id, job.clone()).await == 200 {
                 return;
             }
-            sleep(PAUSE).await;
+            sleep(CHECK_INTERVAL).await;
         }
         panic!("no daemon takes {id}");
     }
 
     /// A job's state, or the status of the answer.
-    pub async fn state(&self, node: usize, id: &str) -> Result<String, u16> {
+    pub async fn job_state(&self, node: usize, id: &str) -> Result<String, u16> {
         let (status, body) = self.call(node, Method::GET, &format!("/q/{id}"), Value::Null).await;
         match body["state"].as_str() {
             Some(state) if status == 200 => Ok(state.to_owned()),
@@ -282,20 +293,20 @@
     }
 
     /// Jobs that have not begun.
-    pub async fn pending(&self, node: usize) -> Option<u64> {
+    pub async fn pending_jobs(&self, node: usize) -> Option<u64> {
         let (status, body) = self.call(node, Method::GET, "/q/", Value::Null).await;
         if status == 200 { body["pending"].as_u64() } else { None }
     }
 
     /// Asks for a wave.
-    pub fn wave(&self, number: u64, machines: &[String], max_down: usize) {
+    pub fn request_wave(&self, number: u64, machines: &[String], max_down: usize) {
         let wave =
             json!({ "wave": number, "machines": machines, "durationS": 20, "maximum": max_down });
         self.store.put(OPERATOR_TOPIC, Record::set(format!("wave/{number}"), wave.to_string()));
     }
 
     /// Whether the operator was told that a wave has succeeded.
-    pub fn wave_is_over(&self, number: u64) -> bool {
+    pub fn has_wave_succeeded(&self, number: u64) -> bool {
         let status = self.store.get(STATUS_TOPIC, &format!("wave/{number}"));
         status.is_some_and(|status| status.ends_with(b"\"succeeded\"}"))
     }
@@ -308,15 +319,15 @@
     }
 
     /// Keeps what all daemons have written, and what operators see now, in a folder.
-    pub async fn keep_account(&self, folder: &Path, jobs: &[String]) -> io::Result<()> {
+    pub async fn save_diagnostics(&self, folder: &Path, jobs: &[String]) -> io::Result<()> {
         std::fs::create_dir_all(folder)?;
         for node in &self.nodes {
-            node.keep_output(folder)?;
+            node.copy_log(folder)?;
         }
         let jobs = jobs.iter().map(|job| format!("jobs/{job}"));
         let views = ["workers", "services", "waves", "queues", "shares"].map(str::to_owned);
         for view in views.into_iter().chain(jobs) {
-            let shown = self.view(&view).await.unwrap_or_default();
+            let shown = self.operator_view(&view).await.unwrap_or_default();
             std::fs::write(folder.join(format!("{}.json", view.replace('/', "-"))), shown)?;
         }
         Ok(())
@@ -327,33 +338,33 @@
     /// # Panics
     ///
     /// If it does not within a minute.
-    pub async fn until(&self, what: &str, holds: impl AsyncFn(&Site) -> bool) {
+    pub async fn wait_until(&self, what: &str, holds: impl AsyncFn(&Site) -> bool) {
         let until = Instant::now() + Duration::from_secs(60);
         while Instant::now() < until {
             if holds(self).await {
                 return;
             }
-            sleep(PAUSE).await;
+            sleep(CHECK_INTERVAL).await;
         }
-        panic!("not within a minute: {what}\n{}", self.account());
+        panic!("not within a minute: {what}\n{}", self.diagnostics());
     }
 
     /// What the machines are and what the daemons have written, for the message of a check.
-    pub fn account(&self) -> String {
-        let nodes: Vec<String> = self.nodes.iter().map(Node::account).collect();
-        format!("{}\n{}", self.machines.account(), nodes.join("\n"))
+    pub fn diagnostics(&self) -> String {
+        let nodes: Vec<String> = self.nodes.iter().map(Node::diagnostics).collect();
+        format!("{}\n{}", self.machines.describe(), nodes.join("\n"))
     }
 
     /// Waits until a job has succeeded, by whichever node answers.
-    pub async fn until_succeeded(&self, id: &str) {
+    pub async fn wait_until_succeeded(&self, id: &str) {
         let succeeded = async |site: &Site| {
             for node in 0..site.nodes.len() {
-                if site.state(node, id).await.is_ok_and(|state| state == "succeeded") {
+                if site.job_state(node, id).await.is_ok_and(|state| state == "succeeded") {
                     return true;
                 }
             }
             false
         };
-        self.until(&format!("{id} succeeds"), succeeded).await;
+        self.wait_until(&format!("{id} succeeds"), succeeded).await;
     }
 }
--- a/testutils/src/platform/site/config.rs
+++ b/testutils/src/platform/site/config.rs
@@ -53,7 +53,7 @@
 }
 
 /// The same with accounts, whose jobs queue `q` takes; queue `open` is public.
-pub(super) fn config_with(version: u64, accounts: &[Account]) -> Value {
+pub(super) fn config_with_accounts(version: u64, accounts: &[Account]) -> Value {
     let mut config = config();
     let mut own = queue("q", &Value::Null);
     own["public"] = json!(false);
--- a/testutils/src/platform/site/node.rs
+++ b/testutils/src/platform/site/node.rs
@@ -23,8 +23,8 @@
 use spokelift_lib::state::account::hash_secret;
 use tokio::time::sleep;
 
-use crate::platform::site::PAUSE;
-use crate::platform::store::Door;
+use crate::platform::site::CHECK_INTERVAL;
+use crate::platform::store::Endpoint;
 use crate::platform::store::Store;
 use crate::ports;
 use crate::proxy::Proxy;
@@ -32,21 +32,21 @@
 /// Credential of the site's operator.
 pub const SITE_KEY: &str = "site:a-secret-of-the-site";
 /// Lines of a daemon's log that are shown when something awaited did not come.
-const LAST_LINES: usize = 20;
+const MAX_SHOWN_LINES: usize = 20;
 /// Loopback addresses that a process of tests gives out before it begins anew.
-const OWN_ADDRESSES: u32 = 250;
+const ADDRESSES_PER_PROCESS: u32 = 250;
 /// Loopback addresses given out in this process.
-static ADDRESSES: AtomicU32 = AtomicU32::new(0);
+static ADDRESSES_USED: AtomicU32 = AtomicU32::new(0);
 
 /// What tells a daemon from the others, and what it has around it.
-pub(super) struct Place {
+pub(super) struct NodeOptions {
     pub(super) number: usize,
     /// Share of a core that its settings give it.
     pub(super) cpu_share: f64,
     /// Least time between the turns of two schedulers.
-    pub(super) turn_gap: Duration,
+    pub(super) handover_gap: Duration,
     /// Workers that one node looks after for the scheduler; none for the daemon's default.
-    pub(super) workers_per_share: Option<usize>,
+    pub(super) workers_per_shard: Option<usize>,
     /// Where the platform's machines are listed and ordered.
     pub(super) machines: SocketAddr,
     /// Where the advice service answers.
@@ -56,32 +56,37 @@
 /// A daemon as a real process.
 pub struct Node {
     /// Its way into the store.
-    pub door: Door,
+    pub store_endpoint: Endpoint,
     /// What lies between it and the store.
-    pub store_line: Proxy,
+    pub store_proxy: Proxy,
     /// What lies between clients and it.
-    pub client_line: Proxy,
+    pub client_proxy: Proxy,
     /// Where operators call it.
-    pub operate_addr: SocketAddr,
-    file: PathBuf,
+    pub operator_addr: SocketAddr,
+    settings_file: PathBuf,
     /// Where the process writes its log, unless it writes to the test's own output.
-    output: PathBuf,
+    log_file: PathBuf,
     program: String,
-    workers_per_share: Option<usize>,
+    workers_per_shard: Option<usize>,
     child: Mutex<Option<Child>>,
 }
 
 impl Node {
     /// Writes the settings of a daemon, which is not started yet.
-    pub(super) async fn prepare(program: &str, store: &Store, place: &Place) -> io::Result<Node> {
-        let ip = own_address();
-        let door = store.door().await?;
+    pub(super) async fn prepare(
+        program: &str,
+        store: &Store,
+        place: &NodeOptions,
+    ) -> io::Result<Node> {
+        let ip = unused_loopback_addr();
+        let door = store.open_endpoint().await?;
         let store_line = Proxy::start(door.addr).await?;
         let ([front, readiness], peers) = ports::free_and_pair(ip)?;
         let client_line = Proxy::start(front).await?;
         let peers = peers.port();
         let file = std::env::temp_dir().join(format!("spokelift-{ip}.toml"));
-        let Place { number, cpu_share, turn_gap, workers_per_share, machines, advice } = place;
+        let NodeOptions { number, cpu_share, handover_gap, workers_per_shard, machines, advice } =
+            place;
         let text = format!(
             "node = \"node-{number}\"\nip = \"{ip}\"\nzone = \"hall-1\"\n\
              portRange = [{peers}, {operate}]\nheartbeatMs = 500\nadvice = \"{advice}\"\n\
@@ -90,7 +95,7 @@
              [platform]\naddress = \"{store}\"\nform = \"log\"\nparts = 12\n\
              [cloudApi]\naddress = \"{machines}\"\n\
              [bounds]\nleaseMs = {gap}\nupkeep_s = 0.6\nmove_s = 0.6\n",
-            gap = turn_gap.as_millis(),
+            gap = handover_gap.as_millis(),
             operate = peers + 1,
             store = store_line.addr,
         );
@@ -99,14 +104,14 @@
         let program = program.to_owned();
         let operate_addr = SocketAddr::new(ip, peers + 1);
         Ok(Node {
-            door,
-            store_line,
-            client_line,
-            operate_addr,
-            file,
-            output,
+            store_endpoint: door,
+            store_proxy: store_line,
+            client_proxy: client_line,
+            operator_addr: operate_addr,
+            settings_file: file,
+            log_file: output,
             program,
-            workers_per_share: *workers_per_share,
+            workers_per_shard: *workers_per_shard,
             child: Mutex::default(),
         })
     }
@@ -116,13 +121,15 @@
         self.kill();
         let secret = SITE_KEY.split_once(':').expect("a credential has two parts").1;
         let mut command = Command::new(&self.program);
-        command.arg("--platform").env(spokelift_platform::settings::VARIABLE, &self.file);
+        command
+            .arg("--platform")
+            .env(spokelift_platform::settings::FILE_VARIABLE, &self.settings_file);
         command.env("SPOKELIFT_SITE_KEY_HASH", format_hash(&hash_secret(secret)));
-        if let Some(workers) = self.workers_per_share {
+        if let Some(workers) = self.workers_per_shard {
             command.env("SPOKELIFT_WORKERS_PER_SHARE", workers.to_string());
         }
         if std::env::var_os("SPOKELIFT_TEST_LOG").is_none() {
-            let output = OpenOptions::new().create(true).append(true).open(&self.output)?;
+            let output = OpenOptions::new().create(true).append(true).open(&self.log_file)?;
             command.stdout(output.try_clone()?).stderr(output);
         }
         *self.child() = Some(ports::spawn(&mut command)?);
@@ -130,21 +137,21 @@
     }
 
     /// Whether the process runs, and the last lines that it wrote.
-    pub(super) fn account(&self) -> String {
+    pub(super) fn diagnostics(&self) -> String {
         let running = if self.is_running() { "runs" } else { "does not run" };
-        let text = match std::fs::read_to_string(&self.output) {
+        let text = match std::fs::read_to_string(&self.log_file) {
             Ok(text) => text,
             Err(error) => format!("(no output: {error})"),
         };
         let lines: Vec<&str> = text.lines().collect();
-        let last = lines.len().saturating_sub(LAST_LINES);
-        format!("{} {running}\n{}", self.file.display(), lines[last..].join("\n"))
+        let last = lines.len().saturating_sub(MAX_SHOWN_LINES);
+        format!("{} {running}\n{}", self.settings_file.display(), lines[last..].join("\n"))
     }
 
     /// Copies all that the process has written to a folder.
-    pub(super) fn keep_output(&self, folder: &Path) -> io::Result<()> {
-        let name = self.output.file_name().unwrap_or(self.output.as_os_str());
-        std::fs::copy(&self.output, folder.join(name)).map(drop)
+    pub(super) fn copy_log(&self, folder: &Path) -> io::Result<()> {
+        let name = self.log_file.file_name().unwrap_or(self.log_file.as_os_str());
+        std::fs::copy(&self.log_file, folder.join(name)).map(drop)
     }
 
     fn child(&self) -> MutexGuard<'_, Option<Child>> {
@@ -161,7 +168,7 @@
     }
 
     /// Number of the process, if it was started.
-    pub fn process(&self) -> Option<u32> {
+    pub fn pid(&self) -> Option<u32> {
         self.child().as_ref().map(Child::id)
     }
 
@@ -182,7 +189,7 @@
     }
 
     /// Waits for the process to end; whether it ended well.
-    pub async fn ended(&self, within: Duration) -> Option<bool> {
+    pub async fn wait_for_exit(&self, within: Duration) -> Option<bool> {
         let until = Instant::now() + within;
         while Instant::now() < until {
             let ended = self.child().as_mut()?.try_wait();
@@ -190,7 +197,7 @@
                 *self.child() = None;
                 return Some(status.success());
             }
-            sleep(PAUSE).await;
+            sleep(CHECK_INTERVAL).await;
         }
         None
     }
@@ -200,15 +207,15 @@
     fn drop(&mut self) {
         self.kill();
         // The files lie in the directory for temporary files.
-        let _ = std::fs::remove_file(&self.file);
-        let _ = std::fs::remove_file(&self.output);
+        let _ = std::fs::remove_file(&self.settings_file);
+        let _ = std::fs::remove_file(&self.log_file);
     }
 }
 
 /// A loopback address that no other test process uses, so that a port that was found free on it
 /// stays free; the daemons of long ago, whose addresses come again, are gone.
-fn own_address() -> IpAddr {
-    let number = ADDRESSES.fetch_add(1, Ordering::Relaxed);
+fn unused_loopback_addr() -> IpAddr {
+    let number = ADDRESSES_USED.fetch_add(1, Ordering::Relaxed);
     let [.., high, low] = std::process::id().to_be_bytes();
-    IpAddr::V4(Ipv4Addr::new(127, high.max(1), low, (number % OWN_ADDRESSES) as u8 + 1))
+    IpAddr::V4(Ipv4Addr::new(127, high.max(1), low, (number % ADDRESSES_PER_PROCESS) as u8 + 1))
 }
--- a/testutils/src/platform/soak.rs
+++ b/testutils/src/platform/soak.rs
@@ -5,8 +5,8 @@
 //! run.
 
 mod accounts;
+mod checks;
 mod client;
-mod judge;
 mod schedule;
 
 use std::io;
@@ -22,8 +22,8 @@
 use tokio::time::sleep;
 
 use crate::platform::site::Site;
-use crate::platform::soak::client::Told;
-use crate::platform::soak::judge::judge;
+use crate::platform::soak::checks::find_violations;
+use crate::platform::soak::client::ClientJob;
 use crate::platform::soak::schedule::Action;
 
 /// Daemons of a soak.
@@ -36,17 +36,17 @@
 pub const MACHINES: usize = WORKERS + RESERVE;
 /// Workers that one node looks after for the scheduler, with an even seed; with an odd one the
 /// scheduler's node looks after all.
-const WORKERS_PER_SHARE: usize = 3;
+const WORKERS_PER_SHARD: usize = 3;
 /// From this seed on workers start again under the id that they had. Below it each life has an id of its own.
-pub const KEEPS_IDS_FROM: u64 = 1_000;
+pub const REUSED_IDS_FROM_SEED: u64 = 1_000;
 /// From this seed on jobs belong to accounts, whose keys and bounds change.
-pub const HAS_ACCOUNTS_FROM: u64 = 2_000;
+pub const ACCOUNTS_FROM_SEED: u64 = 2_000;
 /// Tells the generator of what accounts may from that of the other faults.
-const ACCOUNT_SEED: u64 = 0xacc0_1247;
+const ACCOUNT_SEED_MASK: u64 = 0xacc0_1247;
 /// Clients that hand in jobs side by side.
 const CLIENTS: u64 = 3;
 /// Tells the generator of connections that go silent from that of the other faults.
-const SILENT_SEED: u64 = 0x51_1e47;
+const BLACK_HOLE_SEED_MASK: u64 = 0x51_1e47;
 /// What a soak did and found.
 #[derive(Debug, Default, Serialize)]
 pub struct Report {
@@ -76,40 +76,40 @@
 /// # Errors
 ///
 /// If the site cannot be started.
-pub async fn play(program: &str, seed: u64, time: Duration) -> io::Result<Report> {
+pub async fn run(program: &str, seed: u64, time: Duration) -> io::Result<Report> {
     let site = match seed % 2 {
-        0 => Site::start_sharing(program, NODES, WORKERS, RESERVE, WORKERS_PER_SHARE).await?,
+        0 => Site::start_sharded(program, NODES, WORKERS, RESERVE, WORKERS_PER_SHARD).await?,
         _ => Site::start(program, NODES, WORKERS, RESERVE).await?,
     };
     let site = Arc::new(site);
-    if seed >= KEEPS_IDS_FROM {
-        site.machines.keep_ids();
+    if seed >= REUSED_IDS_FROM_SEED {
+        site.machines.reuse_ids();
     }
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut silent_rng = StdRng::seed_from_u64(seed ^ SILENT_SEED);
-    let schedule = schedule::draw(&mut rng, &mut silent_rng, time);
+    let mut silent_rng = StdRng::seed_from_u64(seed ^ BLACK_HOLE_SEED_MASK);
+    let schedule = schedule::draw_schedule(&mut rng, &mut silent_rng, time);
     let waves = schedule.iter().filter_map(|(_, action)| match action {
-        Action::Wave(number) => Some(*number),
+        Action::MaintenanceWave(number) => Some(*number),
         _ => None,
     });
     let waves: Vec<u64> = waves.collect();
-    let told: Arc<Mutex<Vec<Told>>> = Arc::default();
-    let mut account_rng = StdRng::seed_from_u64(seed ^ ACCOUNT_SEED);
-    let has_accounts = seed >= HAS_ACCOUNTS_FROM;
+    let told: Arc<Mutex<Vec<ClientJob>>> = Arc::default();
+    let mut account_rng = StdRng::seed_from_u64(seed ^ ACCOUNT_SEED_MASK);
+    let has_accounts = seed >= ACCOUNTS_FROM_SEED;
     if has_accounts {
-        accounts::begin(&site, &mut account_rng).await;
+        accounts::publish_first(&site, &mut account_rng).await;
     }
     let until = Instant::now() + time;
     let changes = site.clone();
     let changes = tokio::spawn(async move {
         if has_accounts {
-            accounts::change(&changes, account_rng, until).await;
+            accounts::publish_changes(&changes, account_rng, until).await;
         }
     });
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| {
             let rng = StdRng::seed_from_u64(seed ^ (number + 1) << 32);
-            tokio::spawn(client::run(site.clone(), rng, until, told.clone(), has_accounts))
+            tokio::spawn(client::run_client(site.clone(), rng, until, told.clone(), has_accounts))
         })
         .collect();
     let faults = run_schedule(&site, schedule).await;
@@ -117,21 +117,21 @@
         client.await.map_err(io::Error::other)?;
     }
     changes.await.map_err(io::Error::other)?;
-    site.mend()?;
+    site.end_faults()?;
     let told = std::mem::take(&mut *told.lock().expect("no holder panics"));
-    let broken = judge(&site, &told, &waves).await;
+    let broken = find_violations(&site, &told, &waves).await;
     let kept = match broken.is_empty() {
         true => None,
-        false => Some(keep(&site, seed, &told).await?),
+        false => Some(save_diagnostics(&site, seed, &told).await?),
     };
-    let count = |wanted: fn(&Told) -> bool| told.iter().filter(|told| wanted(told)).count();
+    let count = |wanted: fn(&ClientJob) -> bool| told.iter().filter(|told| wanted(told)).count();
     Ok(Report {
         accepted: count(|told| told.accepted),
         refused: count(|told| told.refused),
         unknown: count(|told| !told.accepted && !told.refused),
         cancelled: count(|told| told.cancelled),
-        poison: count(|told| told.accepted && told.poison),
-        starts: site.ledger.starts(),
+        poison: count(|told| told.accepted && told.is_poison),
+        starts: site.ledger.start_count(),
         faults,
         broken,
         kept,
@@ -139,11 +139,11 @@
 }
 
 /// Keeps what tells why a promise was broken: the daemons' logs, and what operators see.
-async fn keep(site: &Site, seed: u64, told: &[Told]) -> io::Result<PathBuf> {
+async fn save_diagnostics(site: &Site, seed: u64, told: &[ClientJob]) -> io::Result<PathBuf> {
     let name = format!("spokelift-soak-{seed}-{}", std::process::id());
     let folder = std::env::temp_dir().join(name);
     let jobs: Vec<String> = told.iter().map(|told| told.id.clone()).collect();
-    site.keep_account(&folder, &jobs).await?;
+    site.save_diagnostics(&folder, &jobs).await?;
     Ok(folder)
 }
 
@@ -154,7 +154,7 @@
     for (at, action) in schedule {
         sleep(at.saturating_sub(begun.elapsed())).await;
         done.push(format!("{:.2} s {action:?}", begun.elapsed().as_secs_f64()));
-        if let Err(error) = action.carry_out(site).await {
+        if let Err(error) = action.execute(site).await {
             done.push(format!("that failed: {error}"));
         }
     }
--- a/testutils/src/platform/soak/accounts.rs
+++ b/testutils/src/platform/soak/accounts.rs
@@ -10,38 +10,38 @@
 use tokio::time::sleep;
 
 use crate::platform::site::Site;
+use crate::platform::site::account_key;
 use crate::platform::site::config::Account;
-use crate::platform::site::key_of;
 use crate::platform::soak::NODES;
-use crate::platform::soak::client::CPU;
+use crate::platform::soak::client::TASK_CPU;
 
 /// The accounts. The bound of the first one never changes, so a start above it is a fault whichever version counts.
 pub(super) const ACCOUNTS: [&str; 3] = ["tight", "wide", "other"];
 /// Most tasks of the first one at once.
-const MOST: u32 = 4;
+const MAX_TASKS: u32 = 4;
 /// Time between two versions of the configuration, in milliseconds.
-const GAP_MS: std::ops::RangeInclusive<u64> = 150..=1_500;
+const CONFIG_INTERVAL_MS: std::ops::RangeInclusive<u64> = 150..=1_500;
 /// Pause between tries until the first version is in force.
-const PAUSE: Duration = Duration::from_millis(25);
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-fn accounts(rng: &mut StdRng) -> Vec<Account> {
+fn draw_accounts(rng: &mut StdRng) -> Vec<Account> {
     let account = |(place, name): (usize, &&str)| {
-        let mut account = Account::new(name, &key_of(name));
+        let mut account = Account::new(name, &account_key(name));
         account.keys.push(format!("rotated-{}", rng.random::<u32>()));
-        let most = if place == 0 { MOST } else { rng.random_range(0..20) };
-        account.maximum = (u64::from(most * CPU), 0);
+        let most = if place == 0 { MAX_TASKS } else { rng.random_range(0..20) };
+        account.maximum = (u64::from(most * TASK_CPU), 0);
         account
     };
     ACCOUNTS.iter().enumerate().map(account).collect()
 }
 
 /// Puts the first version in force at every daemon.
-pub(super) async fn begin(site: &Site, rng: &mut StdRng) {
-    site.ledger.bound(ACCOUNTS[0], MOST);
-    site.configure(2, &accounts(rng));
+pub(super) async fn publish_first(site: &Site, rng: &mut StdRng) {
+    site.ledger.set_max_running(ACCOUNTS[0], MAX_TASKS);
+    site.publish_config(2, &draw_accounts(rng));
     for node in 0..NODES {
-        site.until("keys count", async |site| {
-            sleep(PAUSE).await;
+        site.wait_until("keys count", async |site| {
+            sleep(CHECK_INTERVAL).await;
             site.call_with(&[], node, Method::GET, "/q/0000000000000001", Value::Null).await.0
                 == 401
         })
@@ -50,12 +50,12 @@
 }
 
 /// Publishes one version after another until the time is over.
-pub(super) async fn change(site: &Site, mut rng: StdRng, until: Instant) {
+pub(super) async fn publish_changes(site: &Site, mut rng: StdRng, until: Instant) {
     let mut version = 2;
     while Instant::now() < until {
-        sleep(Duration::from_millis(rng.random_range(GAP_MS))).await;
+        sleep(Duration::from_millis(rng.random_range(CONFIG_INTERVAL_MS))).await;
         version += rng.random_range(1..4);
-        site.configure(version, &accounts(&mut rng));
+        site.publish_config(version, &draw_accounts(&mut rng));
     }
 }
 
@@ -63,10 +63,10 @@
 ///
 /// While nobody who knows the job can be asked, the wish of anybody to cancel any job is kept with 200; it must do
 /// nothing to the jobs of others.
-pub(super) async fn pry(site: &Site, rng: &mut StdRng, job: &str) -> Vec<String> {
+pub(super) async fn check_isolation(site: &Site, rng: &mut StdRng, job: &str) -> Vec<String> {
     let Some(owner) = site.ledger.owner(job) else { return Vec::new() };
     let stranger = ACCOUNTS.iter().find(|account| **account != owner).expect("there are several");
-    let stranger = key_of(stranger);
+    let stranger = account_key(stranger);
     let path = format!("/q/{job}");
     let call = async |rng: &mut StdRng, key: &str, method: Method| {
         let node = rng.random_range(0..NODES);
@@ -82,7 +82,8 @@
             broken.push(format!("{method} of {job} is served to an unknown key"));
         }
     }
-    if site.state(rng.random_range(0..NODES), job).await.is_ok_and(|state| state == "canceled") {
+    if site.job_state(rng.random_range(0..NODES), job).await.is_ok_and(|state| state == "canceled")
+    {
         broken.push(format!("{job}, which is {owner}'s, was cancelled by {stranger}"));
     }
     broken
--- a/testutils/src/platform/store.rs
+++ b/testutils/src/platform/store.rs
@@ -23,14 +23,14 @@
 use spokelift_platform::store::Partition;
 use spokelift_platform::store::Record;
 use spokelift_platform::store::decode_records;
-use spokelift_platform::store::encode;
+use spokelift_platform::store::encode_records;
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use tokio::sync::watch;
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-use crate::platform::answer;
+use crate::platform::json_response;
 
 /// What one door of the store does to whoever comes through it. Each node has a door of its own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     /// Answers 503 and does nothing.
     Busy,
     /// Says nothing and does nothing.
-    Silent,
+    Unresponsive,
     /// Does what is asked, and answers every second time only.
     LosesAnswers,
     /// Does what is asked a second later, if its condition still holds, and never answers.
@@ -52,21 +52,21 @@
 struct Log {
     records: Vec<Record>,
     /// Records before this offset are gone, but for the newest of each key.
-    first: usize,
+    first_offset: usize,
     producers: HashMap<String, (u64, u64, usize)>,
     /// How often it was read whole.
-    read_whole: usize,
+    full_reads: usize,
     /// How often it was appended to.
-    appends: usize,
+    append_count: usize,
     /// Held by the append whose turn it is.
-    turn: Arc<tokio::sync::Mutex<()>>,
+    append_lock: Arc<tokio::sync::Mutex<()>>,
 }
 
 #[derive(Default)]
 struct Inner {
     logs: Mutex<HashMap<Partition, Log>>,
     append_time: Mutex<Duration>,
-    grown: Notify,
+    appended: Notify,
 }
 
 /// A running store.
@@ -77,25 +77,25 @@
 
 /// One way into the store.
 #[derive(Clone)]
-pub struct Door {
+pub struct Endpoint {
     /// Where it is.
     pub addr: SocketAddr,
     fault: Arc<Mutex<(Fault, u64)>>,
-    _open: Arc<watch::Sender<bool>>,
+    _shutdown: Arc<watch::Sender<bool>>,
 }
 
-impl Door {
+impl Endpoint {
     /// Sets what it does from now on.
-    pub fn set(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         self.fault.lock().expect("no holder panics").0 = fault;
     }
 
     /// How many requests have come through it.
-    pub fn asked(&self) -> u64 {
+    pub fn request_count(&self) -> u64 {
         self.fault.lock().expect("no holder panics").1
     }
 
-    fn take(&self) -> (Fault, u64) {
+    fn count_request(&self) -> (Fault, u64) {
         let mut fault = self.fault.lock().expect("no holder panics");
         fault.1 += 1;
         *fault
@@ -108,15 +108,18 @@
     }
 
     /// Opens a door on a port chosen by the system.
-    pub async fn door(&self) -> std::io::Result<Door> {
+    pub async fn open_endpoint(&self) -> std::io::Result<Endpoint> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (open, closed) = watch::channel(false);
-        let door =
-            Door { addr: listener.local_addr()?, fault: Arc::default(), _open: Arc::new(open) };
+        let door = Endpoint {
+            addr: listener.local_addr()?,
+            fault: Arc::default(),
+            _shutdown: Arc::new(open),
+        };
         let (store, entrance) = (self.clone(), door.clone());
         tokio::spawn(serve(listener, closed, move |request| {
             let (store, door) = (store.clone(), entrance.clone());
-            async move { store.enter(&door, request).await }
+            async move { store.handle(&door, request).await }
         }));
         Ok(door)
     }
@@ -130,16 +133,16 @@
     pub fn appends_by_partition(&self, topic: &str) -> BTreeMap<u16, usize> {
         let logs = self.logs();
         let of_topic = logs.iter().filter(|(partition, _)| partition.topic == topic);
-        of_topic.map(|(partition, log)| (partition.number, log.appends)).collect()
+        of_topic.map(|(partition, log)| (partition.number, log.append_count)).collect()
     }
 
     /// How often a topic was appended to through the protocol.
-    pub fn appends(&self, topic: &str) -> usize {
+    pub fn append_count(&self, topic: &str) -> usize {
         self.appends_by_partition(topic).values().sum()
     }
 
-    async fn take_turn(&self, partition: Partition) {
-        let turn = self.logs().entry(partition).or_default().turn.clone();
+    async fn wait_append_time(&self, partition: Partition) {
+        let turn = self.logs().entry(partition).or_default().append_lock.clone();
         let _turn = turn.lock().await;
         let time = *self.inner.append_time.lock().expect("no holder panics");
         sleep(time).await;
@@ -148,7 +151,7 @@
     /// Appends to the first partition of a topic past the protocol.
     pub fn put(&self, topic: &str, record: Record) {
         self.logs().entry(topic.into()).or_default().records.push(record);
-        self.inner.grown.notify_waiters();
+        self.inner.appended.notify_waiters();
     }
 
     /// The newest value of a key in the first partition of a topic.
@@ -159,24 +162,24 @@
     }
 
     /// How often the first partition of a topic was read whole.
-    pub fn read_whole(&self, topic: &str) -> usize {
-        self.logs().get(&topic.into()).map_or(0, |log| log.read_whole)
+    pub fn full_reads(&self, topic: &str) -> usize {
+        self.logs().get(&topic.into()).map_or(0, |log| log.full_reads)
     }
 
     /// Lets go of the history of all topics.
-    pub fn forget_history(&self) {
+    pub fn compact(&self) {
         for log in self.logs().values_mut() {
-            log.first = log.records.len();
+            log.first_offset = log.records.len();
         }
-        self.inner.grown.notify_waiters();
+        self.inner.appended.notify_waiters();
     }
 
-    async fn enter(&self, door: &Door, request: Request<Incoming>) -> Response<Body> {
-        let (fault, count) = door.take();
+    async fn handle(&self, door: &Endpoint, request: Request<Incoming>) -> Response<Body> {
+        let (fault, count) = door.count_request();
         let writes = request.method() == Method::POST;
         match fault {
-            Fault::Busy => return answer(503, &json!({})),
-            Fault::Silent => return std::future::pending().await,
+            Fault::Busy => return json_response(503, &json!({})),
+            Fault::Unresponsive => return std::future::pending().await,
             Fault::Late if writes => {
                 let store = self.clone();
                 tokio::spawn(async move {
@@ -205,39 +208,39 @@
         match path.as_str() {
             "/api/log-append" => {
                 let Ok(body) = request.into_body().collect().await else {
-                    return answer(400, &json!({}));
+                    return json_response(400, &json!({}));
                 };
-                self.take_turn(partition_of(&query)).await;
+                self.wait_append_time(partition_of(&query)).await;
                 self.append(&query, body.to_bytes())
             }
             "/api/log-read" => self.read(&query).await,
             "/api/log-newest" => self.newest(&query),
-            _ => answer(404, &json!({})),
+            _ => json_response(404, &json!({})),
         }
     }
 
     fn append(&self, query: &HashMap<String, String>, body: Bytes) -> Response<Body> {
-        let Some(records) = decode_records(body) else { return answer(400, &json!({})) };
+        let Some(records) = decode_records(body) else { return json_response(400, &json!({})) };
         let number = |name: &str| query.get(name).and_then(|text| text.parse::<u64>().ok());
         let mut logs = self.logs();
         let log = logs.entry(partition_of(query)).or_default();
-        log.appends += 1;
+        log.append_count += 1;
         let end = log.records.len();
         if number("at").is_some_and(|at| at != end as u64) {
-            return answer(412, &json!({ "end": end }));
+            return json_response(412, &json!({ "end": end }));
         }
         if let (Some(producer), Some(epoch), Some(seq)) =
             (query.get("producer"), number("epoch"), number("seq"))
         {
             match log.producers.get(producer).copied() {
                 Some((seen, _, _)) if epoch < seen => {
-                    return answer(409, &json!({ "reason": "fenced" }));
+                    return json_response(409, &json!({ "reason": "fenced" }));
                 }
                 Some((seen, last, offset)) if epoch == seen && seq == last => {
-                    return answer(200, &json!({ "offset": offset, "end": end }));
+                    return json_response(200, &json!({ "offset": offset, "end": end }));
                 }
                 Some((seen, last, _)) if epoch == seen && seq != last + 1 => {
-                    return answer(409, &json!({ "reason": "seq", "seq": last + 1 }));
+                    return json_response(409, &json!({ "reason": "seq", "seq": last + 1 }));
                 }
                 _ => {
                     log.producers.insert(producer.clone(), (epoch, seq, end));
@@ -247,8 +250,8 @@
         log.records.extend(records);
         let new_end = log.records.len();
         drop(logs);
-        self.inner.grown.notify_waiters();
-        answer(200, &json!({ "offset": end, "end": new_end }))
+        self.inner.appended.notify_waiters();
+        json_response(200, &json!({ "offset": end, "end": new_end }))
     }
 
     async fn read(&self, query: &HashMap<String, String>) -> Response<Body> {
@@ -260,7 +263,7 @@
         };
         let grown = async {
             loop {
-                let grown = self.inner.grown.notified();
+                let grown = self.inner.appended.notified();
                 let mut grown = std::pin::pin!(grown);
                 grown.as_mut().enable();
                 if end(self) > from {
@@ -273,20 +276,20 @@
         let _ = timeout(wait, grown).await;
         let mut logs = self.logs();
         let log = logs.entry(partition_of(query)).or_default();
-        if from < log.first {
-            return answer(410, &json!({ "first": log.first }));
+        if from < log.first_offset {
+            return json_response(410, &json!({ "first": log.first_offset }));
         }
         let mut body = Vec::new();
         body.extend((log.records.len() as u64).to_be_bytes());
-        body.extend((log.first as u64).to_be_bytes());
-        body.extend(encode(log.records.get(from..).unwrap_or_default()));
+        body.extend((log.first_offset as u64).to_be_bytes());
+        body.extend(encode_records(log.records.get(from..).unwrap_or_default()));
         Response::new(full(body))
     }
 
     fn newest(&self, query: &HashMap<String, String>) -> Response<Body> {
         let mut logs = self.logs();
         let log = logs.entry(partition_of(query)).or_default();
-        log.read_whole += 1;
+        log.full_reads += 1;
         let mut newest: BTreeMap<&str, (usize, &Record)> = BTreeMap::new();
         for (offset, record) in log.records.iter().enumerate() {
             newest.insert(&record.key, (offset, record));
@@ -298,7 +301,7 @@
                 Some(json!({ "key": record.key, "value": value, "offset": offset }))
             })
             .collect();
-        answer(200, &json!({ "items": items, "more": false, "end": log.records.len() }))
+        json_response(200, &json!({ "items": items, "more": false, "end": log.records.len() }))
     }
 }
 
