--- a/testutils/src/platform/worker.rs
+++ b/testutils/src/platform/worker.rs
@@ -31,7 +31,7 @@
 use tokio::time::timeout;
 
 use crate::platform::advice::ticket;
-use crate::platform::answer;
+use crate::platform::json_response;
 use crate::platform::ledger::Ledger;
 use crate::platform::read_json;
 use crate::platform::store::Store;
@@ -39,36 +39,36 @@
 /// Word in a job's text that makes workers want a ticket.
 pub const NEEDS_TICKET: &str = "needs-ticket";
 /// Time between two writes of a worker's entry.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause between looks at what has ended or lapsed.
-const STEP: Duration = Duration::from_millis(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// A worker's clock stood at this when it started, in milliseconds.
-const CLOCK_START: u64 = 1_000;
+const CLOCK_START_MS: u64 = 1_000;
 
 /// Machines whose workers are brought down by a task.
-pub type Downs = mpsc::UnboundedSender<String>;
+pub type CrashSender = mpsc::UnboundedSender<String>;
 
 /// The processor a worker has, in thousandths of a core.
-struct Room {
+struct CpuCapacity {
     cpu: u64,
     /// What it had before that changed, and when it did.
-    before: u64,
-    changed: Instant,
+    previous_cpu: u64,
+    changed_at: Instant,
     /// It refuses what does not fit.
-    guarded: bool,
+    is_enforced: bool,
 }
 
-impl Room {
+impl CpuCapacity {
     /// How much may be started by what its entry says, or said a moment ago.
     fn allowed(&self) -> u64 {
-        let is_new = self.changed.elapsed() < KNOWN;
-        if is_new { self.cpu.max(self.before) } else { self.cpu }
+        let is_new = self.changed_at.elapsed() < CAPACITY_CHANGE_GRACE;
+        if is_new { self.cpu.max(self.previous_cpu) } else { self.cpu }
     }
 }
 
 /// How long after a worker's room has shrunk starts may still go by what it was: a heartbeat, a read of the entry,
 /// and a start under way.
-const KNOWN: Duration = Duration::from_millis(1_500);
+const CAPACITY_CHANGE_GRACE: Duration = Duration::from_millis(1_500);
 
 /// What is wrong with a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -77,65 +77,70 @@
     #[default]
     None,
     /// It runs on, but no call reaches it and no answer leaves it.
-    Cut,
+    Disconnected,
     /// Everything it starts fails.
     FailsAll,
     /// It starts tasks and does not answer.
-    LosesStarts,
-    /// It takes [`SLOW_START`] to start a task, and answers then.
+    LosesStartAnswers,
+    /// It takes [`SLOW_START_DELAY`] to start a task, and answers then.
     SlowStarts,
-    /// It does not answer a start, which is carried out [`LATE_START`] later by whoever lives under its id then.
+    /// It does not answer a start, which is carried out [`LATE_START_DELAY`] later by whoever lives under its id then.
     LateStarts,
 }
 
 /// How a life of a worker begins.
 #[derive(Clone, Debug)]
-pub struct Birth {
+pub struct StartOptions {
     /// The life whose id it has; none for an id of its own.
-    pub after: Option<Worker>,
+    pub predecessor: Option<Worker>,
     /// What its clock stands at, in milliseconds.
     pub clock_ms: u64,
     /// When it began by its own time of day, in milliseconds since 1970.
-    pub born: u64,
+    pub birth_ms: u64,
     /// Whether it is called where the life before was.
-    pub same_address: bool,
+    pub reuses_address: bool,
 }
 
-impl Default for Birth {
-    fn default() -> Birth {
+impl Default for StartOptions {
+    fn default() -> StartOptions {
         let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let born = born.as_millis() as u64;
-        Birth { after: None, clock_ms: CLOCK_START, born, same_address: true }
+        StartOptions {
+            predecessor: None,
+            clock_ms: CLOCK_START_MS,
+            birth_ms: born,
+            reuses_address: true,
+        }
     }
 }
 
-struct Running {
+struct RunningTask {
     run: u64,
-    until: Option<Instant>,
-    ends_at: Option<Instant>,
+    done_at: Option<Instant>,
+    stops_at: Option<Instant>,
     cpu: u64,
-    memory: u64,
+    memory_mb: u64,
 }
 
 #[derive(Default)]
 struct State {
     fence: u64,
     lease_until: u64,
-    runs: BTreeMap<String, Running>,
-    barred: HashMap<String, u64>,
-    ended: Vec<(u64, String, u64, &'static str)>,
+    runs: BTreeMap<String, RunningTask>,
+    barred_runs: HashMap<String, u64>,
+    unacknowledged_ends: Vec<(u64, String, u64, &'static str)>,
     last_end: u64,
     fault: Fault,
 }
 
 impl State {
     /// Tasks whose time has come or whose lease has run out, and how each ends.
-    fn over(&self, clock: u64) -> Vec<(String, &'static str)> {
+    fn finished_tasks(&self, clock: u64) -> Vec<(String, &'static str)> {
         let lapsed = self.lease_until < clock;
         let now = Instant::now();
-        let how = |running: &Running| {
-            let stopped = running.ends_at.is_some_and(|at| at <= now);
-            let done = running.until.is_some_and(|at| at <= now);
+        let how = |running: &RunningTask| {
+            let stopped = running.stops_at.is_some_and(|at| at <= now);
+            let done = running.done_at.is_some_and(|at| at <= now);
             match (stopped, lapsed, done) {
                 (true, _, _) => Some("stopped"),
                 (_, true, _) => Some("lapsed"),
@@ -160,44 +165,44 @@
     inner: Arc<Inner>,
     addr: SocketAddr,
     /// Who lives under the id now.
-    current: Current,
+    current: CurrentIncarnation,
     stop: Arc<watch::Sender<bool>>,
 }
 
 impl std::fmt::Debug for Worker {
     fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(to, "{} born {}", self.id, self.inner.born_ms)
+        write!(to, "{} born {}", self.id, self.inner.birth_ms)
     }
 }
 
 /// The life that an id has now.
-type Current = Arc<Mutex<Weak<Inner>>>;
+type CurrentIncarnation = Arc<Mutex<Weak<Inner>>>;
 
 struct Inner {
     id: String,
-    born_ms: u64,
-    clock_start: u64,
-    current: Current,
+    birth_ms: u64,
+    clock_start_ms: u64,
+    current: CurrentIncarnation,
     machine: String,
     /// Where it says that a task brings it down.
-    downs: Downs,
-    born: Instant,
-    room: Mutex<Room>,
-    memory: u64,
+    crash_sender: CrashSender,
+    started_at: Instant,
+    cpu_capacity: Mutex<CpuCapacity>,
+    memory_mb: u64,
     ledger: Ledger,
     state: Mutex<State>,
-    ended: Notify,
+    end_notify: Notify,
     /// Its entry stays when it ends, since a later life has its id.
-    leaves_entry: AtomicBool,
+    keeps_entry: AtomicBool,
 }
 
 /// How late a start is carried out at a worker with [`Fault::LateStarts`].
-pub const LATE_START: Duration = Duration::from_millis(2_500);
+pub const LATE_START_DELAY: Duration = Duration::from_millis(2_500);
 /// How long the address of an earlier life may take to become free.
-const REBIND: Duration = Duration::from_millis(2_000);
+const REBIND_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// How long a worker that is slow to start takes for it.
-const SLOW_START: Duration = Duration::from_millis(200);
+const SLOW_START_DELAY: Duration = Duration::from_millis(200);
 
 /// What a worker is to be.
 #[derive(Clone, Debug)]
@@ -209,7 +214,7 @@
     /// Its processor, in thousandths of a core.
     pub cpu: u64,
     /// Its memory in megabytes.
-    pub memory: u64,
+    pub memory_mb: u64,
 }
 
 impl Worker {
@@ -219,12 +224,12 @@
         ledger: &Ledger,
         machine: &str,
         shape: &Shape,
-        downs: &Downs,
-        birth: Birth,
+        downs: &CrashSender,
+        birth: StartOptions,
     ) -> std::io::Result<Worker> {
-        let before = birth.after.as_ref();
-        let listener = match before.filter(|_| birth.same_address) {
-            Some(before) => bind_again(before.addr).await?,
+        let before = birth.predecessor.as_ref();
+        let listener = match before.filter(|_| birth.reuses_address) {
+            Some(before) => rebind(before.addr).await?,
             None => TcpListener::bind("127.0.0.1:0").await?,
         };
         let addr = listener.local_addr()?;
@@ -233,30 +238,30 @@
         let current = before.map(|before| before.current.clone()).unwrap_or_default();
         let inner = Arc::new(Inner {
             id: id.clone(),
-            born_ms: birth.born,
-            clock_start: birth.clock_ms,
+            birth_ms: birth.birth_ms,
+            clock_start_ms: birth.clock_ms,
             current: current.clone(),
-            leaves_entry: AtomicBool::new(false),
+            keeps_entry: AtomicBool::new(false),
             machine: machine.to_owned(),
-            downs: downs.clone(),
-            born: Instant::now(),
-            room: Mutex::new(Room {
+            crash_sender: downs.clone(),
+            started_at: Instant::now(),
+            cpu_capacity: Mutex::new(CpuCapacity {
                 cpu: shape.cpu,
-                before: shape.cpu,
-                changed: Instant::now(),
-                guarded: true,
+                previous_cpu: shape.cpu,
+                changed_at: Instant::now(),
+                is_enforced: true,
             }),
-            memory: shape.memory,
+            memory_mb: shape.memory_mb,
             ledger: ledger.clone(),
             state: Mutex::default(),
-            ended: Notify::new(),
+            end_notify: Notify::new(),
         });
         *current.lock().expect("no holder panics") = Arc::downgrade(&inner);
         let (stop, stopped) = watch::channel(false);
         let shared = inner.clone();
         let server = serve(listener, stopped.clone(), move |request| {
             let inner = shared.clone();
-            async move { inner.answer(request).await }
+            async move { inner.handle(request).await }
         });
         let (shape, machine_name) = (shape.clone(), machine.to_owned());
         let (store, key, life) = (store.clone(), id.clone(), inner.clone());
@@ -264,23 +269,23 @@
         tokio::spawn(async move {
             let beats = async {
                 loop {
-                    let cpu = beating.room().cpu;
+                    let cpu = beating.cpu_capacity().cpu;
                     let shape = Shape { cpu, ..shape.clone() };
                     let mut entry = entry(addr, &machine_name, &shape, "ready");
-                    entry["born"] = json!(beating.born_ms);
+                    entry["born"] = json!(beating.birth_ms);
                     store.put(WORKER_TOPIC, Record::set(key.clone(), entry.to_string()));
-                    sleep(HEARTBEAT).await;
+                    sleep(HEARTBEAT_INTERVAL).await;
                 }
             };
             tokio::select! {
                 () = server => {}
                 () = beats => {}
-                () = life.run() => {}
+                () = life.end_finished_tasks() => {}
                 // Dropping the server cuts its connections, as a crash does.
                 _ = over.wait_for(|over| *over) => {}
             }
-            if !ending.leaves_entry.load(Ordering::Relaxed) {
-                store.put(WORKER_TOPIC, Record::drop_key(key));
+            if !ending.keeps_entry.load(Ordering::Relaxed) {
+                store.put(WORKER_TOPIC, Record::tombstone(key));
             }
         });
         let (machine, stop) = (machine.to_owned(), Arc::new(stop));
@@ -288,8 +293,8 @@
     }
 
     /// The same as [`Worker::crash`], before another life has the id.
-    pub fn crash_before_another(&self) {
-        self.inner.leaves_entry.store(true, Ordering::Relaxed);
+    pub fn crash_before_successor(&self) {
+        self.inner.keeps_entry.store(true, Ordering::Relaxed);
         self.crash();
     }
 
@@ -299,43 +304,48 @@
     }
 
     /// What its clock shows, in milliseconds.
-    pub fn clock(&self) -> u64 {
-        self.inner.clock()
+    pub fn clock_ms(&self) -> u64 {
+        self.inner.clock_ms()
     }
 
     /// When it began by its own time of day, in milliseconds since 1970.
-    pub fn born(&self) -> u64 {
-        self.inner.born_ms
+    pub fn birth_ms(&self) -> u64 {
+        self.inner.birth_ms
     }
 
     /// Sets what is wrong with it.
-    pub fn set(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         self.inner.state().fault = fault;
     }
 
     /// Sets how much processor it has, which its next heartbeat tells, and whether it refuses what does not fit.
-    pub fn resize(&self, cpu: u64, guarded: bool) {
-        let mut room = self.inner.room();
-        *room = Room { cpu, before: room.allowed(), changed: Instant::now(), guarded };
+    pub fn set_cpu(&self, cpu: u64, guarded: bool) {
+        let mut room = self.inner.cpu_capacity();
+        *room = CpuCapacity {
+            cpu,
+            previous_cpu: room.allowed(),
+            changed_at: Instant::now(),
+            is_enforced: guarded,
+        };
     }
 
     /// Ends the life with all it runs, although nobody ordered that.
     pub fn crash(&self) {
         for task in self.inner.state().runs.keys() {
-            self.inner.ledger.lost_with_worker(task);
+            self.inner.ledger.record_lost_with_worker(task);
         }
-        self.end();
+        self.terminate();
     }
 
     /// Ends the life with all it runs.
-    pub fn end(&self) {
+    pub fn terminate(&self) {
         let mut state = self.inner.state();
         // What arrives before the server is gone starts nothing.
-        state.fault = Fault::Cut;
+        state.fault = Fault::Disconnected;
         for (task, _) in std::mem::take(&mut state.runs) {
-            self.inner.ledger.ended(&task, false);
+            self.inner.ledger.record_end(&task, false);
         }
-        self.inner.lose_ends(&state);
+        self.inner.forget_unacknowledged_ends(&state);
         drop(state);
         let _ = self.stop.send(true);
     }
@@ -349,16 +359,16 @@
 /// The entry of a worker of service `work` at which nothing is called, in a state of one's own.
 pub fn entry_in_state(state: &str) -> Value {
     let shape =
-        Shape { service: "work".to_owned(), rack: "r1-0".to_owned(), cpu: 8_000, memory: 8_000 };
+        Shape { service: "work".to_owned(), rack: "r1-0".to_owned(), cpu: 8_000, memory_mb: 8_000 };
     entry(SocketAddr::from(([127, 0, 0, 1], 1)), "m-none", &shape, state)
 }
 
 /// Listens where an earlier life did, which may have ended just now.
-async fn bind_again(addr: SocketAddr) -> std::io::Result<TcpListener> {
-    let until = Instant::now() + REBIND;
+async fn rebind(addr: SocketAddr) -> std::io::Result<TcpListener> {
+    let until = Instant::now() + REBIND_TIMEOUT;
     loop {
         match TcpListener::bind(addr).await {
-            Err(_) if Instant::now() < until => sleep(STEP).await,
+            Err(_) if Instant::now() < until => sleep(CHECK_INTERVAL).await,
             bound => return bound,
         }
     }
@@ -368,13 +378,13 @@
     json!({
         "service": shape.service, "address": addr.to_string(), "zone": "hall-1", "version": "v1",
         "slots": 8, "state": state, "coldRemainingMs": 0, "seq": 0,
-        "capacity": { "cpu": shape.cpu, "memMb": shape.memory, "gpu": 0 },
+        "capacity": { "cpu": shape.cpu, "memMb": shape.memory_mb, "gpu": 0 },
         "labels": ["a", shape.rack], "machine": machine,
     })
 }
 
 /// A number in a job's text.
-fn figure(spec: &str, name: &str) -> Option<u64> {
+fn spec_number(spec: &str, name: &str) -> Option<u64> {
     let text = spec.split_whitespace().find_map(|word| word.strip_prefix(name));
     text.and_then(|text| text.parse().ok())
 }
@@ -384,107 +394,110 @@
         self.state.lock().expect("no holder panics")
     }
 
-    fn room(&self) -> MutexGuard<'_, Room> {
-        self.room.lock().expect("no holder panics")
+    fn cpu_capacity(&self) -> MutexGuard<'_, CpuCapacity> {
+        self.cpu_capacity.lock().expect("no holder panics")
     }
 
-    fn clock(&self) -> u64 {
-        self.clock_start + self.born.elapsed().as_millis() as u64
+    fn clock_ms(&self) -> u64 {
+        self.clock_start_ms + self.started_at.elapsed().as_millis() as u64
     }
 
     /// Ends tasks whose time has come or whose lease has run out.
-    async fn run(&self) {
+    async fn end_finished_tasks(&self) {
         loop {
-            sleep(STEP).await;
-            let clock = self.clock();
+            sleep(CHECK_INTERVAL).await;
+            let clock = self.clock_ms();
             let mut state = self.state();
-            for (task, how) in state.over(clock) {
-                self.end(&mut state, &task, how);
+            for (task, how) in state.finished_tasks(clock) {
+                self.end_task(&mut state, &task, how);
             }
             if state.lease_until < clock {
-                self.lose_ends(&state);
+                self.forget_unacknowledged_ends(&state);
             }
         }
     }
 
-    fn end(&self, state: &mut State, task: &str, how: &'static str) {
+    fn end_task(&self, state: &mut State, task: &str, how: &'static str) {
         let Some(running) = state.runs.remove(task) else { return };
         state.last_end += 1;
         let number = state.last_end;
-        state.ended.push((number, task.to_owned(), running.run, how));
-        state.barred.insert(task.to_owned(), running.run);
-        self.ledger.ended(task, how == "done");
-        self.ended.notify_waiters();
+        state.unacknowledged_ends.push((number, task.to_owned(), running.run, how));
+        state.barred_runs.insert(task.to_owned(), running.run);
+        self.ledger.record_end(task, how == "done");
+        self.end_notify.notify_waiters();
     }
 
     /// Nobody may have heard of the ends that were not acknowledged: the worker is gone, or its lease
     /// has run out and its tasks may run elsewhere.
-    fn lose_ends(&self, state: &State) {
-        for (_, task, ..) in state.ended.iter().filter(|(.., how)| *how == "done") {
-            self.ledger.lost_end(task);
+    fn forget_unacknowledged_ends(&self, state: &State) {
+        for (_, task, ..) in state.unacknowledged_ends.iter().filter(|(.., how)| *how == "done") {
+            self.ledger.forget_end(task);
         }
     }
 
-    async fn answer(self: &Arc<Self>, request: Request<Incoming>) -> Response<Body> {
+    async fn handle(self: &Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let expected = request.headers().get("x-expected-instance").and_then(|id| id.to_str().ok());
         let is_other = expected.is_some_and(|expected| expected != self.id);
         let path = request.uri().path().to_owned();
         let body = read_json(request.into_body()).await;
-        if self.state().fault == Fault::Cut {
+        if self.state().fault == Fault::Disconnected {
             return std::future::pending().await;
         }
         if is_other {
-            return answer(421, &json!({}));
+            return json_response(421, &json!({}));
         }
         if path == "/api/run-start" && self.state().fault == Fault::LateStarts {
-            tokio::spawn(start_late(self.current.clone(), body));
+            tokio::spawn(execute_late_start(self.current.clone(), body));
             return std::future::pending().await;
         }
-        self.obey(&path, &body).await
+        self.execute(&path, &body).await
     }
 
     /// Carries out an order.
-    async fn obey(self: &Arc<Self>, path: &str, body: &Value) -> Response<Body> {
+    async fn execute(self: &Arc<Self>, path: &str, body: &Value) -> Response<Body> {
         let token = body["fencingToken"].as_u64().unwrap_or(0);
         {
             let mut state = self.state();
             if token < state.fence {
-                return answer(409, &json!({ "clockMs": self.clock(), "reason": "fence" }));
+                return json_response(
+                    409,
+                    &json!({ "clockMs": self.clock_ms(), "reason": "fence" }),
+                );
             }
             state.fence = token;
         }
         match path {
-            "/api/run-start" => self.start(body).await,
-            "/api/run-stop" => self.stop(body),
-            "/api/hold" => self.look(body).await,
-            "/api/pace" => answer(200, &json!({ "clockMs": self.clock() })),
-            _ => answer(404, &json!({})),
+            "/api/run-start" => self.handle_start(body).await,
+            "/api/run-stop" => self.handle_stop(body),
+            "/api/hold" => self.handle_poll(body).await,
+            "/api/pace" => json_response(200, &json!({ "clockMs": self.clock_ms() })),
+            _ => json_response(404, &json!({})),
         }
     }
 
-    async fn start(self: &Arc<Self>, body: &Value) -> Response<Body> {
+    async fn handle_start(self: &Arc<Self>, body: &Value) -> Response<Body> {
         if self.state().fault == Fault::SlowStarts {
-            sleep(SLOW_START).await;
+            sleep(SLOW_START_DELAY).await;
         }
-        let clock = self.clock();
-        match self.take(body, clock) {
-            Ok(true) => answer(200, &json!({ "clockMs": clock })),
+        let clock = self.clock_ms();
+        match self.accept_start(body, clock) {
+            Ok(true) => json_response(200, &json!({ "clockMs": clock })),
             Ok(false) => std::future::pending().await,
-            Err(reason) => answer(409, &json!({ "clockMs": clock, "reason": reason })),
+            Err(reason) => json_response(409, &json!({ "clockMs": clock, "reason": reason })),
         }
     }
 
     /// Takes a start; whether it is answered, or why it is refused. The job's text tells how a
     /// task behaves: `ms=N` for how long it runs, none for ever; `kills=N` after how long the first task
     /// of each step brings its worker down.
-    fn take(self: &Arc<Self>, body: &Value, clock: u64) -> Result<bool, &'static str> {
+    fn accept_start(self: &Arc<Self>, body: &Value, clock: u64) -> Result<bool, &'static str> {
         let task = body["task"].as_str().unwrap_or_default().to_owned();
         let run = body["run"].as_u64().unwrap_or(0);
         let lease = body["deadlineMs"].as_u64().unwrap_or(0);
         let spec = body["spec"].as_str().unwrap_or_default();
         let mut state = self.state();
         // It may have ended since the order came in: nothing would ever end what was started here.
-        if state.fault == Fault::Cut {
+        if state.fault == Fault::Disconnected {
             return Ok(false);
         }
         if lease < clock {
@@ -498,66 +511,70 @@
         if state.runs.get(&task).is_some_and(|running| running.run == run) {
             return Ok(true);
         }
-        let barred = state.barred.get(&task).is_some_and(|barred| run <= *barred);
+        let barred = state.barred_runs.get(&task).is_some_and(|barred| run <= *barred);
         if barred || state.runs.contains_key(&task) {
             return Err("old");
         }
-        let (cpu, memory) = (figure(spec, "cpu=").unwrap_or(0), figure(spec, "mem=").unwrap_or(0));
+        let (cpu, memory) =
+            (spec_number(spec, "cpu=").unwrap_or(0), spec_number(spec, "mem=").unwrap_or(0));
         let used: u64 = state.runs.values().map(|running| running.cpu).sum();
-        let taken: u64 = state.runs.values().map(|running| running.memory).sum();
-        let room = self.room();
-        if room.guarded && (used + cpu > room.cpu || taken + memory > self.memory) {
+        let taken: u64 = state.runs.values().map(|running| running.memory_mb).sum();
+        let room = self.cpu_capacity();
+        if room.is_enforced && (used + cpu > room.cpu || taken + memory > self.memory_mb) {
             return Err("room");
         }
         if cpu > 0 && used + cpu > room.allowed() {
-            self.ledger.over_room(&task, used + cpu, room.allowed());
+            self.ledger.record_overcommit(&task, used + cpu, room.allowed());
         }
         drop(room);
         let until =
-            figure(spec, "ms=").map(|millis| Instant::now() + Duration::from_millis(millis));
-        state.runs.insert(task.clone(), Running { run, until, ends_at: None, cpu, memory });
-        self.ledger.started(&task, run);
-        if let Some(after) = figure(spec, "kills=").filter(|_| task.ends_with(".0")) {
-            tokio::spawn(self.clone().bring_down(task, run, Duration::from_millis(after)));
+            spec_number(spec, "ms=").map(|millis| Instant::now() + Duration::from_millis(millis));
+        state.runs.insert(
+            task.clone(),
+            RunningTask { run, done_at: until, stops_at: None, cpu, memory_mb: memory },
+        );
+        self.ledger.record_start(&task, run);
+        if let Some(after) = spec_number(spec, "kills=").filter(|_| task.ends_with(".0")) {
+            tokio::spawn(self.clone().crash_after(task, run, Duration::from_millis(after)));
         }
-        Ok(state.fault != Fault::LosesStarts)
+        Ok(state.fault != Fault::LosesStartAnswers)
     }
 
     /// A task brings the worker down, if it still runs by then.
-    async fn bring_down(self: Arc<Self>, task: String, run: u64, after: Duration) {
+    async fn crash_after(self: Arc<Self>, task: String, run: u64, after: Duration) {
         sleep(after).await;
         let runs = self.state().runs.get(&task).is_some_and(|running| running.run == run);
         if runs {
-            self.ledger.crashed_under(&task);
+            self.ledger.record_crash_by(&task);
             // Without machines nobody is left to bring it up again.
-            let _ = self.downs.send(self.machine.clone());
+            let _ = self.crash_sender.send(self.machine.clone());
         }
     }
 
-    fn stop(&self, body: &Value) -> Response<Body> {
+    fn handle_stop(&self, body: &Value) -> Response<Body> {
         let task = body["task"].as_str().unwrap_or_default();
         let run = body["run"].as_u64().unwrap_or(0);
         let mut state = self.state();
-        let barred = state.barred.entry(task.to_owned()).or_default();
+        let barred = state.barred_runs.entry(task.to_owned()).or_default();
         *barred = run.max(*barred);
         if let Some(running) = state.runs.get_mut(task).filter(|running| running.run == run) {
-            running.ends_at.get_or_insert(Instant::now() + Duration::from_millis(50));
+            running.stops_at.get_or_insert(Instant::now() + Duration::from_millis(50));
         }
-        answer(200, &json!({ "clockMs": self.clock() }))
+        json_response(200, &json!({ "clockMs": self.clock_ms() }))
     }
 
-    async fn look(&self, body: &Value) -> Response<Body> {
+    async fn handle_poll(&self, body: &Value) -> Response<Body> {
         let seen = body["lastSeen"].as_u64().unwrap_or(0);
         {
             let mut state = self.state();
-            state.ended.retain(|(number, ..)| *number > seen);
+            state.unacknowledged_ends.retain(|(number, ..)| *number > seen);
             state.lease_until = state.lease_until.max(body["deadlineMs"].as_u64().unwrap_or(0));
         }
         let wait = Duration::from_millis(body["waitMs"].as_u64().unwrap_or(0));
-        let ended = self.ended.notified();
+        let ended = self.end_notify.notified();
         let mut ended = std::pin::pin!(ended);
         ended.as_mut().enable();
-        if self.state().ended.is_empty() {
+        if self.state().unacknowledged_ends.is_empty() {
             // Without an end the answer says so.
             let _ = timeout(wait, ended).await;
         }
@@ -568,20 +585,23 @@
             .map(|(task, running)| json!([task, running.run, "", 100, 0]))
             .collect();
         let ended: Vec<Value> = state
-            .ended
+            .unacknowledged_ends
             .iter()
             .map(|(number, task, run, how)| json!([number, task, run, how, ""]))
             .collect();
-        let (clock, born) = (self.clock(), self.born_ms);
-        answer(200, &json!({ "clockMs": clock, "born": born, "running": running, "ended": ended }))
+        let (clock, born) = (self.clock_ms(), self.birth_ms);
+        json_response(
+            200,
+            &json!({ "clockMs": clock, "born": born, "running": running, "ended": ended }),
+        )
     }
 }
 
 /// Carries out a start by whoever lives under the id by then.
-async fn start_late(current: Current, body: Value) {
-    sleep(LATE_START).await;
+async fn execute_late_start(current: CurrentIncarnation, body: Value) {
+    sleep(LATE_START_DELAY).await;
     let life = current.lock().expect("no holder panics").upgrade();
-    if let Some(life) = life.filter(|life| life.state().fault != Fault::Cut) {
-        life.obey("/api/run-start", &body).await;
+    if let Some(life) = life.filter(|life| life.state().fault != Fault::Disconnected) {
+        life.execute("/api/run-start", &body).await;
     }
 }
--- a/testutils/src/ports.rs
+++ b/testutils/src/ports.rs
@@ -10,14 +10,14 @@
 use std::sync::MutexGuard;
 
 /// Tries to find two neighbouring ports; all but a few ports are free.
-const TRIES: usize = 64;
+const MAX_PAIR_ATTEMPTS: usize = 64;
 
 /// Held while ports are held and while a process is started: one that has been forked and not yet replaced has
 /// a copy of every socket, so a port that was let go meanwhile is still taken when its daemon wants it.
-static FORK: Mutex<()> = Mutex::new(());
+static FORK_LOCK: Mutex<()> = Mutex::new(());
 
-fn lock() -> MutexGuard<'static, ()> {
-    FORK.lock().expect("no holder panics")
+fn lock_forks() -> MutexGuard<'static, ()> {
+    FORK_LOCK.lock().expect("no holder panics")
 }
 
 /// Starts a process that takes none of the ports that are being chosen with it.
@@ -26,7 +26,7 @@
 ///
 /// What starting it answers.
 pub fn spawn(command: &mut Command) -> io::Result<Child> {
-    let _forks = lock();
+    let _forks = lock_forks();
     command.spawn()
 }
 
@@ -44,9 +44,9 @@
 /// # Ok::<(), std::io::Error>(())
 /// ```
 pub fn free<const N: usize>(ip: IpAddr) -> io::Result<[SocketAddr; N]> {
-    let _forks = lock();
-    let held = hold::<N>(ip)?;
-    addresses(&held)
+    let _forks = lock_forks();
+    let held = bind_ports::<N>(ip)?;
+    local_addrs(&held)
 }
 
 /// `N` ports that are free now, and two more that are neighbours, of which the first is named.
@@ -55,24 +55,24 @@
 ///
 /// What binding them answers.
 pub fn free_and_pair<const N: usize>(ip: IpAddr) -> io::Result<([SocketAddr; N], SocketAddr)> {
-    let _forks = lock();
-    let held = hold::<N>(ip)?;
-    for _ in 0..TRIES {
+    let _forks = lock_forks();
+    let held = bind_ports::<N>(ip)?;
+    for _ in 0..MAX_PAIR_ATTEMPTS {
         let first = TcpListener::bind((ip, 0))?;
         let addr = first.local_addr()?;
         let next = addr.port().checked_add(1);
         if next.is_some_and(|next| TcpListener::bind((ip, next)).is_ok()) {
-            return Ok((addresses(&held)?, addr));
+            return Ok((local_addrs(&held)?, addr));
         }
     }
     Err(io::ErrorKind::AddrInUse.into())
 }
 
-fn hold<const N: usize>(ip: IpAddr) -> io::Result<Vec<TcpListener>> {
+fn bind_ports<const N: usize>(ip: IpAddr) -> io::Result<Vec<TcpListener>> {
     (0..N).map(|_| TcpListener::bind((ip, 0))).collect()
 }
 
-fn addresses<const N: usize>(held: &[TcpListener]) -> io::Result<[SocketAddr; N]> {
+fn local_addrs<const N: usize>(held: &[TcpListener]) -> io::Result<[SocketAddr; N]> {
     let mut addrs = [SocketAddr::from(([0, 0, 0, 0], 0)); N];
     for (addr, listener) in addrs.iter_mut().zip(held) {
         *addr = listener.local_addr()?;
--- a/testutils/src/process.rs
+++ b/testutils/src/process.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether it has ended, and with success.
-    pub fn ended(&mut self) -> io::Result<Option<bool>> {
+    pub fn exit_success(&mut self) -> io::Result<Option<bool>> {
         Ok(self.child.try_wait()?.map(|status| status.success()))
     }
 }
--- a/testutils/src/proxy.rs
+++ b/testutils/src/proxy.rs
@@ -46,7 +46,7 @@
 
 /// Which direction of open connections goes silent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Silence {
+pub enum Direction {
     /// Both.
     Both,
     /// What goes to the server.
@@ -57,7 +57,7 @@
 
 /// Connections with a lower number than these pass nothing on that way for good.
 #[derive(Clone, Copy, Debug, Default)]
-struct Silenced {
+struct BlackHoles {
     requests_below: u64,
     answers_below: u64,
 }
@@ -69,9 +69,9 @@
     pub addr: SocketAddr,
     upstream: Arc<Mutex<SocketAddr>>,
     fault: Arc<watch::Sender<Fault>>,
-    silenced: Arc<watch::Sender<Silenced>>,
-    opened: Arc<AtomicU64>,
-    passed: Arc<AtomicU64>,
+    black_holes: Arc<watch::Sender<BlackHoles>>,
+    connection_count: Arc<AtomicU64>,
+    forwarded_bytes: Arc<AtomicU64>,
     _task: Arc<AbortOnDrop>,
 }
 
@@ -95,14 +95,24 @@
         let addr = listener.local_addr()?;
         let upstream = Arc::new(Mutex::new(upstream));
         let (fault, faults) = watch::channel(Fault::default());
-        let (silenced, silences) = watch::channel(Silenced::default());
+        let (silenced, silences) = watch::channel(BlackHoles::default());
         let passed = Arc::new(AtomicU64::new(0));
         let opened = Arc::new(AtomicU64::new(0));
-        let line = Line { faults, silences, passed: passed.clone() };
-        let task = tokio::spawn(accept(listener, upstream.clone(), line, opened.clone()));
+        let line =
+            ConnectionContext { faults, black_holes: silences, forwarded_bytes: passed.clone() };
+        let task =
+            tokio::spawn(accept_connections(listener, upstream.clone(), line, opened.clone()));
         let _task = Arc::new(AbortOnDrop(task.abort_handle()));
         let (fault, silenced) = (Arc::new(fault), Arc::new(silenced));
-        Ok(Proxy { addr, upstream, fault, silenced, opened, passed, _task })
+        Ok(Proxy {
+            addr,
+            upstream,
+            fault,
+            black_holes: silenced,
+            connection_count: opened,
+            forwarded_bytes: passed,
+            _task,
+        })
     }
 
     /// Sends later connections elsewhere.
@@ -111,59 +121,64 @@
     }
 
     /// Sets what the proxy does from now on, to open connections as well.
-    pub fn set(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         // Nobody listens when no connection is open.
         self.fault.send_replace(fault);
     }
 
     /// The connections that are open now go silent for good: what they carry is taken and lost, and
     /// nobody is told. Later ones work.
-    pub fn silence_open(&self, way: Silence) {
-        let below = self.opened();
-        self.silenced.send_modify(|silenced| {
-            if way != Silence::Answers {
+    pub fn black_hole_open(&self, way: Direction) {
+        let below = self.connection_count();
+        self.black_holes.send_modify(|silenced| {
+            if way != Direction::Answers {
                 silenced.requests_below = below;
             }
-            if way != Silence::Requests {
+            if way != Direction::Requests {
                 silenced.answers_below = below;
             }
         });
     }
 
     /// Connections opened so far.
-    pub fn opened(&self) -> u64 {
-        self.opened.load(Ordering::SeqCst)
+    pub fn connection_count(&self) -> u64 {
+        self.connection_count.load(Ordering::SeqCst)
     }
 
     /// Bytes passed on so far, both ways.
-    pub fn passed(&self) -> u64 {
-        self.passed.load(Ordering::SeqCst)
+    pub fn forwarded_bytes(&self) -> u64 {
+        self.forwarded_bytes.load(Ordering::SeqCst)
     }
 }
 
 /// What each connection of a proxy is told, and where it counts.
 #[derive(Clone)]
-struct Line {
+struct ConnectionContext {
     faults: watch::Receiver<Fault>,
-    silences: watch::Receiver<Silenced>,
-    passed: Arc<AtomicU64>,
+    black_holes: watch::Receiver<BlackHoles>,
+    forwarded_bytes: Arc<AtomicU64>,
 }
 
-async fn accept(
+async fn accept_connections(
     listener: TcpListener,
     upstream: Arc<Mutex<SocketAddr>>,
-    line: Line,
+    line: ConnectionContext,
     opened: Arc<AtomicU64>,
 ) {
     while let Ok((client, _)) = listener.accept().await {
         let to = *upstream.lock().expect("no holder panics");
         let number = opened.fetch_add(1, Ordering::SeqCst);
-        tokio::spawn(pass(client, to, line.clone(), number));
+        tokio::spawn(forward_connection(client, to, line.clone(), number));
     }
 }
 
-async fn pass(client: TcpStream, to: SocketAddr, line: Line, number: u64) {
-    let Line { faults, silences, passed } = line;
+async fn forward_connection(
+    client: TcpStream,
+    to: SocketAddr,
+    line: ConnectionContext,
+    number: u64,
+) {
+    let ConnectionContext { faults, black_holes, forwarded_bytes } = line;
     if faults.borrow().refuse {
         return;
     }
@@ -175,37 +190,51 @@
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
     let mut refusals = faults.clone();
-    let is_mute = || number < silences.borrow().requests_below;
-    let is_deaf = || number < silences.borrow().answers_below;
+    let is_mute = || number < black_holes.borrow().requests_below;
+    let is_deaf = || number < black_holes.borrow().answers_below;
     let request = |fault: &Fault| fault.request;
-    let requests = copy(client_read, server_write, faults.clone(), &passed, request, is_mute);
-    let answers = copy(server_read, client_write, faults, &passed, |fault| fault.answer, is_deaf);
+    let requests = forward_bytes(
+        client_read,
+        server_write,
+        faults.clone(),
+        &forwarded_bytes,
+        request,
+        is_mute,
+    );
+    let answers = forward_bytes(
+        server_read,
+        client_write,
+        faults,
+        &forwarded_bytes,
+        |fault| fault.answer,
+        is_deaf,
+    );
     let mut answers = std::pin::pin!(answers);
     // The first direction to end, or a refusal, cuts both. A server that takes no more of a
     // request may have answered it already, and that answer is passed on.
     let not_taken = tokio::select! {
-        end = requests => end == End::NotTaken,
+        end = requests => end == End::ReceiverClosed,
         _ = &mut answers => false,
         _ = refusals.wait_for(|fault| fault.refuse) => false,
     };
     if not_taken {
-        let _ = timeout(LAST_ANSWER, answers).await;
+        let _ = timeout(LAST_ANSWER_TIMEOUT, answers).await;
     }
 }
 
 /// How long the last answer of a server may take that has stopped reading.
-const LAST_ANSWER: Duration = Duration::from_secs(1);
+const LAST_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why a direction has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
     /// Its sender has closed, or it was cut.
-    Over,
+    Closed,
     /// Its receiver takes no more.
-    NotTaken,
+    ReceiverClosed,
 }
 
-async fn copy(
+async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut faults: watch::Receiver<Fault>,
@@ -217,7 +246,7 @@
     let mut passed = 0;
     loop {
         let Ok(read @ 1..) = from.read(&mut buffer).await else {
-            return End::Over;
+            return End::Closed;
         };
         if is_silent() {
             continue;
@@ -236,54 +265,54 @@
             }
         }
         if to.write_all(bytes).await.is_err() {
-            return End::NotTaken;
+            return End::ReceiverClosed;
         }
         passed += bytes.len() as u64;
         all.fetch_add(bytes.len() as u64, Ordering::SeqCst);
         if bytes.len() < read || now == Flow::CutAfter(passed) {
-            return End::Over;
+            return End::Closed;
         }
     }
 }
 
 /// What the datagram proxy does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Datagrams {
+pub struct DatagramFault {
     /// Passes nothing on.
     pub drop: bool,
     /// Passes each one on twice.
-    pub double: bool,
+    pub duplicate: bool,
     /// Passes each one on this much later.
     pub delay: Duration,
 }
 
 /// A one-way proxy for datagrams. Clones are the same proxy.
 #[derive(Clone)]
-pub struct Relay {
+pub struct DatagramProxy {
     /// Where it listens.
     pub addr: SocketAddr,
     upstream: Arc<Mutex<SocketAddr>>,
-    fault: Arc<Mutex<Datagrams>>,
-    seen: Arc<Mutex<Vec<Vec<u8>>>>,
+    fault: Arc<Mutex<DatagramFault>>,
+    received: Arc<Mutex<Vec<Vec<u8>>>>,
     socket: Arc<UdpSocket>,
     _task: Arc<AbortOnDrop>,
 }
 
 /// Datagrams kept for replay.
-const MAX_SEEN: usize = 1024;
+const MAX_RECORDED: usize = 1024;
 
-impl Relay {
+impl DatagramProxy {
     /// Starts a relay to `upstream`.
-    pub async fn start(upstream: SocketAddr) -> std::io::Result<Relay> {
+    pub async fn start(upstream: SocketAddr) -> std::io::Result<DatagramProxy> {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let addr = socket.local_addr()?;
         let upstream = Arc::new(Mutex::new(upstream));
-        let fault = Arc::new(Mutex::new(Datagrams::default()));
+        let fault = Arc::new(Mutex::new(DatagramFault::default()));
         let seen = Arc::new(Mutex::new(Vec::new()));
-        let work = relay(socket.clone(), upstream.clone(), fault.clone(), seen.clone());
+        let work = forward_datagrams(socket.clone(), upstream.clone(), fault.clone(), seen.clone());
         let task = tokio::spawn(work);
         let _task = Arc::new(AbortOnDrop(task.abort_handle()));
-        Ok(Relay { addr, upstream, fault, seen, socket, _task })
+        Ok(DatagramProxy { addr, upstream, fault, received: seen, socket, _task })
     }
 
     /// Sends later datagrams elsewhere.
@@ -292,13 +321,13 @@
     }
 
     /// Sets what the relay does from now on.
-    pub fn set(&self, fault: Datagrams) {
+    pub fn set_fault(&self, fault: DatagramFault) {
         *self.fault.lock().expect("no holder panics") = fault;
     }
 
     /// Datagrams that came by, the oldest first.
-    pub fn seen(&self) -> Vec<Vec<u8>> {
-        self.seen.lock().expect("no holder panics").clone()
+    pub fn received(&self) -> Vec<Vec<u8>> {
+        self.received.lock().expect("no holder panics").clone()
     }
 
     /// Sends bytes of one's own to the receiver.
@@ -309,10 +338,10 @@
     }
 }
 
-async fn relay(
+async fn forward_datagrams(
     socket: Arc<UdpSocket>,
     upstream: Arc<Mutex<SocketAddr>>,
-    fault: Arc<Mutex<Datagrams>>,
+    fault: Arc<Mutex<DatagramFault>>,
     seen: Arc<Mutex<Vec<Vec<u8>>>>,
 ) {
     let mut buffer = vec![0; 2048];
@@ -321,7 +350,7 @@
             continue;
         };
         let bytes = buffer[..size].to_vec();
-        keep(&seen, &bytes);
+        record_datagram(&seen, &bytes);
         let now = *fault.lock().expect("no holder panics");
         let to = *upstream.lock().expect("no holder panics");
         if now.drop {
@@ -330,7 +359,7 @@
         let socket = socket.clone();
         tokio::spawn(async move {
             sleep(now.delay).await;
-            let copies = 1 + usize::from(now.double);
+            let copies = 1 + usize::from(now.duplicate);
             for _ in 0..copies {
                 let _ = socket.send_to(&bytes, to).await;
             }
@@ -338,9 +367,9 @@
     }
 }
 
-fn keep(seen: &Mutex<Vec<Vec<u8>>>, bytes: &[u8]) {
+fn record_datagram(seen: &Mutex<Vec<Vec<u8>>>, bytes: &[u8]) {
     let mut seen = seen.lock().expect("no holder panics");
-    if seen.len() < MAX_SEEN {
+    if seen.len() < MAX_RECORDED {
         seen.push(bytes.to_vec());
     }
 }
@@ -349,21 +378,21 @@
 #[derive(Clone)]
 pub struct Link {
     /// For heartbeats.
-    pub datagrams: Relay,
+    pub datagrams: DatagramProxy,
     /// For catching up.
     pub streams: Proxy,
 }
 
 /// Ports tried until one is free for both.
-const TRIES: usize = 8;
+const MAX_PORT_ATTEMPTS: usize = 8;
 
 impl Link {
     /// Starts a link that leads nowhere yet.
     pub async fn start() -> std::io::Result<Link> {
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
         let mut last = None;
-        for _ in 0..TRIES {
-            let datagrams = Relay::start(nowhere).await?;
+        for _ in 0..MAX_PORT_ATTEMPTS {
+            let datagrams = DatagramProxy::start(nowhere).await?;
             match Proxy::start_on(datagrams.addr, nowhere).await {
                 Ok(streams) => return Ok(Link { datagrams, streams }),
                 Err(error) => last = Some(error),
@@ -385,7 +414,7 @@
 
     /// Cuts the link, or mends it.
     pub fn set_cut(&self, cut: bool) {
-        self.datagrams.set(Datagrams { drop: cut, ..Datagrams::default() });
-        self.streams.set(Fault { refuse: cut, ..Fault::default() });
+        self.datagrams.set_fault(DatagramFault { drop: cut, ..DatagramFault::default() });
+        self.streams.set_fault(Fault { refuse: cut, ..Fault::default() });
     }
 }
--- a/testutils/src/scenario.rs
+++ b/testutils/src/scenario.rs
@@ -39,17 +39,17 @@
 use crate::fixture::Fixture;
 use crate::log::Faults;
 use crate::log::Log;
-use crate::proxy::Datagrams;
+use crate::proxy::DatagramFault;
 use crate::proxy::Fault;
 use crate::proxy::Flow;
 
 /// Runs the scenario file at `path` with daemons of `program`; panics where it differs.
 pub fn run(program: &str, path: &str) {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime can be made");
-    let mut world = World { program: program.to_owned(), ..World::default() };
+    let mut world = Scenario { program: program.to_owned(), ..Scenario::default() };
     datadriven::walk(path, |file| {
         file.run(|case| {
-            let mut said = runtime.block_on(world.step(case));
+            let mut said = runtime.block_on(world.run_step(case));
             case.expect_empty().expect("every argument is one of the word's");
             said.push('\n');
             said
@@ -59,7 +59,7 @@
 
 /// What a scenario has built up.
 #[derive(Default)]
-struct World {
+struct Scenario {
     program: String,
     fixture: Option<Fixture>,
     daemons: usize,
@@ -69,38 +69,38 @@
     token: u64,
 }
 
-fn arg<T: FromStr>(case: &mut TestCase, name: &str) -> T
+fn required_arg<T: FromStr>(case: &mut TestCase, name: &str) -> T
 where
     T::Err: std::error::Error + Send + Sync + 'static,
 {
     case.take_arg(name).expect("the word has this argument")
 }
 
-fn maybe<T: FromStr>(case: &mut TestCase, name: &str) -> Option<T>
+fn optional_arg<T: FromStr>(case: &mut TestCase, name: &str) -> Option<T>
 where
     T::Err: std::error::Error + Send + Sync + 'static,
 {
     case.try_take_arg(name).expect("the argument can be read")
 }
 
-fn flag(case: &mut TestCase, name: &str) -> bool {
+fn take_flag(case: &mut TestCase, name: &str) -> bool {
     case.take_flag(name).expect("the flag has no value")
 }
 
 /// The flags of `site` that are passed on to the daemons.
 const SITE_FLAGS: [&str; 3] = ["snapshot-every", "snapshot-s", "max-age-ms"];
 
-impl World {
+impl Scenario {
     fn fixture(&self) -> &Fixture {
         self.fixture.as_ref().expect("a scenario begins with a site")
     }
 
-    async fn step(&mut self, case: &mut TestCase) -> String {
+    async fn run_step(&mut self, case: &mut TestCase) -> String {
         match case.directive.as_str() {
             "site" => self.site(case).await,
             "publish" => self.publish(case).await,
             "intent" => self.intent(case).await,
-            "confirm" | "abort" => self.control(case).await,
+            "confirm" | "abort" => self.change_plan(case).await,
             "race" => self.race(case).await,
             "until" => self.until(case).await,
             "call" => self.call(case).await,
@@ -119,8 +119,8 @@
     }
 
     async fn site(&mut self, case: &mut TestCase) -> String {
-        self.daemons = arg(case, "daemons");
-        let given = SITE_FLAGS.map(|flag| (flag, maybe::<String>(case, flag)));
+        self.daemons = required_arg(case, "daemons");
+        let given = SITE_FLAGS.map(|flag| (flag, optional_arg::<String>(case, flag)));
         let flags: Vec<(&'static str, String)> =
             given.into_iter().filter_map(|(flag, value)| Some((flag, value?))).collect();
         let flags: Vec<(&'static str, &str)> =
@@ -134,8 +134,8 @@
     }
 
     async fn publish(&mut self, case: &mut TestCase) -> String {
-        let daemon = arg(case, "daemon");
-        let max_out: u32 = arg(case, "front");
+        let daemon = required_arg(case, "daemon");
+        let max_out: u32 = required_arg(case, "front");
         let text = format!(
             "[[pool]]\nname = \"front\"\naccount = \"clinics\"\nweigh = \"buffer\"\n\
              drain_limit_s = 15\nmaintenance_s = 2\nmax_out = {max_out}\n"
@@ -144,16 +144,17 @@
         let ledger = &self.fixture().ledger;
         let before = ledger.max_out("front");
         ledger.set_max_out("front", before.max(max_out as usize));
-        let answer = self.fixture().operate(daemon, "POST", "/v1/publish", &text).await;
+        let answer = self.fixture().call_operator_api(daemon, "POST", "/v1/publish", &text).await;
         let accepted = answer.0 == 200;
         ledger.set_max_out("front", if accepted { max_out as usize } else { before });
         verdict(&answer)
     }
 
     async fn intent(&mut self, case: &mut TestCase) -> String {
-        let daemon = arg(case, "daemon");
-        let name: String = arg(case, "as");
-        let answer = self.fixture().operate(daemon, "POST", "/v1/intents", &case.input).await;
+        let daemon = required_arg(case, "daemon");
+        let name: String = required_arg(case, "as");
+        let answer =
+            self.fixture().call_operator_api(daemon, "POST", "/v1/intents", &case.input).await;
         match answer.1["id"].as_str() {
             Some(id) => {
                 self.plans.insert(name, id.to_owned());
@@ -167,19 +168,19 @@
         &self.plans[name]
     }
 
-    async fn control(&mut self, case: &mut TestCase) -> String {
-        let daemon = arg(case, "daemon");
-        let plan: String = arg(case, "plan");
+    async fn change_plan(&mut self, case: &mut TestCase) -> String {
+        let daemon = required_arg(case, "daemon");
+        let plan: String = required_arg(case, "plan");
         let path = format!("/v1/plans/{}/{}", self.plan_id(&plan), case.directive);
-        verdict(&self.fixture().operate(daemon, "POST", &path, "").await)
+        verdict(&self.fixture().call_operator_api(daemon, "POST", &path, "").await)
     }
 
     async fn race(&mut self, case: &mut TestCase) -> String {
-        let names: [String; 2] = [arg(case, "first"), arg(case, "second")];
+        let names: [String; 2] = [required_arg(case, "first"), required_arg(case, "second")];
         let paths = names.map(|name| format!("/v1/plans/{}/confirm", self.plan_id(&name)));
         let (first, second) = tokio::join!(
-            self.fixture().operate(0, "POST", &paths[0], ""),
-            self.fixture().operate(1, "POST", &paths[1], ""),
+            self.fixture().call_operator_api(0, "POST", &paths[0], ""),
+            self.fixture().call_operator_api(1, "POST", &paths[1], ""),
         );
         let mut verdicts = [verdict(&first), verdict(&second)];
         verdicts.sort();
@@ -187,12 +188,12 @@
     }
 
     /// A daemon that runs, to ask about plans.
-    fn anyone(&self) -> usize {
+    fn running_daemon(&self) -> usize {
         *self.running.first().expect("a daemon runs")
     }
 
     async fn until(&mut self, case: &mut TestCase) -> String {
-        match maybe::<String>(case, "plan") {
+        match optional_arg::<String>(case, "plan") {
             Some(plan) => self.until_plan(case, &plan).await,
             None => self.until_daemon(case).await,
         }
@@ -200,83 +201,83 @@
     }
 
     async fn until_plan(&self, case: &mut TestCase, name: &str) {
-        let ended: Option<u64> = maybe(case, "ended");
-        let phase: Option<String> = maybe(case, "phase");
-        let begun = flag(case, "begun");
+        let ended: Option<u64> = optional_arg(case, "ended");
+        let phase: Option<String> = optional_arg(case, "phase");
+        let begun = take_flag(case, "begun");
         let fixture = self.fixture();
-        let daemon = self.anyone();
+        let daemon = self.running_daemon();
         let reached = async || {
             let plan = fixture.plan(daemon, self.plan_id(name)).await;
             let enough = ended.is_none_or(|ended| plan["finished"].as_u64() >= Some(ended));
             let there = phase.as_ref().is_none_or(|phase| plan["phase"] == phase.as_str());
-            let started = !begun || is_begun(&plan);
+            let started = !begun || has_started_step(&plan);
             enough && there && started && plan["id"].is_string()
         };
-        fixture.until(&format!("plan {name} is so far"), reached).await;
+        fixture.wait_until(&format!("plan {name} is so far"), reached).await;
     }
 
     async fn until_daemon(&self, case: &mut TestCase) {
-        let daemon: usize = arg(case, "daemon");
+        let daemon: usize = required_arg(case, "daemon");
         let fixture = self.fixture();
-        if let Some(basis) = maybe::<String>(case, "basis") {
+        if let Some(basis) = optional_arg::<String>(case, "basis") {
             let reached = async || {
-                let (_, status) = fixture.operate(daemon, "GET", "/v1/status", "").await;
+                let (_, status) = fixture.call_operator_api(daemon, "GET", "/v1/status", "").await;
                 status["basis"] == basis.as_str()
             };
-            fixture.until(&format!("daemon {daemon} serves by {basis}"), reached).await;
+            fixture.wait_until(&format!("daemon {daemon} serves by {basis}"), reached).await;
         }
-        if let Some(counter) = maybe::<String>(case, "counter") {
-            let min: u64 = arg(case, "min");
+        if let Some(counter) = optional_arg::<String>(case, "counter") {
+            let min: u64 = required_arg(case, "min");
             let reached = async || fixture.counter(daemon, &counter).await >= min;
-            fixture.until(&format!("{counter} is {min}"), reached).await;
+            fixture.wait_until(&format!("{counter} is {min}"), reached).await;
         }
-        if let Some(max_out) = maybe::<u64>(case, "front") {
+        if let Some(max_out) = optional_arg::<u64>(case, "front") {
             let reached = async || {
-                let (_, pools) = fixture.operate(daemon, "GET", "/v1/pools", "").await;
+                let (_, pools) = fixture.call_operator_api(daemon, "GET", "/v1/pools", "").await;
                 pools[0]["max_out"] == max_out
             };
-            fixture.until(&format!("daemon {daemon} has the budget {max_out}"), reached).await;
+            fixture.wait_until(&format!("daemon {daemon} has the budget {max_out}"), reached).await;
         }
     }
 
     async fn call(&mut self, case: &mut TestCase) -> String {
-        let daemon = arg(case, "daemon");
+        let daemon = required_arg(case, "daemon");
         self.token += 1;
-        let call = self.fixture().call_of("clinics", "booking", self.token);
+        let call = self.fixture().build_call("clinics", "booking", self.token);
         format!("{:?}", self.fixture().call(daemon, &call).await)
     }
 
     fn log(&mut self, case: &mut TestCase) -> String {
         let log = &self.fixture().log;
-        if flag(case, "keep-snapshot") {
-            let mark = last_snapshot(log).expect("a snapshot is on the log");
+        if take_flag(case, "keep-snapshot") {
+            let mark = last_snapshot_mark(log).expect("a snapshot is on the log");
             log.retain_from(mark);
             return "set".to_owned();
         }
-        if let Some(kept) = maybe::<u64>(case, "keep") {
-            log.retain_from(log.next().saturating_sub(kept));
+        if let Some(kept) = optional_arg::<u64>(case, "keep") {
+            log.retain_from(log.next_offset().saturating_sub(kept));
             return "set".to_owned();
         }
-        flag(case, "back");
+        take_flag(case, "back");
         log.set_faults(Faults {
-            away: flag(case, "away"),
-            delay: Duration::from_millis(maybe(case, "delay-ms").unwrap_or(0)),
-            lose_answers: maybe(case, "lose-answers").unwrap_or(0),
-            double: maybe(case, "double").unwrap_or(0),
+            unavailable: take_flag(case, "away"),
+            delay: Duration::from_millis(optional_arg(case, "delay-ms").unwrap_or(0)),
+            lose_answers: optional_arg(case, "lose-answers").unwrap_or(0),
+            duplicate: optional_arg(case, "double").unwrap_or(0),
         });
         "set".to_owned()
     }
 
     fn cut(&mut self, case: &mut TestCase, cut: bool) -> String {
         let fixture = self.fixture();
-        if flag(case, "boxes") {
-            fixture.boxes_link.set(Fault { refuse: cut, ..Fault::default() });
+        if take_flag(case, "boxes") {
+            fixture.boxes_link.set_fault(Fault { refuse: cut, ..Fault::default() });
         }
-        if let Some(daemon) = maybe::<usize>(case, "log") {
+        if let Some(daemon) = optional_arg::<usize>(case, "log") {
             let fault = Fault { refuse: cut, ..Default::default() };
-            fixture.log_links[daemon].set(fault);
+            fixture.log_links[daemon].set_fault(fault);
         }
-        if let Some(daemon) = maybe::<usize>(case, "peers") {
+        if let Some(daemon) = optional_arg::<usize>(case, "peers") {
             for (from, to) in self.links_of(daemon) {
                 let link = fixture.peer_links[from][to].as_ref();
                 link.expect("there is a link between two daemons").set_cut(cut);
@@ -286,29 +287,29 @@
     }
 
     fn hold(&mut self, case: &mut TestCase) -> String {
-        let daemon: usize = arg(case, "log");
+        let daemon: usize = required_arg(case, "log");
         let fault = Fault { request: Flow::Hold, answer: Flow::Hold, refuse: false };
-        self.fixture().log_links[daemon].set(fault);
+        self.fixture().log_links[daemon].set_fault(fault);
         "set".to_owned()
     }
 
     fn deafen(&mut self, case: &mut TestCase) -> String {
-        let daemon: usize = arg(case, "daemon");
-        let from: usize = arg(case, "from");
+        let daemon: usize = required_arg(case, "daemon");
+        let from: usize = required_arg(case, "from");
         let link = self.fixture().peer_links[from][daemon].as_ref();
         let link = link.expect("there is a link between two daemons");
-        link.datagrams.set(Datagrams { drop: true, ..Datagrams::default() });
+        link.datagrams.set_fault(DatagramFault { drop: true, ..DatagramFault::default() });
         "set".to_owned()
     }
 
     fn slow(&mut self, case: &mut TestCase) -> String {
-        let daemon: usize = arg(case, "peers");
-        let delay = Duration::from_millis(maybe(case, "ms").unwrap_or(0));
-        let double = flag(case, "double");
-        let fault = Datagrams { delay, double, ..Datagrams::default() };
+        let daemon: usize = required_arg(case, "peers");
+        let delay = Duration::from_millis(optional_arg(case, "ms").unwrap_or(0));
+        let double = take_flag(case, "double");
+        let fault = DatagramFault { delay, duplicate: double, ..DatagramFault::default() };
         for (from, to) in self.links_of(daemon) {
             let link = self.fixture().peer_links[from][to].as_ref();
-            link.expect("there is a link between two daemons").datagrams.set(fault);
+            link.expect("there is a link between two daemons").datagrams.set_fault(fault);
         }
         "set".to_owned()
     }
@@ -321,18 +322,18 @@
 
     fn process(&mut self, case: &mut TestCase) -> String {
         let word = case.directive.clone();
-        if let Some(worker) = maybe::<String>(case, "worker") {
+        if let Some(worker) = optional_arg::<String>(case, "worker") {
             let workers = &self.fixture().workers;
             let found = workers.iter().find(|own| own.listed.name.as_ref() == worker);
             found.expect("the site has this box").kill();
             return "set".to_owned();
         }
-        let daemon = arg(case, "daemon");
-        self.act(&word, daemon);
+        let daemon = required_arg(case, "daemon");
+        self.control_daemon(&word, daemon);
         "set".to_owned()
     }
 
-    fn act(&mut self, word: &str, daemon: usize) {
+    fn control_daemon(&mut self, word: &str, daemon: usize) {
         let fixture = self.fixture.as_mut().expect("a scenario begins with a site");
         match word {
             "kill" => {
@@ -356,13 +357,13 @@
     }
 
     async fn driver(&mut self, case: &mut TestCase) -> String {
-        let word: String = arg(case, "do");
-        if let Some(plan) = maybe::<String>(case, "plan") {
-            let plan = self.fixture().plan(self.anyone(), self.plan_id(&plan)).await;
+        let word: String = required_arg(case, "do");
+        if let Some(plan) = optional_arg::<String>(case, "plan") {
+            let plan = self.fixture().plan(self.running_daemon(), self.plan_id(&plan)).await;
             self.driver = plan["holder"].as_u64().map(|holder| holder as usize);
         }
         let driver = self.driver.expect("the plan has a driver");
-        self.act(&word, driver);
+        self.control_daemon(&word, driver);
         "set".to_owned()
     }
 
@@ -373,7 +374,7 @@
         let settled = async || {
             views.clear();
             for daemon in &self.running {
-                views.push(view(fixture, *daemon).await);
+                views.push(daemon_view(fixture, *daemon).await);
             }
             // The first and the last thing asked for is the offset: if it is the same everywhere and
             // stayed the same, so did what was said in between.
@@ -381,7 +382,7 @@
             let next: BTreeSet<String> = ends.map(|next| format!("{next:?}")).collect();
             next.len() == 1
         };
-        fixture.until("all have applied the same", settled).await;
+        fixture.wait_until("all have applied the same", settled).await;
         let distinct: BTreeSet<String> = views.iter().map(|view| format!("{view:?}")).collect();
         if distinct.len() == 1 { "alike".to_owned() } else { format!("{distinct:#?}") }
     }
@@ -393,7 +394,7 @@
 }
 
 /// Position of the mark of the last snapshot that is whole.
-fn last_snapshot(log: &Log) -> Option<Offset> {
+fn last_snapshot_mark(log: &Log) -> Option<Offset> {
     let mut last = None;
     for (_, bytes) in log.records() {
         let Ok(batch) = Batch::decode(&bytes) else {
@@ -410,17 +411,18 @@
     last
 }
 
-fn is_begun(plan: &Value) -> bool {
+fn has_started_step(plan: &Value) -> bool {
     let steps = plan["steps"].as_array();
     steps.is_some_and(|steps| steps.iter().any(|step| step["progress"].get("out").is_some()))
 }
 
 /// What a daemon says of the fleet, between two readings of its offset.
-async fn view(fixture: &Fixture, daemon: usize) -> Vec<Value> {
-    let next = async || fixture.operate(daemon, "GET", "/v1/status", "").await.1["next"].clone();
+async fn daemon_view(fixture: &Fixture, daemon: usize) -> Vec<Value> {
+    let next =
+        async || fixture.call_operator_api(daemon, "GET", "/v1/status", "").await.1["next"].clone();
     let mut views = vec![next().await];
     for path in ["/v1/pools", "/v1/boxes", "/v1/jobs", "/v1/plans"] {
-        views.push(fixture.operate(daemon, "GET", path, "").await.1);
+        views.push(fixture.call_operator_api(daemon, "GET", path, "").await.1);
     }
     views.push(next().await);
     views
--- a/testutils/src/site.rs
+++ b/testutils/src/site.rs
@@ -4,18 +4,18 @@
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
 
-use spokelift_lib::protocol::boxes::Listed;
+use spokelift_lib::protocol::boxes::ListedBox;
 use spokelift_lib::state::account::format_hash;
 use spokelift_lib::state::account::hash_secret;
 
 use crate::ledger;
 
 /// Slots of a box.
-pub const SLOTS: u32 = 8;
+pub const SLOTS_PER_BOX: u32 = 8;
 /// Memory of a box, in MB.
 pub const MEMORY_MB: u32 = 128 * 1024;
 /// Boxes in a rack.
-pub const RACK: usize = 4;
+pub const BOXES_PER_RACK: usize = 4;
 
 /// A site: its boxes, pools and services.
 #[derive(Clone, Debug)]
@@ -117,21 +117,21 @@
     }
 
     /// The box list, each box on an address of its own with a port chosen when it starts.
-    pub fn boxes(&self) -> Vec<Listed> {
+    pub fn boxes(&self) -> Vec<ListedBox> {
         (0..self.size()).map(|index| self.listed(index)).collect()
     }
 
     /// Racks are dealt to the halls in turn, so that the boxes of each pool lie in all of them.
-    fn listed(&self, index: usize) -> Listed {
-        let rack = index / RACK;
+    fn listed(&self, index: usize) -> ListedBox {
+        let rack = index / BOXES_PER_RACK;
         let hall = self.halls[rack % self.halls.len()];
         let ip = Ipv4Addr::new(127, 1, (rack / 200) as u8, index as u8 + 1);
-        Listed {
+        ListedBox {
             name: box_name(index).into(),
             addr: SocketAddr::new(IpAddr::V4(ip), 0),
             hall: hall.into(),
             rack: format!("rack-{rack}").into(),
-            slots: SLOTS,
+            slots: SLOTS_PER_BOX,
             memory_mb: MEMORY_MB,
             leaving: false,
         }
--- a/testutils/src/file.rs
+++ b/testutils/src/temp_file.rs
@@ -3,23 +3,23 @@
 use std::path::PathBuf;
 
 /// A file of a test's own among the temporary files, removed at its end.
-pub struct File(PathBuf);
+pub struct TempFile(PathBuf);
 
-impl File {
+impl TempFile {
     /// Writes a file; `name` tells it from others of the same process.
     ///
     /// ```
-    /// let file = spokelift_testutils::file::File::new("job.toml", "spec = \"x\"");
+    /// let file = spokelift_testutils::temp_file::TempFile::new("job.toml", "spec = \"x\"");
     /// assert_eq!(std::fs::read_to_string(file.path()).unwrap(), "spec = \"x\"");
     /// ```
     ///
     /// # Panics
     ///
     /// If it cannot be written.
-    pub fn new(name: &str, text: &str) -> File {
+    pub fn new(name: &str, text: &str) -> TempFile {
         let path = std::env::temp_dir().join(format!("spokelift-{}-{name}", std::process::id()));
         std::fs::write(&path, text).expect("temporary files can be written");
-        File(path)
+        TempFile(path)
     }
 
     /// Where it lies.
@@ -32,7 +32,7 @@
     }
 }
 
-impl Drop for File {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
--- a/testutils/src/worker.rs
+++ b/testutils/src/worker.rs
@@ -16,16 +16,16 @@
 use hyper::body::Frame;
 use hyper::body::Incoming;
 use hyper::body::SizeHint;
-use spokelift_lib::protocol::boxes::Listed;
+use spokelift_lib::protocol::boxes::ListedBox;
 use spokelift_lib::protocol::call::REQUEST;
 use spokelift_lib::protocol::worker::Action;
 use spokelift_lib::protocol::worker::COMMAND;
 use spokelift_lib::protocol::worker::Command;
 use spokelift_lib::protocol::worker::LEAVING;
 use spokelift_lib::protocol::worker::REFUSED;
+use spokelift_lib::protocol::worker::RUN;
 use spokelift_lib::protocol::worker::STATUS;
 use spokelift_lib::protocol::worker::Status;
-use spokelift_lib::protocol::worker::WORK;
 use spokelift_lib::state::id::Offset;
 use spokelift_lib::state::id::ServiceKey;
 use spokelift_lib::transport::dial::Body;
@@ -39,21 +39,21 @@
 
 use crate::ledger::Ledger;
 use crate::ledger::Token;
-use crate::log::json;
-use crate::log::status;
+use crate::log::empty_response;
+use crate::log::json_response;
 
 /// Header in which a caller gives its token; it comes back in the answer.
 pub const TOKEN: &str = "x-token";
 /// Header in which a caller says how long its request runs, in milliseconds.
 pub const RUN_MS: &str = "x-run-ms";
 /// Pause between attempts to take the address again after a reboot.
-const BIND_PAUSE: Duration = Duration::from_millis(20);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A running worker. Clones are the same worker.
 #[derive(Clone)]
 pub struct Worker {
     /// What the box list says of it.
-    pub listed: Listed,
+    pub listed: ListedBox,
     inner: Arc<Inner>,
 }
 
@@ -69,11 +69,11 @@
     fence: Offset,
     draining: bool,
     jobs: Vec<ServiceKey>,
-    rebooting: Option<Offset>,
-    rebooted_for: Option<Offset>,
+    reboot_in_progress: Option<Offset>,
+    last_reboot: Option<Offset>,
     inflight: u32,
-    served: u64,
-    dead: bool,
+    started_requests: u64,
+    is_dead: bool,
     faults: Faults,
 }
 
@@ -83,15 +83,15 @@
     /// Answers carry another request's id.
     pub wrong_id: bool,
     /// Answers are cut off in the middle.
-    pub cut_in_answer: bool,
+    pub truncate_answer: bool,
     /// Every request takes this much longer.
-    pub slow: Duration,
+    pub extra_delay: Duration,
 }
 
 impl Worker {
     /// Starts a worker on the address its listing names; port 0 lets the system choose.
     pub async fn start(
-        mut listed: Listed,
+        mut listed: ListedBox,
         ledger: Ledger,
         reboot_time: Duration,
     ) -> std::io::Result<Worker> {
@@ -130,14 +130,14 @@
 
     /// Ends the worker at once and for good.
     pub fn kill(&self) {
-        self.state().dead = true;
-        self.inner.ledger.died(&self.listed.name);
-        self.close();
+        self.state().is_dead = true;
+        self.inner.ledger.record_death(&self.listed.name);
+        self.stop_server();
     }
 
     /// Requests begun so far.
-    pub fn served(&self) -> u64 {
-        self.state().served
+    pub fn started_requests(&self) -> u64 {
+        self.state().started_requests
     }
 
     /// What it says of itself.
@@ -148,12 +148,12 @@
             draining: state.draining,
             inflight: state.inflight,
             jobs: state.jobs.clone(),
-            rebooted_for: state.rebooted_for,
+            rebooted_for: state.last_reboot,
         }
     }
 
     /// Closes the door and every connection.
-    fn close(&self) {
+    fn stop_server(&self) {
         let server = self.inner.server.lock().expect("no holder panics").take();
         if let Some(server) = server {
             server.abort();
@@ -161,56 +161,56 @@
     }
 
     async fn reboot(self) {
-        self.inner.ledger.rebooted(&self.listed.name);
-        self.close();
+        self.inner.ledger.record_reboot(&self.listed.name);
+        self.stop_server();
         sleep(self.inner.reboot_time).await;
         {
             let mut state = self.state();
             state.jobs.clear();
             state.inflight = 0;
-            state.rebooted_for = state.rebooting.take();
+            state.last_reboot = state.reboot_in_progress.take();
         }
-        while !self.state().dead {
+        while !self.state().is_dead {
             if let Ok(listener) = TcpListener::bind(self.listed.addr).await {
                 self.serve_on(listener);
                 return;
             }
-            sleep(BIND_PAUSE).await;
+            sleep(BIND_RETRY_DELAY).await;
         }
     }
 
     /// Carries out a command, unless a later one was seen.
-    fn command(&self, command: Command) -> Response<Body> {
+    fn handle_command(&self, command: Command) -> Response<Body> {
         {
             let mut state = self.state();
             if command.fence < state.fence {
-                return status(409);
+                return empty_response(409);
             }
             state.fence = command.fence;
-            self.carry_out(&mut state, command.action);
+            self.apply_action(&mut state, command.action);
         }
-        json(&self.status())
+        json_response(&self.status())
     }
 
-    fn carry_out(&self, state: &mut State, action: Action) {
+    fn apply_action(&self, state: &mut State, action: Action) {
         let name = &self.listed.name;
         match action {
             Action::Drain => {
-                self.inner.ledger.draining(name);
+                self.inner.ledger.record_draining(name);
                 state.draining = true;
             }
             Action::Resume => {
-                self.inner.ledger.resumed(name);
+                self.inner.ledger.record_resumed(name);
                 state.draining = false;
             }
             Action::Jobs { jobs } => {
-                self.inner.ledger.jobs(name, &jobs);
+                self.inner.ledger.record_jobs(name, &jobs);
                 state.jobs = jobs;
             }
             Action::Reboot { operation } => {
-                let known = [state.rebooting, state.rebooted_for];
+                let known = [state.reboot_in_progress, state.last_reboot];
                 if !known.contains(&Some(operation)) {
-                    state.rebooting = Some(operation);
+                    state.reboot_in_progress = Some(operation);
                     tokio::spawn(self.clone().reboot());
                 }
             }
@@ -221,84 +221,84 @@
 async fn answer(worker: Worker, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     match path.as_str() {
-        STATUS => json(&worker.status()),
+        STATUS => json_response(&worker.status()),
         COMMAND => {
             let Ok(body) = request.into_body().collect().await else {
-                return status(400);
+                return empty_response(400);
             };
             match serde_json::from_slice(&body.to_bytes()) {
-                Ok(command) => worker.command(command),
-                Err(_) => status(400),
+                Ok(command) => worker.handle_command(command),
+                Err(_) => empty_response(400),
             }
         }
-        _ => work(worker, &path, request).await,
+        _ => handle_work(worker, &path, request).await,
     }
 }
 
 /// A request under way; dropped when it ends or its connection does.
-struct Running {
+struct RunningRequest {
     worker: Worker,
     token: Token,
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         let mut state = self.worker.state();
         state.inflight = state.inflight.saturating_sub(1);
-        self.worker.inner.ledger.ended(&self.worker.listed.name, self.token);
+        self.worker.inner.ledger.record_ended(&self.worker.listed.name, self.token);
     }
 }
 
-async fn work(worker: Worker, path: &str, request: Request<Incoming>) -> Response<Body> {
-    let job = path.strip_prefix(WORK).and_then(|rest| rest.strip_prefix('/'));
+async fn handle_work(worker: Worker, path: &str, request: Request<Incoming>) -> Response<Body> {
+    let job = path.strip_prefix(RUN).and_then(|rest| rest.strip_prefix('/'));
     let Some((account, service)) = job.and_then(|job| job.split_once('/')) else {
-        return status(404);
+        return empty_response(404);
     };
     let header = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
     let token: Token = header(TOKEN).and_then(|text| text.parse().ok()).unwrap_or(0);
     let run_ms: u64 = header(RUN_MS).and_then(|text| text.parse().ok()).unwrap_or(1);
     let id = header(REQUEST).unwrap_or_default().to_owned();
     let key: ServiceKey = (account.into(), service.into());
-    if let Some(reason) = worker.turn_away(&key) {
+    if let Some(reason) = worker.rejection_reason(&key) {
         return Response::builder()
             .status(503)
             .header(REFUSED, reason)
             .body(full(""))
             .expect("the headers are constants");
     }
-    let running = worker.begin(token);
+    let running = worker.start_request(token);
     let faults = worker.state().faults;
     let body = request.into_body().collect().await;
     let Ok(body) = body else {
-        return status(400);
+        return empty_response(400);
     };
-    sleep(Duration::from_millis(run_ms) + faults.slow).await;
+    sleep(Duration::from_millis(run_ms) + faults.extra_delay).await;
     let response = worker.respond(token, &id, body.to_bytes(), faults);
     drop(running);
     response
 }
 
 impl Worker {
-    fn turn_away(&self, key: &ServiceKey) -> Option<&'static str> {
+    fn rejection_reason(&self, key: &ServiceKey) -> Option<&'static str> {
         let state = self.state();
         if !state.jobs.contains(key) {
             return Some("no-such-job");
         }
         if state.inflight >= self.listed.slots {
-            self.inner.ledger.over_slots();
+            self.inner.ledger.record_over_slots();
             return Some("slots-full");
         }
         None
     }
 
-    fn begin(&self, token: Token) -> Running {
+    fn start_request(&self, token: Token) -> RunningRequest {
         {
             let mut state = self.state();
             state.inflight += 1;
-            state.served += 1;
+            state.started_requests += 1;
         }
-        self.inner.ledger.begun(&self.listed.name, token);
-        Running { worker: self.clone(), token }
+        self.inner.ledger.record_started(&self.listed.name, token);
+        RunningRequest { worker: self.clone(), token }
     }
 
     fn respond(&self, token: Token, id: &str, body: Bytes, faults: Faults) -> Response<Body> {
@@ -308,8 +308,8 @@
             response = response.header(LEAVING, "true");
         }
         let whole = format!("{token} ran {} bytes", body.len());
-        let body = if faults.cut_in_answer {
-            cut_body(whole.len() as u64, whole.into_bytes()[..3].to_vec().into())
+        let body = if faults.truncate_answer {
+            truncated_body(whole.len() as u64, whole.into_bytes()[..3].to_vec().into())
         } else {
             full(whole)
         };
@@ -318,16 +318,16 @@
 }
 
 /// A body that announces `length` bytes and ends in an error after `start`.
-fn cut_body(length: u64, start: Bytes) -> Body {
-    Cut { length, start: Some(start) }.boxed_unsync()
+fn truncated_body(length: u64, start: Bytes) -> Body {
+    TruncatedBody { length, start: Some(start) }.boxed_unsync()
 }
 
-struct Cut {
+struct TruncatedBody {
     length: u64,
     start: Option<Bytes>,
 }
 
-impl HttpBody for Cut {
+impl HttpBody for TruncatedBody {
     type Data = Bytes;
     type Error = BodyError;
 
--- a/testutils/tests/test_budget.rs
+++ b/testutils/tests/test_budget.rs
@@ -21,51 +21,51 @@
 fn ledger() -> (Ledger, [BoxId; 3]) {
     let ledger = Ledger::new(vec![pool("a", "first", 1), pool("b", "second", 1)]);
     let boxes: [BoxId; 3] = ["b1".into(), "b2".into(), "a1".into()];
-    ledger.jobs(&boxes[0], &[job("second")]);
-    ledger.jobs(&boxes[1], &[job("second")]);
-    ledger.jobs(&boxes[2], &[job("first")]);
+    ledger.record_jobs(&boxes[0], &[job("second")]);
+    ledger.record_jobs(&boxes[1], &[job("second")]);
+    ledger.record_jobs(&boxes[2], &[job("first")]);
     (ledger, boxes)
 }
 
 #[test]
 fn a_box_that_moves_in_does_not_count_as_out_before_it_serves() {
     let (ledger, [one, _, moving]) = ledger();
-    ledger.draining(&moving);
-    ledger.jobs(&moving, &[]);
-    ledger.jobs(&moving, &[job("second")]);
-    ledger.draining(&one);
+    ledger.record_draining(&moving);
+    ledger.record_jobs(&moving, &[]);
+    ledger.record_jobs(&moving, &[job("second")]);
+    ledger.record_draining(&one);
     assert_eq!(ledger.counts().budget_breaches, 0);
 }
 
 #[test]
 fn a_box_that_has_moved_in_counts_as_out_once_it_has_served() {
     let (ledger, [one, _, moving]) = ledger();
-    ledger.draining(&moving);
-    ledger.jobs(&moving, &[]);
-    ledger.jobs(&moving, &[job("second")]);
-    ledger.resumed(&moving);
-    ledger.draining(&moving);
-    ledger.draining(&one);
+    ledger.record_draining(&moving);
+    ledger.record_jobs(&moving, &[]);
+    ledger.record_jobs(&moving, &[job("second")]);
+    ledger.record_resumed(&moving);
+    ledger.record_draining(&moving);
+    ledger.record_draining(&one);
     assert_eq!(ledger.counts().budget_breaches, 1);
 }
 
 #[test]
 fn a_box_with_its_first_jobs_counts_at_once() {
     let (ledger, [one, _, moving]) = ledger();
-    ledger.jobs(&moving, &[]);
-    ledger.jobs(&moving, &[job("second")]);
-    ledger.draining(&moving);
-    ledger.draining(&one);
+    ledger.record_jobs(&moving, &[]);
+    ledger.record_jobs(&moving, &[job("second")]);
+    ledger.record_draining(&moving);
+    ledger.record_draining(&one);
     assert_eq!(ledger.counts().budget_breaches, 1);
 }
 
 #[test]
 fn a_box_counts_in_its_pool_until_it_has_left() {
     let (ledger, [one, two, moving]) = ledger();
-    ledger.draining(&one);
-    ledger.draining(&two);
+    ledger.record_draining(&one);
+    ledger.record_draining(&two);
     assert_eq!(ledger.counts().budget_breaches, 1);
     // It is out of its own pool, which may have one out, until its jobs are gone.
-    ledger.draining(&moving);
+    ledger.record_draining(&moving);
     assert_eq!(ledger.counts().budget_breaches, 1);
 }
--- a/testutils/tests/test_dispatch.rs
+++ b/testutils/tests/test_dispatch.rs
@@ -29,8 +29,8 @@
 use spokelift_lib::transport::dial::full;
 use spokelift_lib::transport::serve::serve;
 use spokelift_platform::job::TaskName;
-use spokelift_platform::worker::Caller;
 use spokelift_platform::worker::Peer;
+use spokelift_platform::worker::WorkerClient;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
@@ -45,7 +45,7 @@
 }
 
 fn context() -> Context {
-    let workers = Caller::new(Dialer::new(Duration::from_secs(1)));
+    let workers = WorkerClient::new(Dialer::new(Duration::from_secs(1)));
     Context { workers, counters: Counters::new(None).unwrap() }
 }
 
--- a/testutils/tests/test_ended.rs
+++ b/testutils/tests/test_ended.rs
@@ -12,8 +12,8 @@
 use spokelift_lib::transport::dial::full;
 use spokelift_testutils::platform::ledger::Ledger;
 use spokelift_testutils::platform::store::Store;
-use spokelift_testutils::platform::worker::Birth;
 use spokelift_testutils::platform::worker::Shape;
+use spokelift_testutils::platform::worker::StartOptions;
 use spokelift_testutils::platform::worker::Worker;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -37,11 +37,12 @@
 async fn a_start_that_arrives_as_its_worker_crashes_leaves_no_run() {
     let (store, (shutdowns, _kept)) = (Store::default(), mpsc::unbounded_channel());
     let shape =
-        Shape { service: "work".to_owned(), rack: "r1-0".to_owned(), cpu: 8_000, memory: 8_000 };
+        Shape { service: "work".to_owned(), rack: "r1-0".to_owned(), cpu: 8_000, memory_mb: 8_000 };
     let mut remaining_runs = 0;
     for number in 0..WORKERS {
         let ledger = Ledger::default();
-        let started = Worker::start(&store, &ledger, "m-0", &shape, &shutdowns, Birth::default());
+        let started =
+            Worker::start(&store, &ledger, "m-0", &shape, &shutdowns, StartOptions::default());
         let worker = started.await.unwrap();
         let (dialer, addr) = (Dialer::new(WAIT), worker.addr());
         let sent: Vec<_> = (0..STARTS)
@@ -58,7 +59,7 @@
             // The answer came in time, or its connection was closed.
             let _ = sent.await;
         }
-        remaining_runs += ledger.running("1");
+        remaining_runs += ledger.running_tasks("1");
     }
     assert_eq!(remaining_runs, 0);
 }
--- a/testutils/tests/test_mutated.rs
+++ b/testutils/tests/test_mutated.rs
@@ -23,8 +23,8 @@
 use spokelift_lib::protocol::boxes;
 use spokelift_lib::protocol::catch_up;
 use spokelift_lib::protocol::log;
-use spokelift_lib::protocol::wire::Beat;
 use spokelift_lib::protocol::wire::Frame;
+use spokelift_lib::protocol::wire::Heartbeat;
 use spokelift_lib::protocol::wire::derive_key;
 use spokelift_lib::protocol::worker;
 use spokelift_lib::state::plan::Intent;
@@ -39,7 +39,7 @@
 use spokelift_platform::worker::Entry;
 use spokelift_platform::worker::Peer;
 use spokelift_testutils::batch;
-use spokelift_testutils::batch::addr;
+use spokelift_testutils::batch::unused_addr;
 
 /// Number of cases for each decoder, unless `PROPTEST_CASES` is set.
 const CASES: u32 = 256;
@@ -201,7 +201,7 @@
         failed: vec![((1, 0, 2), vec![3, 4])],
     };
     let worker = StoredWorker {
-        addr: addr(),
+        addr: unused_addr(),
         service: "work".to_owned(),
         machine: Some("m-1".to_owned()),
         unresponsive_with: Some(vec![(7, (0, 0, 1))]),
@@ -338,8 +338,8 @@
     #[test]
     fn datagrams_are_opened_or_refused(mutations in prop::collection::vec(mutation(), 1..6)) {
         let key = derive_key("shared");
-        let beat = Beat { next: 9, busy: vec![1, 2], serving: true, ..Beat::default() };
-        let frame = Frame { from: 1, incarnation: 2, sequence: 3, to: 4, echo: None, beat };
+        let beat = Heartbeat { next: 9, busy: vec![1, 2], serving: true, ..Heartbeat::default() };
+        let frame = Frame { from: 1, incarnation: 2, sequence: 3, receiver_incarnation: 4, echo: None, heartbeat: beat };
         let sealed = frame.seal(&key);
         let mut bytes = sealed.clone();
         mutations.iter().for_each(|mutation| mutate_bytes(&mut bytes, mutation));
--- a/testutils/tests/test_relay.rs
+++ b/testutils/tests/test_relay.rs
@@ -7,7 +7,7 @@
 use spokelift_platform::store::Guard;
 use spokelift_platform::store::Record;
 use spokelift_testutils::batch;
-use spokelift_testutils::platform::store::Door;
+use spokelift_testutils::platform::store::Endpoint;
 use spokelift_testutils::platform::store::Fault;
 use spokelift_testutils::platform::store::Store;
 use tokio::net::TcpListener;
@@ -25,7 +25,7 @@
 /// A node with its own access to the store, and one peer with another access.
 struct Fixture {
     node: Arc<Node>,
-    door: Door,
+    door: Endpoint,
     store: Store,
     _peer: Arc<Node>,
 }
@@ -33,7 +33,8 @@
 impl Fixture {
     async fn start() -> Fixture {
         let store = Store::default();
-        let (door, other) = (store.door().await.unwrap(), store.door().await.unwrap());
+        let (door, other) =
+            (store.open_endpoint().await.unwrap(), store.open_endpoint().await.unwrap());
         let listener = || TcpListener::bind(("127.0.0.1", 0));
         let node = batch::node(listener().await.unwrap(), door.addr);
         let peer = batch::node(listener().await.unwrap(), other.addr);
@@ -43,7 +44,7 @@
 
     /// Makes the store stop answering the node, and waits until the node has noticed.
     async fn stop_answers(&self) {
-        self.door.set(Fault::Silent);
+        self.door.set_fault(Fault::Unresponsive);
         self.node.read_topic(TOPIC, 0, Duration::ZERO, SHORT_TIMEOUT).await.unwrap();
         assert!(self.node.store_route.is_unavailable());
     }
@@ -98,7 +99,7 @@
     let fixture = Fixture::start().await;
     fixture.stop_answers().await;
     fixture.append("a").await;
-    fixture.door.set(Fault::None);
+    fixture.door.set_fault(Fault::None);
     // A single read may be answered first by the peer.
     let direct = async {
         while fixture.node.store_route.is_unavailable() {
@@ -106,7 +107,7 @@
         }
     };
     timeout(TEST_TIMEOUT, direct).await.expect("the store answers");
-    let asked = fixture.door.asked();
+    let asked = fixture.door.request_count();
     fixture.append("b").await;
-    assert_eq!(fixture.door.asked(), asked + 1);
+    assert_eq!(fixture.door.request_count(), asked + 1);
 }
--- a/testutils/tests/test_silent.rs
+++ b/testutils/tests/test_silent.rs
@@ -25,15 +25,15 @@
 use spokelift_lib::batch::peer::Reply;
 use spokelift_lib::transport::dial::Dialer;
 use spokelift_lib::transport::dial::ExchangeError;
-use spokelift_lib::transport::dial::Exchanged;
+use spokelift_lib::transport::dial::HedgedResponse;
 use spokelift_lib::transport::dial::Limits;
-use spokelift_lib::transport::dial::collect;
+use spokelift_lib::transport::dial::collect_body;
 use spokelift_lib::transport::dial::full;
 use spokelift_lib::transport::serve::serve;
+use spokelift_testutils::proxy::Direction;
 use spokelift_testutils::proxy::Fault;
 use spokelift_testutils::proxy::Flow;
 use spokelift_testutils::proxy::Proxy;
-use spokelift_testutils::proxy::Silence;
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 use tokio::sync::Mutex;
@@ -77,13 +77,13 @@
 
 /// Opens connections, stops their data, and returns how many consecutive calls have no answer before
 /// the first that has one.
-async fn failures_after(silence: Silence) -> usize {
+async fn failures_after(silence: Direction) -> usize {
     let server = Server::start().await;
     let dialer = Dialer::new(CALL_TIMEOUT);
     let calls = (0..OPEN_CONNECTIONS).map(|_| call(&dialer, server.proxy.addr));
     assert!(join_all(calls).await.iter().all(Result::is_ok));
-    assert_eq!(server.proxy.opened(), OPEN_CONNECTIONS as u64);
-    server.proxy.silence_open(silence);
+    assert_eq!(server.proxy.connection_count(), OPEN_CONNECTIONS as u64);
+    server.proxy.black_hole_open(silence);
     for failed in 0..=OPEN_CONNECTIONS {
         if call(&dialer, server.proxy.addr).await.is_ok() {
             return failed;
@@ -94,32 +94,32 @@
 
 #[tokio::test]
 async fn one_call_without_an_answer_closes_all_silent_connections() {
-    for silence in [Silence::Both, Silence::Requests, Silence::Answers] {
+    for silence in [Direction::Both, Direction::Requests, Direction::Answers] {
         assert!(failures_after(silence).await <= 1, "{silence:?}");
     }
 }
 
-async fn call_again(dialer: &Dialer, addr: SocketAddr) -> Result<Exchanged, ExchangeError> {
+async fn call_again(dialer: &Dialer, addr: SocketAddr) -> Result<HedgedResponse, ExchangeError> {
     let request = || Request::builder().uri("/").header("host", "test").body(full(""));
-    let limits = Limits { bytes: 1024, wait: CALL_TIMEOUT * 4, held: Duration::ZERO };
-    dialer.exchange_again(addr, request, limits).await
+    let limits = Limits { max_bytes: 1024, timeout: CALL_TIMEOUT * 4, long_poll: Duration::ZERO };
+    dialer.exchange_hedged(addr, request, limits).await
 }
 
 #[tokio::test]
 async fn a_call_that_may_be_sent_twice_is_answered_although_every_connection_is_silent() {
-    for silence in [Silence::Both, Silence::Requests, Silence::Answers] {
+    for silence in [Direction::Both, Direction::Requests, Direction::Answers] {
         let server = Server::start().await;
         let dialer = Dialer::new(CALL_TIMEOUT);
         let calls = (0..OPEN_CONNECTIONS).map(|_| call(&dialer, server.proxy.addr));
         assert!(join_all(calls).await.iter().all(Result::is_ok));
         for _ in 0..3 {
-            server.proxy.silence_open(silence);
-            let opened = server.proxy.opened();
+            server.proxy.black_hole_open(silence);
+            let opened = server.proxy.connection_count();
             let exchanged = call_again(&dialer, server.proxy.addr).await.unwrap();
-            assert!(exchanged.other_is_open, "{silence:?}");
+            assert!(exchanged.is_other_pending, "{silence:?}");
             // All silent connections were closed with the first one, and the new one is kept.
-            assert!(!call_again(&dialer, server.proxy.addr).await.unwrap().other_is_open);
-            assert_eq!(server.proxy.opened(), opened + 1, "{silence:?}");
+            assert!(!call_again(&dialer, server.proxy.addr).await.unwrap().is_other_pending);
+            assert_eq!(server.proxy.connection_count(), opened + 1, "{silence:?}");
         }
     }
 }
@@ -128,11 +128,15 @@
 async fn an_address_that_never_answers_gets_two_connections_a_call_at_most() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let proxy = Proxy::start(listener.local_addr().unwrap()).await.unwrap();
-    proxy.set(Fault { answer: Flow::Hold, request: Flow::Hold, refuse: false });
+    proxy.set_fault(Fault { answer: Flow::Hold, request: Flow::Hold, refuse: false });
     let dialer = Dialer::new(CALL_TIMEOUT);
     let calls = (0..OPEN_CONNECTIONS).map(|_| call_again(&dialer, proxy.addr));
     assert!(join_all(calls).await.iter().all(Result::is_err));
-    assert!(proxy.opened() <= 2 * OPEN_CONNECTIONS as u64, "{} connections", proxy.opened());
+    assert!(
+        proxy.connection_count() <= 2 * OPEN_CONNECTIONS as u64,
+        "{} connections",
+        proxy.connection_count()
+    );
 }
 
 /// The outcome of a request that cannot be sent twice would be unknown on a connection that has gone
@@ -144,10 +148,10 @@
     let send = async || {
         let request = Request::builder().uri("/").header("host", "test").body(full(""));
         let answer = dialer.send(server.proxy.addr, request.unwrap()).await.unwrap();
-        collect(answer.into_body(), 1024).await.unwrap()
+        collect_body(answer.into_body(), 1024).await.unwrap()
     };
     send().await;
-    server.proxy.silence_open(Silence::Both);
+    server.proxy.black_hole_open(Direction::Both);
     sleep(Duration::from_millis(1_100)).await;
     assert_eq!(timeout(CALL_TIMEOUT, send()).await.unwrap(), "done");
 }
@@ -206,8 +210,8 @@
     }));
     let exchanged = call_again(&Dialer::new(CALL_TIMEOUT), proxy.addr).await.unwrap();
     assert_eq!(exchanged.response.status(), StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(proxy.opened(), 2);
-    assert!(exchanged.other_is_open);
+    assert_eq!(proxy.connection_count(), 2);
+    assert!(exchanged.is_other_pending);
 }
 
 /// A peer that answers every request at once, except requests for a view: each waits until `held` is
@@ -249,14 +253,14 @@
 
 #[tokio::test]
 async fn a_request_on_a_silent_connection_to_a_peer_is_answered_on_a_new_one() {
-    for silence in [Silence::Both, Silence::Requests, Silence::Answers] {
+    for silence in [Direction::Both, Direction::Requests, Direction::Answers] {
         let (proxy, _) = proxied_peer().await;
         let peers = Peers::default();
         for opened in 1..=3 {
             let answer = peers.ask(proxy.addr, peer::Request::State(1, Caller::Operator)).await;
             assert_eq!(answer.unwrap(), Reply::Done, "{silence:?}");
-            assert_eq!(proxy.opened(), opened);
-            proxy.silence_open(silence);
+            assert_eq!(proxy.connection_count(), opened);
+            proxy.black_hole_open(silence);
         }
     }
 }
@@ -273,7 +277,7 @@
     };
     let (answer, ()) = tokio::join!(view, release);
     assert_eq!(answer.unwrap(), Reply::Done);
-    assert_eq!(proxy.opened(), 1);
+    assert_eq!(proxy.connection_count(), 1);
 }
 
 #[tokio::test]
@@ -285,7 +289,7 @@
         tokio::spawn(async move { peers.ask_once(addr, request).await })
     };
     assert_eq!(ask(peer::Request::State(1, Caller::Operator)).await.unwrap().unwrap(), Reply::Done);
-    proxy.silence_open(Silence::Both);
+    proxy.black_hole_open(Direction::Both);
     let first = ask(peer::Request::State(1, Caller::Operator));
     sleep(ANSWER_TIME).await;
     // Sent on the silent connection as well.
--- a/testutils/tests/test_spread.rs
+++ b/testutils/tests/test_spread.rs
@@ -18,7 +18,7 @@
 use spokelift_lib::batch::node::Node;
 use spokelift_testutils::batch;
 use spokelift_testutils::batch::published;
-use spokelift_testutils::batch::published::published;
+use spokelift_testutils::batch::published::published_config;
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 use tokio::time::timeout;
@@ -54,7 +54,7 @@
     let addrs: Vec<SocketAddr> =
         listeners.iter().map(|listener| listener.local_addr().unwrap()).collect();
     let start = |(listener, addr): (TcpListener, SocketAddr)| {
-        let node = batch::node(listener, batch::addr());
+        let node = batch::node(listener, batch::unused_addr());
         node.directory
             .set_nodes(addrs.iter().filter(|other| **other != addr).map(|other| (*other, 250)));
         node
@@ -64,7 +64,7 @@
 
 fn config(version: u64, key: &str) -> Config {
     let accounts = [published::account("a", &[key], version)];
-    Config::decode(&published(version, &[], accounts.into_iter().collect())).unwrap()
+    Config::decode(&published_config(version, &[], accounts.into_iter().collect())).unwrap()
 }
 
 async fn wait_until(what: &str, condition: impl Fn() -> bool) {
--- a/transport/src/clock.rs
+++ b/transport/src/clock.rs
@@ -17,23 +17,23 @@
 use nix::time::clock_gettime;
 
 /// A difference between the two clocks that is smaller says nothing: they are read one after the other.
-const NOTICED: Duration = Duration::from_millis(5);
+const MIN_SUSPENSION: Duration = Duration::from_millis(5);
 
 /// Readings of which the best counts when the clocks are first compared.
-const FIRST_READINGS: usize = 3;
+const INITIAL_READINGS: usize = 3;
 
 /// Time for which this process has been suspended, in microseconds.
-static SUSPENDED: AtomicU64 = AtomicU64::new(0);
+static SUSPENDED_MICROS: AtomicU64 = AtomicU64::new(0);
 /// What tests add to that, in microseconds.
-static PRETENDED: AtomicU64 = AtomicU64::new(0);
+static SIMULATED_MICROS: AtomicU64 = AtomicU64::new(0);
 /// Lets this process believe that it has been suspended, for tests: the clocks of a machine cannot be stopped
 /// for one process.
-pub fn pretend_suspended(time: Duration) {
-    PRETENDED.fetch_add(time.as_micros() as u64, Ordering::Relaxed);
+pub fn simulate_suspension(time: Duration) {
+    SIMULATED_MICROS.fetch_add(time.as_micros() as u64, Ordering::Relaxed);
 }
 
 /// By how much the clock that counts suspension was ahead when it was first read.
-static AHEAD_AT_FIRST: OnceLock<Duration> = OnceLock::new();
+static INITIAL_OFFSET: OnceLock<Duration> = OnceLock::new();
 
 /// Now, with the time for which this process was suspended.
 ///
@@ -43,7 +43,7 @@
 /// assert!(clock::now() >= before);
 /// ```
 pub fn now() -> Instant {
-    let suspended = suspended();
+    let suspended = suspended_time();
     #[expect(clippy::disallowed_methods, reason = "the one place that reads the steady clock")]
     let steady = Instant::now();
     steady + suspended
@@ -62,28 +62,28 @@
 
 /// When a timer has to be set for so that it wakes at an instant of [`now`], unless this process is suspended
 /// meanwhile.
-pub fn timer(at: Instant) -> tokio::time::Instant {
+pub fn timer_instant(at: Instant) -> tokio::time::Instant {
     tokio::time::Instant::now() + at.saturating_duration_since(now())
 }
 
 /// For how long this process has been suspended in all.
-pub fn suspended() -> Duration {
-    let read = || (0..FIRST_READINGS).filter_map(|_| ahead()).max().unwrap_or_default();
-    let first = *AHEAD_AT_FIRST.get_or_init(read);
+pub fn suspended_time() -> Duration {
+    let read = || (0..INITIAL_READINGS).filter_map(|_| boottime_offset()).max().unwrap_or_default();
+    let first = *INITIAL_OFFSET.get_or_init(read);
     // A clock that cannot be read adds nothing to what is known.
-    let ahead = ahead().unwrap_or_default().saturating_sub(first);
-    let micros = ahead.as_micros() as u64 + PRETENDED.load(Ordering::Relaxed);
-    let known = SUSPENDED.load(Ordering::Relaxed);
-    if micros <= known + NOTICED.as_micros() as u64 {
+    let ahead = boottime_offset().unwrap_or_default().saturating_sub(first);
+    let micros = ahead.as_micros() as u64 + SIMULATED_MICROS.load(Ordering::Relaxed);
+    let known = SUSPENDED_MICROS.load(Ordering::Relaxed);
+    if micros <= known + MIN_SUSPENSION.as_micros() as u64 {
         return Duration::from_micros(known);
     }
-    let before = SUSPENDED.fetch_max(micros, Ordering::Relaxed);
+    let before = SUSPENDED_MICROS.fetch_max(micros, Ordering::Relaxed);
     Duration::from_micros(before.max(micros))
 }
 
 /// By how much the clock that counts suspension is ahead of the steady one: at least that much, whatever
 /// happens between the two readings.
-fn ahead() -> Option<Duration> {
+fn boottime_offset() -> Option<Duration> {
     let boot = clock_gettime(ClockId::CLOCK_BOOTTIME).ok()?;
     let steady = clock_gettime(ClockId::CLOCK_MONOTONIC).ok()?;
     Some(Duration::from(boot).saturating_sub(Duration::from(steady)))
--- a/transport/src/dial.rs
+++ b/transport/src/dial.rs
@@ -5,9 +5,9 @@
 //! A connection goes back to the pool only when its answer was read whole, so an abandoned answer
 //! can never be taken for the next request's.
 
-mod answer;
 mod exchange;
-mod idle;
+mod pool;
+mod response;
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -29,31 +29,31 @@
 use tokio::time::timeout;
 
 use crate::clock;
-pub use crate::dial::answer::Answer;
-use crate::dial::answer::Home;
 pub use crate::dial::exchange::ExchangeError;
-pub use crate::dial::exchange::Exchanged;
+pub use crate::dial::exchange::HedgedResponse;
 pub use crate::dial::exchange::Limits;
-pub use crate::dial::exchange::collect;
-use crate::dial::idle::Idle;
+pub use crate::dial::exchange::collect_body;
+use crate::dial::pool::ConnectionPool;
+use crate::dial::response::ConnectionReturn;
+pub use crate::dial::response::ResponseBody;
 use crate::socket;
 
 /// How long a request must have gone without an answer when it is given up, or its connection ends,
 /// to say anything about the connection: many times the 5 ms that any of our services takes in calm,
 /// and longer than a process short of processor is usually late. With 0.2 s such a holder of the lead
 /// sent 848 calls again on a day of high load at 350 boxes. Whoever gives up sooner had another reason.
-const SILENCE: Duration = Duration::from_millis(300);
+const UNANSWERED_AFTER: Duration = Duration::from_millis(300);
 /// How long ago a connection may have answered to be used for a request that cannot be sent twice: a
 /// small part of the time that callers wait, and long enough for requests in a row to share one.
-const PROVEN: Duration = Duration::from_secs(1);
+const SEND_MAX_IDLE: Duration = Duration::from_secs(1);
 /// How long ago a connection may have answered to be used for other requests. Our own server closes
 /// one that is idle for 120 s; others may sooner.
-const KEPT: Duration = Duration::from_secs(8);
+const EXCHANGE_MAX_IDLE: Duration = Duration::from_secs(8);
 /// Connections to one address that may be in the making at a time. A site's calls side by side need a
 /// few; where an address does not answer, so many packets each `connect_timeout` ask whether it does.
 const MAX_CONNECTING: usize = 8;
 /// How long an idle connection may take to become ready before a new one is made.
-const READY_WAIT: Duration = Duration::from_millis(20);
+const READY_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Body of an outgoing request or of an answer to a caller.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
@@ -110,14 +110,14 @@
     /// connection ended.
     Unanswered {
         /// The connection had carried requests before.
-        kept: bool,
+        is_reused: bool,
         /// So many idle connections to the address were given up for it.
-        given_up: usize,
+        closed_idle: usize,
     },
 }
 
 /// Is told of each [`Event`] of a connection to an address.
-pub type Watch = Arc<dyn Fn(SocketAddr, Event) + Send + Sync>;
+pub type EventHandler = Arc<dyn Fn(SocketAddr, Event) + Send + Sync>;
 
 impl fmt::Debug for SendError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -131,15 +131,15 @@
 /// Makes and keeps connections. Clones share them.
 #[derive(Clone)]
 pub struct Dialer {
-    idle: Arc<Idle>,
+    pool: Arc<ConnectionPool>,
     connect_timeout: Duration,
-    watch: Option<Watch>,
+    on_event: Option<EventHandler>,
 }
 
 impl Dialer {
     /// A dialer that waits up to `connect_timeout` for a connection.
     pub fn new(connect_timeout: Duration) -> Dialer {
-        Dialer { idle: Arc::default(), connect_timeout, watch: None }
+        Dialer { pool: Arc::default(), connect_timeout, on_event: None }
     }
 
     /// The same dialer, which tells `watch` what happens to its connections.
@@ -149,19 +149,19 @@
     /// # use std::time::Duration;
     /// # use spokelift_transport::dial::Dialer;
     /// let dialer = Dialer::new(Duration::from_millis(400));
-    /// let dialer = dialer.watched(Arc::new(|addr, event| println!("{addr}: {event:?}")));
+    /// let dialer = dialer.with_event_handler(Arc::new(|addr, event| println!("{addr}: {event:?}")));
     /// ```
-    pub fn watched(self, watch: Watch) -> Dialer {
-        Dialer { watch: Some(watch), ..self }
+    pub fn with_event_handler(self, watch: EventHandler) -> Dialer {
+        Dialer { on_event: Some(watch), ..self }
     }
 
-    fn tell(&self, addr: SocketAddr, event: Event) {
-        if let Some(watch) = &self.watch {
+    fn emit(&self, addr: SocketAddr, event: Event) {
+        if let Some(watch) = &self.on_event {
             watch(addr, event);
         }
     }
 
-    /// Sends a request and returns the head of its answer; the body is read from [`Answer`].
+    /// Sends a request and returns the head of its answer; the body is read from [`ResponseBody`].
     ///
     /// For requests that may do harm if they are sent twice: only a connection that answered within the
     /// last second is used again. Of one that has gone silent since, nobody could say whether the
@@ -174,8 +174,8 @@
         &self,
         addr: SocketAddr,
         request: Request<Body>,
-    ) -> Result<Response<Answer>, SendError> {
-        self.send_within(addr, request, PROVEN).await
+    ) -> Result<Response<ResponseBody>, SendError> {
+        self.send_within(addr, request, SEND_MAX_IDLE).await
     }
 
     /// The same on a connection that answered within that time, or a new one.
@@ -184,7 +184,7 @@
         addr: SocketAddr,
         request: Request<Body>,
         within: Duration,
-    ) -> Result<Response<Answer>, SendError> {
+    ) -> Result<Response<ResponseBody>, SendError> {
         let mut request = request;
         // An idle connection may have been closed by the other side; hyper gives the request
         // back if it was not written, and the next connection is tried.
@@ -202,14 +202,14 @@
         &self,
         addr: SocketAddr,
         request: Request<Body>,
-    ) -> Result<Response<Answer>, SendError> {
+    ) -> Result<Response<ResponseBody>, SendError> {
         match self.connect(addr).await {
             Ok(sender) => {
-                self.tell(addr, Event::Opened);
+                self.emit(addr, Event::Opened);
                 self.send_on(addr, sender, request, false).await
             }
             Err(cause) => {
-                self.tell(addr, Event::Unreachable);
+                self.emit(addr, Event::Unreachable);
                 Err(SendError::NotSent(Box::new(request), cause))
             }
         }
@@ -221,18 +221,24 @@
         mut sender: SendRequest<Body>,
         request: Request<Body>,
         kept: bool,
-    ) -> Result<Response<Answer>, SendError> {
-        let mut pending = Pending { dialer: self, addr, kept, sent: clock::now(), over: false };
+    ) -> Result<Response<ResponseBody>, SendError> {
+        let mut pending = PendingRequest {
+            dialer: self,
+            addr,
+            is_reused: kept,
+            sent_at: clock::now(),
+            is_finished: false,
+        };
         match sender.try_send_request(request).await {
             Ok(response) => {
-                pending.over = true;
+                pending.is_finished = true;
                 let dialer = self.clone();
-                let home = Home { dialer, addr, sender, kept };
-                Ok(response.map(|incoming| Answer::new(incoming, home)))
+                let home = ConnectionReturn { dialer, addr, sender, is_reused: kept };
+                Ok(response.map(|incoming| ResponseBody::new(incoming, home)))
             }
             Err(mut error) => Err(match error.take_message() {
                 Some(unsent) => {
-                    pending.over = true;
+                    pending.is_finished = true;
                     let cause = NotSent::Closed(error.into_error());
                     SendError::NotSent(Box::new(unsent), cause)
                 }
@@ -243,11 +249,11 @@
 
     async fn take_idle(&self, addr: SocketAddr, within: Duration) -> Option<SendRequest<Body>> {
         loop {
-            let mut sender = self.idle.take(addr, within)?;
+            let mut sender = self.pool.take_idle(addr, within)?;
             if sender.is_closed() {
                 continue;
             }
-            if let Ok(Ok(())) = timeout(READY_WAIT, sender.ready()).await {
+            if let Ok(Ok(())) = timeout(READY_TIMEOUT, sender.ready()).await {
                 return Some(sender);
             }
         }
@@ -255,22 +261,22 @@
 
     /// Takes in that a request was given up, or its connection ended, while nothing had come on that
     /// connection since `since`.
-    fn note_unanswered(&self, addr: SocketAddr, since: Instant, kept: bool) {
-        if clock::since(since) >= SILENCE {
-            let given_up = self.idle.give_up_unproven(addr, since);
-            self.tell(addr, Event::Unanswered { kept, given_up });
+    fn record_unanswered(&self, addr: SocketAddr, since: Instant, kept: bool) {
+        if clock::since(since) >= UNANSWERED_AFTER {
+            let given_up = self.pool.close_unanswered_since(addr, since);
+            self.emit(addr, Event::Unanswered { is_reused: kept, closed_idle: given_up });
         }
     }
 
     async fn connect(&self, addr: SocketAddr) -> Result<SendRequest<Body>, NotSent> {
-        let connecting = self.idle.connecting(addr);
+        let connecting = self.pool.connect_permits(addr);
         let connect = async {
             let _permit = connecting.acquire().await.expect("the semaphore is never closed");
             TcpStream::connect(addr).await
         };
         let connect = timeout(self.connect_timeout, connect);
         let stream = connect.await.map_err(|_| NotSent::ConnectTimeout)??;
-        socket::prepare(&stream)?;
+        socket::set_options(&stream)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         tokio::spawn(async move {
             // The error also reaches whoever waits for the answer.
@@ -282,18 +288,18 @@
 
 /// A request without an answer so far. Dropped before there is one, its connection may
 /// be silent.
-struct Pending<'a> {
+struct PendingRequest<'a> {
     dialer: &'a Dialer,
     addr: SocketAddr,
-    kept: bool,
-    sent: Instant,
-    over: bool,
+    is_reused: bool,
+    sent_at: Instant,
+    is_finished: bool,
 }
 
-impl Drop for Pending<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        if !self.over {
-            self.dialer.note_unanswered(self.addr, self.sent, self.kept);
+        if !self.is_finished {
+            self.dialer.record_unanswered(self.addr, self.sent_at, self.is_reused);
         }
     }
 }
--- a/transport/src/dial/exchange.rs
+++ b/transport/src/dial/exchange.rs
@@ -12,18 +12,18 @@
 use tokio::time::timeout;
 
 use crate::clock;
-use crate::dial::Answer;
 use crate::dial::Body;
 use crate::dial::BodyError;
 use crate::dial::Dialer;
-use crate::dial::KEPT;
+use crate::dial::EXCHANGE_MAX_IDLE;
 use crate::dial::NotSent;
-use crate::dial::SILENCE;
+use crate::dial::ResponseBody;
 use crate::dial::SendError;
+use crate::dial::UNANSWERED_AFTER;
 
 /// How many times as long as answers of an address took lately the next one may take before the
 /// request is sent a second time.
-const PATIENCE_RATIO: u32 = 4;
+const OVERDUE_FACTOR: u32 = 4;
 
 /// Why a small exchange failed.
 #[derive(Debug, Error)]
@@ -55,21 +55,21 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Most bytes of the answer's body.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// Longest time for the whole exchange.
-    pub wait: Duration,
+    pub timeout: Duration,
     /// How long of that the server may hold the answer back on purpose, as in a long poll.
-    pub held: Duration,
+    pub long_poll: Duration,
 }
 
 /// An answer to a request that may have been sent twice.
 #[derive(Debug)]
-pub struct Exchanged {
+pub struct HedgedResponse {
     /// The answer.
     pub response: Response<Bytes>,
     /// The request was sent a second time as well, and the other try has no answer yet: it may have
     /// been carried out, or may be carried out later.
-    pub other_is_open: bool,
+    pub is_other_pending: bool,
 }
 
 impl Dialer {
@@ -86,21 +86,23 @@
         wait: Duration,
     ) -> Result<Response<Bytes>, ExchangeError> {
         let begun = clock::now();
-        let done = self.once(addr, request, limit, wait).await;
+        let done = self.exchange_once(addr, request, limit, wait).await;
         if done.is_ok() {
-            self.idle.learn(addr, clock::since(begun));
+            self.pool.record_latency(addr, clock::since(begun));
         }
         done
     }
 
-    async fn once(
+    async fn exchange_once(
         &self,
         addr: SocketAddr,
         request: Request<Body>,
         limit: usize,
         wait: Duration,
     ) -> Result<Response<Bytes>, ExchangeError> {
-        let sent = async { read(self.send_within(addr, request, KEPT).await, limit).await };
+        let sent = async {
+            read_response(self.send_within(addr, request, EXCHANGE_MAX_IDLE).await, limit).await
+        };
         timeout(wait, sent).await.map_err(|_| ExchangeError::Timeout)?
     }
 
@@ -116,35 +118,36 @@
     /// # Errors
     ///
     /// [`ExchangeError`]; nothing was received only if it is [`ExchangeError::NotSent`].
-    pub async fn exchange_again(
+    pub async fn exchange_hedged(
         &self,
         addr: SocketAddr,
         mut request: impl FnMut() -> Result<Request<Body>, hyper::http::Error>,
         limits: Limits,
-    ) -> Result<Exchanged, ExchangeError> {
+    ) -> Result<HedgedResponse, ExchangeError> {
         let begun = clock::now();
-        let first = self.once(addr, request()?, limits.bytes, limits.wait);
+        let first = self.exchange_once(addr, request()?, limits.max_bytes, limits.timeout);
         let mut first = std::pin::pin!(first);
-        let overdue = limits.held + self.overdue(addr);
-        let cut = match timeout(overdue.min(limits.wait), &mut first).await {
+        let overdue = limits.long_poll + self.hedge_delay(addr);
+        let cut = match timeout(overdue.min(limits.timeout), &mut first).await {
             // The connection ended, perhaps before the request was received.
             Ok(Err(error @ (ExchangeError::Cut(_) | ExchangeError::Body(BodyError::Cut(_))))) => {
                 Some(error)
             }
             Ok(done) => {
-                if limits.held.is_zero() && done.is_ok() {
-                    self.idle.learn(addr, clock::since(begun));
+                if limits.long_poll.is_zero() && done.is_ok() {
+                    self.pool.record_latency(addr, clock::since(begun));
                 }
-                return alone(done);
+                return unhedged(done);
             }
             Err(_) => None,
         };
-        let left = limits.wait.saturating_sub(clock::since(begun));
+        let left = limits.timeout.saturating_sub(clock::since(begun));
         let second = request()?;
-        let second = async { read(self.send_on_new(addr, second).await, limits.bytes).await };
+        let second =
+            async { read_response(self.send_on_new(addr, second).await, limits.max_bytes).await };
         let second = timeout(left, second);
         let second = async { second.await.unwrap_or(Err(ExchangeError::Timeout)) };
-        let open = |response| Ok(Exchanged { response, other_is_open: true });
+        let open = |response| Ok(HedgedResponse { response, is_other_pending: true });
         if let Some(cut) = cut {
             return match second.await {
                 Ok(response) => open(response),
@@ -156,7 +159,7 @@
             done = &mut first => match done {
                 Ok(response) => {
                     // It was slow, not silent.
-                    self.idle.learn(addr, clock::since(begun).saturating_sub(limits.held));
+                    self.pool.record_latency(addr, clock::since(begun).saturating_sub(limits.long_poll));
                     open(response)
                 }
                 Err(error) => match second.await {
@@ -166,7 +169,7 @@
             },
             done = &mut second => match done {
                 Ok(response) => {
-                    self.note_unanswered(addr, begun, true);
+                    self.record_unanswered(addr, begun, true);
                     open(response)
                 }
                 Err(error) => match first.await {
@@ -178,13 +181,13 @@
     }
 
     /// From when on an answer of an address is overdue.
-    fn overdue(&self, addr: SocketAddr) -> Duration {
-        (self.idle.usual(addr) * PATIENCE_RATIO).max(SILENCE)
+    fn hedge_delay(&self, addr: SocketAddr) -> Duration {
+        (self.pool.recent_latency(addr) * OVERDUE_FACTOR).max(UNANSWERED_AFTER)
     }
 }
 
-fn alone(done: Result<Response<Bytes>, ExchangeError>) -> Result<Exchanged, ExchangeError> {
-    done.map(|response| Exchanged { response, other_is_open: false })
+fn unhedged(done: Result<Response<Bytes>, ExchangeError>) -> Result<HedgedResponse, ExchangeError> {
+    done.map(|response| HedgedResponse { response, is_other_pending: false })
 }
 
 /// What is known after two tries: nothing was received only if neither was sent.
@@ -195,8 +198,8 @@
     }
 }
 
-async fn read(
-    sent: Result<Response<Answer>, SendError>,
+async fn read_response(
+    sent: Result<Response<ResponseBody>, SendError>,
     limit: usize,
 ) -> Result<Response<Bytes>, ExchangeError> {
     let response = sent.map_err(|error| match error {
@@ -204,12 +207,12 @@
         SendError::Cut(cause) => ExchangeError::Cut(cause),
     })?;
     let (head, answer) = response.into_parts();
-    let bytes = collect(answer, limit).await?;
+    let bytes = collect_body(answer, limit).await?;
     Ok(Response::from_parts(head, bytes))
 }
 
 /// Reads a body whole, at most `limit` bytes.
-pub async fn collect<B>(body: B, limit: usize) -> Result<Bytes, BodyError>
+pub async fn collect_body<B>(body: B, limit: usize) -> Result<Bytes, BodyError>
 where
     B: HttpBody<Data = Bytes, Error = BodyError>,
 {
--- a/transport/src/dial/idle.rs
+++ b/transport/src/dial/pool.rs
@@ -18,93 +18,98 @@
 
 use crate::clock;
 use crate::dial::Body;
-use crate::dial::KEPT;
+use crate::dial::EXCHANGE_MAX_IDLE;
 use crate::dial::MAX_CONNECTING;
 
 /// Idle connections kept for one address.
-const MAX_IDLE: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// A connection without a request under way.
-struct Kept {
+struct IdleConnection {
     sender: SendRequest<Body>,
     /// When it last answered.
-    proven_at: Instant,
+    last_answer_at: Instant,
 }
 
 /// What is kept of an address.
 struct Remote {
     /// Connections without a request under way, the one that answered last at the end.
-    idle: Vec<Kept>,
+    idle: Vec<IdleConnection>,
     /// How long its answers took lately: the longest, forgotten by an eighth with each answer.
-    usual: Duration,
+    recent_latency: Duration,
     /// Bounds the connections in the making.
-    connecting: Arc<Semaphore>,
+    connect_permits: Arc<Semaphore>,
 }
 
 impl Default for Remote {
     fn default() -> Remote {
         let connecting = Arc::new(Semaphore::new(MAX_CONNECTING));
-        Remote { idle: Vec::new(), usual: Duration::ZERO, connecting }
+        Remote { idle: Vec::new(), recent_latency: Duration::ZERO, connect_permits: connecting }
     }
 }
 
 /// What is kept of each address.
 #[derive(Default)]
-pub(super) struct Idle {
+pub(super) struct ConnectionPool {
     remotes: Mutex<HashMap<SocketAddr, Remote>>,
     /// How long answers of all addresses took lately. Where this process is itself late, all are.
-    usual: Mutex<Duration>,
+    recent_latency: Mutex<Duration>,
 }
 
-impl Idle {
+impl ConnectionPool {
     fn remotes(&self) -> MutexGuard<'_, HashMap<SocketAddr, Remote>> {
         self.remotes.lock().expect("no holder of the addresses panics")
     }
 
     /// Takes the connection that answered last, if that is no longer ago than `within`.
-    pub(super) fn take(&self, addr: SocketAddr, within: Duration) -> Option<SendRequest<Body>> {
+    pub(super) fn take_idle(
+        &self,
+        addr: SocketAddr,
+        within: Duration,
+    ) -> Option<SendRequest<Body>> {
         let mut remotes = self.remotes();
         let idle = &mut remotes.get_mut(&addr)?.idle;
-        idle.retain(|kept| clock::since(kept.proven_at) <= KEPT);
-        let last = idle.pop_if(|kept| clock::since(kept.proven_at) <= within);
+        idle.retain(|kept| clock::since(kept.last_answer_at) <= EXCHANGE_MAX_IDLE);
+        let last = idle.pop_if(|kept| clock::since(kept.last_answer_at) <= within);
         last.map(|kept| kept.sender)
     }
 
     /// Keeps a connection that has just answered.
-    pub(super) fn put(&self, addr: SocketAddr, sender: SendRequest<Body>) {
+    pub(super) fn put_idle(&self, addr: SocketAddr, sender: SendRequest<Body>) {
         let mut remotes = self.remotes();
         let idle = &mut remotes.entry(addr).or_default().idle;
-        if idle.len() < MAX_IDLE {
-            idle.push(Kept { sender, proven_at: clock::now() });
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(IdleConnection { sender, last_answer_at: clock::now() });
         }
     }
 
     /// Gives up the connections to an address that have not answered since; returns how many.
-    pub(super) fn give_up_unproven(&self, addr: SocketAddr, since: Instant) -> usize {
+    pub(super) fn close_unanswered_since(&self, addr: SocketAddr, since: Instant) -> usize {
         let mut remotes = self.remotes();
         let Some(remote) = remotes.get_mut(&addr) else { return 0 };
         let before = remote.idle.len();
-        remote.idle.retain(|kept| kept.proven_at >= since);
+        remote.idle.retain(|kept| kept.last_answer_at >= since);
         before - remote.idle.len()
     }
 
     /// An answer of an address took so long.
-    pub(super) fn learn(&self, addr: SocketAddr, took: Duration) {
+    pub(super) fn record_latency(&self, addr: SocketAddr, took: Duration) {
         let mut remotes = self.remotes();
         let remote = remotes.entry(addr).or_default();
-        remote.usual = took.max(remote.usual - remote.usual / 8);
-        let mut usual = self.usual.lock().expect("no holder of the time panics");
+        remote.recent_latency = took.max(remote.recent_latency - remote.recent_latency / 8);
+        let mut usual = self.recent_latency.lock().expect("no holder of the time panics");
         *usual = took.max(*usual - *usual / 32);
     }
 
     /// How long answers take, of an address or of all, whichever is longer; nothing if none came yet.
-    pub(super) fn usual(&self, addr: SocketAddr) -> Duration {
-        let of_addr = self.remotes().get(&addr).map_or(Duration::ZERO, |remote| remote.usual);
-        of_addr.max(*self.usual.lock().expect("no holder of the time panics"))
+    pub(super) fn recent_latency(&self, addr: SocketAddr) -> Duration {
+        let of_addr =
+            self.remotes().get(&addr).map_or(Duration::ZERO, |remote| remote.recent_latency);
+        of_addr.max(*self.recent_latency.lock().expect("no holder of the time panics"))
     }
 
     /// Bounds how many connections to an address are in the making.
-    pub(super) fn connecting(&self, addr: SocketAddr) -> Arc<Semaphore> {
-        self.remotes().entry(addr).or_default().connecting.clone()
+    pub(super) fn connect_permits(&self, addr: SocketAddr) -> Arc<Semaphore> {
+        self.remotes().entry(addr).or_default().connect_permits.clone()
     }
 }
--- a/transport/src/dial/answer.rs
+++ b/transport/src/dial/response.rs
@@ -20,52 +20,52 @@
 use crate::dial::Dialer;
 
 /// Where a connection goes back to when its answer was read whole.
-pub(super) struct Home {
+pub(super) struct ConnectionReturn {
     pub(super) dialer: Dialer,
     pub(super) addr: SocketAddr,
     pub(super) sender: SendRequest<Body>,
     /// The connection had carried requests before this one.
-    pub(super) kept: bool,
+    pub(super) is_reused: bool,
 }
 
 /// Body of an answer. Dropped before its end, it closes its connection.
-pub struct Answer {
+pub struct ResponseBody {
     incoming: Incoming,
-    home: Option<Home>,
+    connection: Option<ConnectionReturn>,
     /// When something of it last came.
-    heard_at: Instant,
+    last_received_at: Instant,
 }
 
-impl Answer {
-    pub(super) fn new(incoming: Incoming, home: Home) -> Answer {
-        Answer { incoming, home: Some(home), heard_at: clock::now() }
+impl ResponseBody {
+    pub(super) fn new(incoming: Incoming, home: ConnectionReturn) -> ResponseBody {
+        ResponseBody { incoming, connection: Some(home), last_received_at: clock::now() }
     }
 
     /// The rest of the answer is not waited for, or does not come.
-    fn note_unanswered(&mut self) {
-        if let Some(home) = self.home.take() {
-            home.dialer.note_unanswered(home.addr, self.heard_at, home.kept);
+    fn record_unanswered(&mut self) {
+        if let Some(home) = self.connection.take() {
+            home.dialer.record_unanswered(home.addr, self.last_received_at, home.is_reused);
         }
     }
 
-    fn settle(&mut self) {
-        if let Some(home) = self.home.take() {
-            home.dialer.idle.put(home.addr, home.sender);
+    fn return_connection(&mut self) {
+        if let Some(home) = self.connection.take() {
+            home.dialer.pool.put_idle(home.addr, home.sender);
         }
     }
 }
 
-impl Drop for Answer {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
         // An answer without a body is never polled.
         if self.incoming.is_end_stream() {
-            self.settle();
+            self.return_connection();
         }
-        self.note_unanswered();
+        self.record_unanswered();
     }
 }
 
-impl HttpBody for Answer {
+impl HttpBody for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -76,18 +76,18 @@
         let frame = ready!(Pin::new(&mut self.incoming).poll_frame(cx));
         match frame {
             Some(Ok(frame)) => {
-                self.heard_at = clock::now();
+                self.last_received_at = clock::now();
                 if self.incoming.is_end_stream() {
-                    self.settle();
+                    self.return_connection();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(error)) => {
-                self.note_unanswered();
+                self.record_unanswered();
                 Poll::Ready(Some(Err(BodyError::Cut(error))))
             }
             None => {
-                self.settle();
+                self.return_connection();
                 Poll::Ready(None)
             }
         }
--- a/transport/src/serve.rs
+++ b/transport/src/serve.rs
@@ -23,16 +23,16 @@
 use crate::clock;
 use crate::dial::Body;
 use crate::serve::phase::Due;
-use crate::serve::phase::Noted;
 use crate::serve::phase::Phase;
+use crate::serve::phase::TrackedStream;
 use crate::socket;
 
 /// Most connections one listener holds; further ones wait to be accepted.
 const MAX_CONNECTIONS: usize = 4096;
 /// Largest request head, in bytes.
-const MAX_HEAD: usize = 32 * 1024;
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// Pause after an accept has failed, e.g. for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Serves `listener` until `stop` turns true, then lets the requests in flight end.
 ///
@@ -56,10 +56,10 @@
             _ = stop.wait_for(|stop| *stop) => break,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let connection = serve_one(stream, stop.clone(), handler.clone());
+        let connection = serve_connection(stream, stop.clone(), handler.clone());
         connections.spawn(async move {
             connection.await;
             drop(permit);
@@ -69,36 +69,36 @@
     while connections.join_next().await.is_some() {}
 }
 
-async fn serve_one<H, F>(stream: TcpStream, mut stop: watch::Receiver<bool>, handler: H)
+async fn serve_connection<H, F>(stream: TcpStream, mut stop: watch::Receiver<bool>, handler: H)
 where
     H: Fn(Request<Incoming>) -> F,
     F: Future<Output = Response<Body>>,
 {
-    if socket::prepare(&stream).is_err() {
+    if socket::set_options(&stream).is_err() {
         // The caller has gone already.
         return;
     }
     let phase = Phase::new();
     let service = service_fn(|request| {
-        phase.begin_answer();
+        phase.start_response();
         let answer = handler(request);
         let phase = &phase;
         async move {
             let answer = answer.await;
-            phase.end_answer();
+            phase.finish_response();
             Ok::<_, Infallible>(answer)
         }
     });
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(MAX_HEAD);
-    let stream = Noted::new(stream, phase.clone());
+    builder.max_buf_size(MAX_HEAD_BYTES);
+    let stream = TrackedStream::new(stream, phase.clone());
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let mut is_closing = false;
     loop {
         let due_at = match phase.due() {
             Due::Later(at) => at,
-            Due::Cut => return,
+            Due::Abort => return,
             Due::Close if is_closing => break,
             Due::Close => {
                 connection.as_mut().graceful_shutdown();
@@ -113,7 +113,7 @@
                 connection.as_mut().graceful_shutdown();
                 is_closing = true;
             }
-            () = sleep_until(clock::timer(due_at)) => {}
+            () = sleep_until(clock::timer_instant(due_at)) => {}
         }
     }
     // The rest of a long answer may still be on its way.
--- a/transport/src/serve/phase.rs
+++ b/transport/src/serve/phase.rs
@@ -18,21 +18,21 @@
 use crate::clock;
 
 /// How long a caller may take to send a request's head.
-const HEAD_LIMIT: Duration = Duration::from_secs(10);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a connection may be without a request. Longer than any client that we know keeps one: a
 /// request that is sent while its connection is being closed has no answer. Of 400 requests within
 /// 20 ms of the close, 14 and 37 were lost that way; our own dialer keeps connections for 8 s.
-const IDLE_LIMIT: Duration = Duration::from_secs(120);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doing {
+enum Activity {
     /// Nothing, since then.
     Idle(Instant),
     /// It receives the head of a request, since then.
-    Head(Instant),
+    ReadingHead(Instant),
     /// A request is being answered.
-    Answering,
+    Responding,
 }
 
 /// What is due on a connection.
@@ -43,66 +43,66 @@
     /// It has been idle for long enough to be closed.
     Close,
     /// The caller takes too long for a head.
-    Cut,
+    Abort,
 }
 
 /// What a connection is doing; shared by its reader and its requests.
 #[derive(Clone)]
-pub(super) struct Phase(Arc<Mutex<Doing>>);
+pub(super) struct Phase(Arc<Mutex<Activity>>);
 
 impl Phase {
     pub(super) fn new() -> Phase {
-        Phase(Arc::new(Mutex::new(Doing::Idle(clock::now()))))
+        Phase(Arc::new(Mutex::new(Activity::Idle(clock::now()))))
     }
 
-    fn set(&self, doing: Doing) {
+    fn set(&self, doing: Activity) {
         *self.0.lock().expect("no holder of the phase panics") = doing;
     }
 
     /// Bytes have come.
     fn on_bytes(&self) {
         let mut doing = self.0.lock().expect("no holder of the phase panics");
-        if matches!(*doing, Doing::Idle(_)) {
-            *doing = Doing::Head(clock::now());
+        if matches!(*doing, Activity::Idle(_)) {
+            *doing = Activity::ReadingHead(clock::now());
         }
     }
 
     /// A request has come.
-    pub(super) fn begin_answer(&self) {
-        self.set(Doing::Answering);
+    pub(super) fn start_response(&self) {
+        self.set(Activity::Responding);
     }
 
     /// Its answer is known. What is left of it may still be on its way.
-    pub(super) fn end_answer(&self) {
-        self.set(Doing::Idle(clock::now()));
+    pub(super) fn finish_response(&self) {
+        self.set(Activity::Idle(clock::now()));
     }
 
     /// What is due now.
     pub(super) fn due(&self) -> Due {
         let doing = *self.0.lock().expect("no holder of the phase panics");
         match doing {
-            Doing::Idle(since) if clock::since(since) >= IDLE_LIMIT => Due::Close,
-            Doing::Head(since) if clock::since(since) >= HEAD_LIMIT => Due::Cut,
-            Doing::Head(since) => Due::Later(since + HEAD_LIMIT),
+            Activity::Idle(since) if clock::since(since) >= IDLE_TIMEOUT => Due::Close,
+            Activity::ReadingHead(since) if clock::since(since) >= HEAD_TIMEOUT => Due::Abort,
+            Activity::ReadingHead(since) => Due::Later(since + HEAD_TIMEOUT),
             // A head may begin at any time.
-            Doing::Idle(_) | Doing::Answering => Due::Later(clock::now() + HEAD_LIMIT),
+            Activity::Idle(_) | Activity::Responding => Due::Later(clock::now() + HEAD_TIMEOUT),
         }
     }
 }
 
 /// A connection whose bytes are noted in its phase.
-pub(super) struct Noted {
+pub(super) struct TrackedStream {
     stream: TcpStream,
     phase: Phase,
 }
 
-impl Noted {
-    pub(super) fn new(stream: TcpStream, phase: Phase) -> Noted {
-        Noted { stream, phase }
+impl TrackedStream {
+    pub(super) fn new(stream: TcpStream, phase: Phase) -> TrackedStream {
+        TrackedStream { stream, phase }
     }
 }
 
-impl AsyncRead for Noted {
+impl AsyncRead for TrackedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -117,7 +117,7 @@
     }
 }
 
-impl AsyncWrite for Noted {
+impl AsyncWrite for TrackedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/transport/src/socket.rs
+++ b/transport/src/socket.rs
@@ -11,12 +11,12 @@
 use tokio::net::TcpStream;
 
 /// Time without a byte after which the kernel asks the other side for a sign of life.
-const IDLE: Duration = Duration::from_secs(5);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(5);
 /// Time between such questions.
-const INTERVAL: Duration = Duration::from_secs(2);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// How long bytes or questions may go unacknowledged until the kernel ends the connection: longer than
 /// any cut that a request survives, since an answer that is ready is delivered also when it is late.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(30);
+const USER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Sends small messages at once, and has the kernel end the connection once it has been silent for
 /// 30 s.
@@ -27,7 +27,7 @@
 /// use spokelift_transport::socket;
 /// let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
 /// let stream = tokio::net::TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-/// socket::prepare(&stream).unwrap();
+/// socket::set_options(&stream).unwrap();
 /// assert!(stream.nodelay().unwrap());
 /// # });
 /// ```
@@ -35,9 +35,11 @@
 /// # Errors
 ///
 /// Those of the system; the connection has usually ended then.
-pub fn prepare(stream: &TcpStream) -> io::Result<()> {
+pub fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(IDLE).with_interval(INTERVAL))?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_keepalive(
+        &TcpKeepalive::new().with_time(KEEPALIVE_IDLE).with_interval(KEEPALIVE_INTERVAL),
+    )?;
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
