--- a/cli/src/args.rs
+++ b/cli/src/args.rs
@@ -2,7 +2,7 @@
 
 use argh::FromArgs;
 
-/// Fleet capacity and maintenance manager: publishes configuration, states intents, confirms
+/// Fleet capacity and maintenance manager: publishes configuration, submits intents, confirms
 /// plans and watches them.
 #[derive(FromArgs, Debug)]
 pub struct Args {
@@ -22,7 +22,7 @@
     pub command: Command,
 }
 
-/// What to do.
+/// The subcommands.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum Command {
@@ -52,7 +52,7 @@
     pub file: std::path::PathBuf,
 }
 
-/// State an intent; the answer is a plan that changes nothing until it is confirmed.
+/// Submit an intent; the reply is a plan that changes nothing until it is confirmed.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "intent")]
 pub struct Intent {
@@ -60,7 +60,7 @@
     pub kind: IntentKind,
 }
 
-/// What is wanted.
+/// The kinds of intents.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum IntentKind {
@@ -70,7 +70,7 @@
     Maintain(Maintain),
 }
 
-/// Bring a pool to a number of boxes, from or to those in no pool.
+/// Resize a pool to a number of boxes, with boxes from or to those in no pool.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "resize")]
 pub struct Resize {
@@ -129,7 +129,7 @@
     pub action: PlanAction,
 }
 
-/// What to do with a plan.
+/// The subcommands of `plan`.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum PlanAction {
@@ -148,7 +148,7 @@
     pub id: String,
 }
 
-/// Put a plan in force.
+/// Confirm a plan, which starts it.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "confirm")]
 pub struct PlanConfirm {
@@ -183,7 +183,7 @@
     pub action: WaveAction,
 }
 
-/// What to do with a plan under way.
+/// The subcommands of `wave`.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum WaveAction {
@@ -192,7 +192,7 @@
     Abort(WaveAbort),
 }
 
-/// Start no further step.
+/// Pause a plan: start no further steps.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "pause")]
 pub struct WavePause {
@@ -201,7 +201,7 @@
     pub id: String,
 }
 
-/// Go on after a pause.
+/// Resume a paused plan.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "resume")]
 pub struct WaveResume {
@@ -210,7 +210,7 @@
     pub id: String,
 }
 
-/// Finish the steps begun and start no other.
+/// Abort a plan: finish the started steps and start no others.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "abort")]
 pub struct WaveAbort {
@@ -219,7 +219,7 @@
     pub id: String,
 }
 
-/// Show the daemon's own state.
+/// Show the state of the daemon.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "status")]
 pub struct Status {}
@@ -249,7 +249,7 @@
 #[argh(subcommand, name = "counters")]
 pub struct Counters {}
 
-/// Ask what became of a change whose outcome was not yet known.
+/// Show the outcome of a change that was not yet known when it was published.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "record")]
 pub struct Record {
@@ -263,20 +263,20 @@
 #[argh(subcommand, name = "hash-key")]
 pub struct HashKey {}
 
-/// Run a small site on stand-ins: daemons, boxes, load, a wave, failures.
+/// Run a small simulated site: daemons, boxes, load, a maintenance wave and failures.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "trial")]
 pub struct Trial {
     /// the site: platform (batch work), ulaanbaatar or dakar (requests) [platform]
     #[argh(option, default = "String::from(\"platform\")")]
     pub site: String,
-    /// on the platform, which faults come when [1]
+    /// on the platform, seed of the faults [1]
     #[argh(option, default = "1")]
     pub seed: u64,
-    /// on the platform, how long faults come, 2 to 600 [12]
+    /// on the platform, seconds in which faults are injected, 2 to 600 [12]
     #[argh(option, default = "12")]
     pub seconds: u64,
-    /// on the platform, jobs belong to accounts, whose keys and bounds change
+    /// on the platform, jobs belong to accounts, whose keys and quotas change
     #[argh(switch)]
     pub accounts: bool,
     /// on the other sites, requests a second over all entry boxes, 1 to 2000 [300]
@@ -295,7 +295,7 @@
     pub kind: BenchKind,
 }
 
-/// What to measure.
+/// The subcommands of `bench`.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum BenchKind {
@@ -305,7 +305,8 @@
     Keys(BenchKeys),
 }
 
-/// Measure the agreed state: records a second, memory, snapshots, time to ready, cost of control.
+/// Measure the replicated state: records a second, memory, snapshots, time to ready, and the cost
+/// of the control plane.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "state")]
 pub struct BenchState {
@@ -323,7 +324,7 @@
     pub json: bool,
 }
 
-/// Measure plans and waves at the level of decisions, against baselines and a lower bound.
+/// Measure plans and maintenance waves in virtual time, against baselines and a lower bound.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "plan")]
 pub struct BenchPlan {
@@ -333,10 +334,10 @@
     /// pools, at most one for each ten boxes
     #[argh(option, default = "43")]
     pub pools: u32,
-    /// the site whose measure comes first: ulaanbaatar or dakar
+    /// the site whose planning objective is used: ulaanbaatar or dakar
     #[argh(option, default = "String::from(\"ulaanbaatar\")")]
     pub site: String,
-    /// what goes wrong: none, rack, hall, liars or blackhole
+    /// faults to inject: none, rack, hall, liars or blackhole
     #[argh(option, default = "String::from(\"none\")")]
     pub faults: String,
     /// seed of the failures and of the random order
@@ -347,12 +348,12 @@
     pub json: bool,
 }
 
-/// Measure what batch work costs the scheduler at three sizes of a site: time and comparisons for each
-/// task, without a network.
+/// Measure the scheduler's work for batch jobs at three sizes of a site: time and examined workers for
+/// each task, without a network.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "batch")]
 pub struct BenchBatch {
-    /// seconds of load that are played, 2 to 120
+    /// seconds of simulated load, 2 to 120
     #[argh(option, default = "20")]
     pub seconds: u32,
     /// seed of the load
@@ -363,7 +364,7 @@
     pub json: bool,
 }
 
-/// Measure what calls with unknown keys cost a daemon, and callers with good keys beside them.
+/// Measure the cost of calls with unknown keys for a daemon, and their effect on callers with valid keys.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "keys")]
 pub struct BenchKeys {
@@ -378,8 +379,8 @@
     pub json: bool,
 }
 
-/// Batch work on the users' platform; --daemon is then the daemon's metrics address. Showing needs
-/// no credential there, submit and cancel need that of the site.
+/// Batch jobs on the users' platform; --daemon is then the daemon's metrics address. Views need no
+/// credential there, submit and cancel need that of the site.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "batch")]
 pub struct Batch {
@@ -387,7 +388,7 @@
     pub action: BatchAction,
 }
 
-/// What to show or to do.
+/// The subcommands of `batch`.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum BatchAction {
@@ -402,37 +403,37 @@
     Cancel(BatchCancel),
 }
 
-/// What each account has running against what it may, and what of its work waits for that.
+/// List the accounts: their usage and quotas, and the work that waits for quota.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "accounts")]
 pub struct BatchAccounts {}
 
-/// What each service has, uses and wants.
+/// List the services: the cores that each has, uses and wants.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "services")]
 pub struct BatchServices {}
 
-/// Jobs of each queue.
+/// List the queues and their numbers of jobs.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "queues")]
 pub struct BatchQueues {}
 
-/// The workers, and why some take nothing new.
+/// List the workers, and why some take no new tasks.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "workers")]
 pub struct BatchWorkers {}
 
-/// Which node looks after how many workers for the scheduler.
+/// List the shares of the workers (shards): the node that dispatches to each and its number of workers.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "shares")]
 pub struct BatchShares {}
 
-/// Waves of upkeep, and how far they are.
+/// List the maintenance waves and their progress.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "waves")]
 pub struct BatchWaves {}
 
-/// Where a job's tasks run, and what holds those that wait.
+/// Show where a job's tasks run, and why the others wait.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "explain")]
 pub struct Explain {
@@ -441,7 +442,7 @@
     pub job: String,
 }
 
-/// Submit a job; prints its id once the store keeps it.
+/// Submit a job; prints its id once the job is stored.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "submit")]
 pub struct BatchSubmit {
--- a/cli/src/bin/spokeliftd.rs
+++ b/cli/src/bin/spokeliftd.rs
@@ -144,7 +144,7 @@
         value.clone()
     }
 
-    /// The flag goes before the variable.
+    /// The value of a setting: the flag, or else the environment variable.
     fn value(&self, setting: &Setting) -> Option<String> {
         let flag = self.flag(setting.flag);
         flag.or_else(|| std::env::var(setting.variable()).ok())
@@ -159,12 +159,11 @@
     let mut logger =
         env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"));
     if args.platform {
-        // The platform's engineers read standard output.
+        // The platform's engineers read the log from standard output.
         let (pipe, progress) = Pipe::new(io::stdout());
         let logger = logger.target(env_logger::Target::Pipe(Box::new(pipe))).build();
         log::set_max_level(logger.filter());
-        log::set_boxed_logger(Box::new(RateLimited::new(logger)))
-            .expect("no logger was set before");
+        log::set_boxed_logger(Box::new(RateLimited::new(logger))).expect("no logger has been set");
         let code = run_platform(&args);
         progress.wait_written();
         return code;
@@ -181,13 +180,13 @@
     run_site(settings)
 }
 
-/// Shows why the settings cannot be used.
+/// Prints why the settings are invalid and returns the exit code.
 fn report_usage_error(error: &dyn Diagnostic) -> ExitCode {
     report(error);
     ExitCode::from(EXIT_USAGE)
 }
 
-/// Runs on the users' platform.
+/// Runs a node on the users' platform.
 fn run_platform(args: &Args) -> ExitCode {
     let Some(path) = std::env::var_os(spokelift_platform::settings::FILE_VARIABLE) else {
         eprintln!("{} is not set", spokelift_platform::settings::FILE_VARIABLE);
@@ -205,13 +204,13 @@
         println!("the settings can be used");
         return ExitCode::SUCCESS;
     }
-    // One thread: these boxes have a share of one core, and each wake-up of another is charged.
+    // Single-threaded: a node gets a fraction of one core there, and each wake-up of a further
+    // thread is charged to it.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     run_to_completion(runtime, serve_platform(settings, options))
 }
 
-/// Serves until SIGTERM. Nothing in the settings changes while the process runs, so SIGHUP is
-/// only noted.
+/// Serves until SIGTERM. Settings are read only at the start, so SIGHUP is logged and ignored.
 async fn serve_platform(
     settings: spokelift_platform::settings::Settings,
     options: NodeSettings,
@@ -224,7 +223,7 @@
             tokio::select! {
                 _ = terminate.recv() => break,
                 _ = reload.recv() => log::info!(
-                    "the settings file has changed; nothing in it is read while running"
+                    "SIGHUP ignored: the settings file is read only at the start"
                 ),
             }
         }
@@ -240,7 +239,7 @@
     run_to_completion(runtime, serve_site(settings))
 }
 
-/// Serves on a runtime to the end; tells on standard error why that failed.
+/// Runs the server on a runtime until it ends; prints its error to standard error.
 fn run_to_completion(
     runtime: io::Result<Runtime>,
     serving: impl Future<Output = Result<(), Box<dyn std::error::Error>>>,
@@ -258,7 +257,7 @@
     }
 }
 
-/// Serves until SIGTERM or SIGINT. Prints the addresses bound as one line of JSON.
+/// Serves until SIGTERM or SIGINT. Prints the bound addresses as one line of JSON.
 async fn serve_site(settings: Settings) -> Result<(), Box<dyn std::error::Error>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Talks to a daemon's operator interface.
+//! HTTP client of a daemon's operator interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,12 +13,12 @@
 
 use crate::error::Error;
 
-/// How long a daemon may take to answer; longer than it waits for the log and its peers.
+/// Timeout of a request; longer than a daemon waits for the log and its peers.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
-/// Largest answer, in bytes.
+/// Largest accepted response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// A daemon and the credential to use there.
+/// Client of one daemon, with the credential that it sends.
 #[derive(Clone)]
 pub struct Client {
     daemon: SocketAddr,
@@ -27,23 +27,23 @@
 }
 
 impl Client {
-    /// A client of the daemon at this address.
+    /// Creates a client of the daemon at this address; `key` is sent as a bearer token.
     pub fn new(daemon: SocketAddr, key: &str) -> Client {
         let dialer = Dialer::new(Duration::from_secs(3));
         Client { daemon, key: key.to_owned(), dialer }
     }
 
-    /// Reads a view.
+    /// Sends a GET request.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         self.exchange(Method::GET, path, Vec::new()).await
     }
 
-    /// Asks for a change.
+    /// Sends a POST request.
     pub async fn post<T: DeserializeOwned>(&self, path: &str, body: Vec<u8>) -> Result<T, Error> {
         self.exchange(Method::POST, path, body).await
     }
 
-    /// Asks for something to be taken back.
+    /// Sends a DELETE request.
     pub async fn delete<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         self.exchange(Method::DELETE, path, Vec::new()).await
     }
@@ -64,14 +64,14 @@
             value: path.to_owned(),
             accepted: "printable characters without spaces",
         })?;
-        let answer =
+        let response =
             self.dialer.exchange(self.daemon, request, MAX_RESPONSE_BYTES, REQUEST_TIMEOUT).await;
         let daemon = self.daemon;
-        let answer = answer.map_err(|source| Error::Unreachable { daemon, source })?;
-        if answer.status().is_success() {
-            return Ok(serde_json::from_slice(answer.body())?);
+        let response = response.map_err(|source| Error::Unreachable { daemon, source })?;
+        if response.status().is_success() {
+            return Ok(serde_json::from_slice(response.body())?);
         }
-        let error: ApiError = serde_json::from_slice(answer.body())?;
+        let error: ApiError = serde_json::from_slice(response.body())?;
         Err(Error::Api { error })
     }
 }
--- a/cli/src/command.rs
+++ b/cli/src/command.rs
@@ -1,4 +1,4 @@
-//! Carries out the commands.
+//! Executes the subcommands.
 
 mod batch;
 
@@ -34,10 +34,10 @@
 use crate::output;
 use crate::trial;
 
-/// Pause between two looks at a plan that is watched.
+/// Time between two polls of a plan that is watched.
 const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Carries out a command.
+/// Executes a command.
 pub fn run(args: Args) -> Result<(), Error> {
     match &args.command {
         Command::Trial(trial) => trial::run(trial, args.json || trial.json),
@@ -79,12 +79,12 @@
 }
 
 fn flag_or_variable(
-    given: &Option<String>,
+    flag_value: &Option<String>,
     what: &'static str,
     flag: &'static str,
     variable: &'static str,
 ) -> Result<String, Error> {
-    let value = given.clone().or_else(|| std::env::var(variable).ok());
+    let value = flag_value.clone().or_else(|| std::env::var(variable).ok());
     value.ok_or(Error::MissingSetting { what, flag, variable })
 }
 
@@ -133,7 +133,7 @@
             show(json, &client.get::<Published>(&path).await?, output::published)
         }
         Command::HashKey(_) | Command::Trial(_) | Command::Bench(_) | Command::Batch(_) => {
-            unreachable!("run carries these out itself")
+            unreachable!("`run` handles these commands")
         }
     }
 }
@@ -203,7 +203,7 @@
     show(json, &plan, output::progress_line)
 }
 
-/// Prints each change of a plan's progress until it is over.
+/// Prints each change of a plan's progress until the plan has ended.
 async fn watch(client: &Client, json: bool, id: &str) -> Result<(), Error> {
     let path = format!("/v1/plans/{id}");
     let mut last = String::new();
--- a/cli/src/command/batch.rs
+++ b/cli/src/command/batch.rs
@@ -1,4 +1,4 @@
-//! Batch work on the users' platform.
+//! Commands about batch jobs on the users' platform.
 
 use serde::Serialize;
 use spokelift_lib::batch::document::Job;
@@ -14,9 +14,9 @@
 use crate::error::Error;
 use crate::output;
 
-/// Carries out a command about batch work.
+/// Executes a `batch` command.
 pub async fn run(args: &Args, action: &BatchAction) -> Result<(), Error> {
-    // Views need no credential.
+    // Read-only endpoints need no credential.
     let viewer = Client::new(daemon(args)?, "");
     let json = args.json;
     match action {
@@ -37,8 +37,8 @@
             show(json, &workers, |workers| output::batch_workers(workers))
         }
         BatchAction::Shares(_) => {
-            let shares: Vec<view::Shard> = viewer.get(&api_path("shares")).await?;
-            show(json, &shares, |shares| output::batch_shares(shares))
+            let shards: Vec<view::Shard> = viewer.get(&api_path("shares")).await?;
+            show(json, &shards, |shards| output::batch_shares(shards))
         }
         BatchAction::Waves(_) => {
             let waves: Vec<view::Wave> = viewer.get(&api_path("waves")).await?;
@@ -60,11 +60,11 @@
     }
 }
 
-fn api_path(rest: &str) -> String {
-    format!("{}{rest}", view::PATH)
+fn api_path(suffix: &str) -> String {
+    format!("{}{suffix}", view::PATH)
 }
 
-/// Submits the job in a file under the id given, or a random one.
+/// Submits the job in a TOML file under the given id, or a random one.
 async fn submit(client: &Client, submit: &BatchSubmit) -> Result<view::Submitted, Error> {
     let read = std::fs::read_to_string(&submit.file);
     let text = read.map_err(|source| Error::File { path: submit.file.clone(), source })?;
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong on the command line: one message, a hint and an exit code each.
+//! Errors of the command line tool: each has a message, a help text and an exit code.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,11 +14,11 @@
 /// Why a command failed.
 #[derive(Debug, Error, Diagnostic)]
 pub enum Error {
-    /// A setting of the tool is missing.
+    /// A required flag or environment variable is missing.
     #[error("{what} is not set")]
     #[diagnostic(help("give --{flag} or set {variable}"))]
     MissingSetting { what: &'static str, flag: &'static str, variable: &'static str },
-    /// A value on the command line cannot be used.
+    /// A value on the command line is invalid.
     #[error("{what} is {value:?}")]
     #[diagnostic(help("accepted: {accepted}"))]
     InvalidValue { what: &'static str, value: String, accepted: &'static str },
@@ -30,7 +30,7 @@
         #[source]
         source: std::io::Error,
     },
-    /// The daemon was not reached, or its answer was cut.
+    /// The daemon was not reached, or its response was incomplete.
     #[error("no answer from the daemon at {daemon}")]
     #[diagnostic(help(
         "another daemon of the site may answer; a change may have taken effect: look before asking again"
@@ -40,11 +40,11 @@
         #[source]
         source: ExchangeError,
     },
-    /// The daemon's answer cannot be read.
+    /// The daemon's response does not decode.
     #[error("the daemon's answer cannot be read")]
     #[diagnostic(help("the daemon may be of another version"))]
     InvalidResponse(#[from] serde_json::Error),
-    /// The configuration file has faults.
+    /// The configuration file is invalid.
     #[error("{} has {} fault(s); nothing was published", path.display(), faults.len())]
     #[diagnostic(help("mend the file and publish it again"))]
     Config {
@@ -52,7 +52,7 @@
         #[related]
         faults: Vec<FileFault>,
     },
-    /// The file with a job does not decode.
+    /// The job file does not decode.
     #[error("{} is no job", path.display())]
     #[diagnostic(help("mend the file and submit it again; nothing was sent"))]
     Job {
@@ -60,24 +60,24 @@
         #[source]
         source: Box<toml::de::Error>,
     },
-    /// The daemon turned the request down.
+    /// The daemon rejected the request.
     #[error("{error}")]
     #[diagnostic(help("{}", hint(error)))]
     Api { error: ApiError },
-    /// The daemon's program is not there.
+    /// The daemon's executable is missing.
     #[error("there is no {}", path.display())]
     #[diagnostic(help("build both programs: cargo build --release"))]
     MissingProgram { path: PathBuf },
-    /// A trial could not be run.
+    /// A trial or a benchmark could not be run.
     #[error("the trial could not be run: {0}")]
     Trial(#[from] std::io::Error),
-    /// A trial ran and something that must always hold did not.
-    #[error("the trial failed: {}", broken.join(", "))]
+    /// A trial ran and violated at least one invariant.
+    #[error("the trial failed: {}", violations.join(", "))]
     #[diagnostic(help("each of these counts must be zero, and each plan must end"))]
-    Violated { broken: Vec<String> },
+    Violated { violations: Vec<String> },
 }
 
-/// A fault with its place in the file.
+/// A fault of the configuration with its location in the file.
 #[derive(Debug, Error, Diagnostic)]
 #[error("{}", fault.kind)]
 pub struct FileFault {
@@ -89,7 +89,7 @@
 }
 
 impl FileFault {
-    /// Shows `fault` in the file it is in.
+    /// Locates `fault` in `text`, the content of the file at `path`.
     pub fn new(path: &std::path::Path, text: &str, fault: Fault) -> FileFault {
         let file = NamedSource::new(path.display().to_string(), text.to_owned());
         let span = fault.span.clone().map(SourceSpan::from);
--- a/cli/src/lib.rs
+++ b/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! What both programs share: reading the command line and showing an error.
+//! Shared by both programs: parsing the command line and printing errors.
 
 use std::process::ExitCode;
 
@@ -7,11 +7,11 @@
 use miette::Diagnostic;
 use miette::GraphicalReportHandler;
 
-/// Exit code for settings or a command line that cannot be used.
+/// Exit code for invalid settings or an invalid command line.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Reads the process's command line as that of `program`; prints help or what is wrong with it, and
-/// gives the exit code to end with.
+/// Parses the process's command line as that of `program`. For `--help` or an invalid command line,
+/// prints the text and returns the exit code to end with.
 pub fn read_args<T: TopLevelCommand>(program: &str) -> Result<T, ExitCode> {
     let words: Vec<String> = std::env::args().skip(1).collect();
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
@@ -27,7 +27,7 @@
     })
 }
 
-/// Prints an error with its hint to standard error.
+/// Prints an error with its help text to standard error.
 pub fn report(error: &dyn Diagnostic) {
     let mut text = String::new();
     match GraphicalReportHandler::new().render_report(&mut text, error) {
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `spokelift`: the operators' tool.
+//! `spokelift`: the operators' command line tool.
 
 #![allow(missing_docs, reason = "a program, not a library")]
 
@@ -33,7 +33,8 @@
     }
 }
 
-/// A trial of an older site runs its daemons in this process, so their log goes to a file.
+/// Sets up logging to standard error at `warn`. A trial that runs its daemons in this process logs
+/// to a file instead.
 fn init_log(args: &Args) -> Result<(), Error> {
     match &args.command {
         Command::Trial(trial) if trial::runs_daemons_here(trial) => Ok(trial::redirect_log()?),
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Tables for people.
+//! Renders replies of the daemon as plain-text tables.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -35,8 +35,8 @@
     value.to_string()
 }
 
-fn word_or_dash(value: bool, word: &str) -> String {
-    if value { word.to_owned() } else { "-".to_owned() }
+fn word_or_dash(is_set: bool, word: &str) -> String {
+    if is_set { word.to_owned() } else { "-".to_owned() }
 }
 
 /// Pools, one a line.
@@ -126,14 +126,14 @@
     table(&["STEP", "BOX", "ACTION", "REASON", "PROGRESS"], steps.iter().enumerate().map(row))
 }
 
-/// One line on how far a plan is.
+/// One line with the progress of a plan.
 pub fn progress_line(plan: &PlanView) -> String {
-    let begun = plan.steps.iter().filter(|step| step.progress.is_under_way()).count();
+    let under_way = plan.steps.iter().filter(|step| step.progress.is_under_way()).count();
     let failed = plan.steps.iter().filter(|step| is_failed(step)).count();
     let steps = plan.steps.len();
     let phase = phase(plan.phase);
     format!(
-        "plan {}: {phase}, {}/{steps} ended, {begun} under way, {failed} not done",
+        "plan {}: {phase}, {}/{steps} ended, {under_way} under way, {failed} not done",
         plan.id, plan.finished
     )
 }
@@ -142,7 +142,7 @@
     matches!(step.progress, Progress::Over { outcome } if outcome != Outcome::Done)
 }
 
-/// An intent in a few words.
+/// A short description of an intent.
 pub fn intent(intent: &Intent) -> String {
     match intent {
         Intent::Resize { pool, boxes } => format!("{pool} to {boxes} boxes"),
@@ -198,7 +198,7 @@
     }
 }
 
-/// What became of a change.
+/// The outcome of a published change.
 pub fn published(published: &Published) -> String {
     let daemons: Vec<String> = published.in_force.iter().map(cell).collect();
     let daemons = daemons.join(", ");
@@ -211,7 +211,7 @@
     }
 }
 
-/// A daemon's own state.
+/// The state of one daemon.
 pub fn status(status: &StatusView) -> String {
     let peers = status.peers.iter().map(|(id, next)| format!("{id} (at {next})"));
     let peers: Vec<String> = peers.collect();
@@ -235,12 +235,12 @@
 /// Names and values, one pair a line.
 pub fn pairs<'a>(rows: impl IntoIterator<Item = (&'a str, String)>) -> String {
     let rows: Vec<(&str, String)> = rows.into_iter().collect();
-    let wide = rows.iter().map(|(name, _)| name.len()).max().unwrap_or(0);
-    let line = |(name, value): &(&str, String)| format!("{name:wide$}  {value}");
+    let width = rows.iter().map(|(name, _)| name.len()).max().unwrap_or(0);
+    let line = |(name, value): &(&str, String)| format!("{name:width$}  {value}");
     rows.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// Services of batch work, one a line; figures in cores.
+/// Services that run batch jobs, one a line; figures in cores.
 pub fn batch_services(services: &[view::Service]) -> String {
     let row = |service: &view::Service| {
         let figures = [service.has, service.used, service.waiting, service.wanted];
@@ -252,29 +252,30 @@
     table(&head, services.iter().map(row))
 }
 
-/// Accounts of batch work, one a line, and the version that their bounds are of; processor in cores.
-pub fn batch_accounts(shown: &view::account::Accounts) -> String {
+/// Accounts of batch jobs, one a line, under the version of the configuration that sets their
+/// quotas; processor time in cores.
+pub fn batch_accounts(listing: &view::account::Accounts) -> String {
     let row = |account: &view::account::Account| {
-        let most = |bound: f64| if bound == 0.0 { "-".to_owned() } else { format!("{bound:.0}") };
+        let quota = |quota: f64| if quota == 0.0 { "-".to_owned() } else { format!("{quota:.0}") };
         vec![
             cell(&account.name),
             cell(account.weight),
             cell(account.keys),
             format!("{:.1}", account.cores),
-            most(account.most_cores),
+            quota(account.most_cores),
             cell(account.memory_mb),
-            most(account.most_memory_mb as f64),
+            quota(account.most_memory_mb as f64),
             cell(account.waiting),
             cell(account.held),
         ]
     };
     let head =
         ["ACCOUNT", "WEIGHT", "KEYS", "CORES", "MOST", "MEMORY MB", "MOST", "WAITING", "HELD"];
-    let rows = table(&head, shown.accounts.iter().map(row));
-    format!("configuration {}\n{rows}", shown.version)
+    let rows = table(&head, listing.accounts.iter().map(row));
+    format!("configuration {}\n{rows}", listing.version)
 }
 
-/// Queues of batch work, one a line.
+/// Queues of batch jobs, one a line.
 pub fn batch_queues(queues: &[view::Queue]) -> String {
     let row = |queue: &view::Queue| {
         vec![cell(&queue.name), cell(queue.pending), cell(queue.running), cell(queue.ended)]
@@ -285,7 +286,7 @@
 /// Workers, one a line.
 pub fn batch_workers(workers: &[view::Worker]) -> String {
     let row = |worker: &view::Worker| {
-        let closed = worker.closed.clone().unwrap_or_else(|| "-".to_owned());
+        let unschedulable = worker.closed.clone().unwrap_or_else(|| "-".to_owned());
         let free = format!("{:.1}", worker.free);
         vec![
             cell(&worker.id),
@@ -293,22 +294,22 @@
             cell(&worker.service),
             cell(worker.runs),
             free,
-            closed,
+            unschedulable,
         ]
     };
     table(&["WORKER", "BOX", "SERVICE", "RUNS", "FREE", "CLOSED"], workers.iter().map(row))
 }
 
-/// Which node looks after how many workers, one a line.
-pub fn batch_shares(shares: &[view::Shard]) -> String {
-    let row = |share: &view::Shard| {
-        let carrier = share.dispatcher.map_or("the scheduler's own".to_owned(), cell);
-        vec![cell(share.number), carrier, cell(share.workers)]
+/// Shards with the node that dispatches to each and its number of workers, one a line.
+pub fn batch_shares(shards: &[view::Shard]) -> String {
+    let row = |shard: &view::Shard| {
+        let node = shard.dispatcher.map_or("the scheduler's own".to_owned(), cell);
+        vec![cell(shard.number), node, cell(shard.workers)]
     };
-    table(&["SHARE", "NODE", "WORKERS"], shares.iter().map(row))
+    table(&["SHARE", "NODE", "WORKERS"], shards.iter().map(row))
 }
 
-/// Waves of upkeep, one a line.
+/// Maintenance waves, one a line.
 pub fn batch_waves(waves: &[view::Wave]) -> String {
     let row = |wave: &view::Wave| {
         let state = if wave.over { "over" } else { "running" };
@@ -321,7 +322,8 @@
     table(&["WAVE", "BOXES", "BEGUN", "AT ONCE", "STATE"], waves.iter().map(row))
 }
 
-/// What became of a wish to cancel a job.
+/// The outcome of a request to cancel a job. Without a state, the request is stored and the outcome
+/// is not yet known.
 pub fn batch_cancelled(cancelled: &view::Cancelled) -> String {
     match cancelled.state {
         Some(state) => format!("{state:?}").to_lowercase(),
@@ -329,7 +331,7 @@
     }
 }
 
-/// A job: where its tasks run and what holds those that wait.
+/// One job: where its tasks run, why the others wait, and which tasks crashed their workers.
 pub fn batch_job(job: &view::Job) -> String {
     let state = format!("{:?}", job.state).to_lowercase();
     let owner = job.account.as_ref().map(|account| format!(", account {account}"));
@@ -352,8 +354,8 @@
     }
     for task in &job.crashed {
         let (time, step, index) = task.place;
-        let given_up = if task.given_up { ", given up for it" } else { "" };
-        lines.push(format!("task {index} of step {step}, time {time}: workers crashed{given_up}"));
+        let abandoned = if task.given_up { ", given up for it" } else { "" };
+        lines.push(format!("task {index} of step {step}, time {time}: workers crashed{abandoned}"));
         for crash in &task.crashes {
             lines.push(format!("  {} ({})", crash.worker, crash.evidence));
         }
--- a/cli/src/trial.rs
+++ b/cli/src/trial.rs
@@ -1,7 +1,7 @@
-//! The main job in one command: a small site on stand-ins, under load and failures. The users'
-//! platform unless another site is named.
+//! The `trial` command: runs a small simulated site under load and failures. The site is the users'
+//! platform unless another one is named.
 //!
-//! The counts come from what the stand-in workers and callers saw, not from the product.
+//! The counts come from the simulated workers and callers, not from the product.
 
 mod batch;
 mod load;
@@ -29,22 +29,22 @@
 use crate::trial::report::Report;
 use crate::trial::testbed::Testbed;
 
-/// Name of the site on the users' platform.
+/// Name of the site that stands for the users' platform.
 const PLATFORM: &str = "platform";
-/// How long one wait of the trial may take.
+/// Timeout of a wait for plans to end.
 const PLANS_TIMEOUT: Duration = Duration::from_secs(40);
-/// Pause between two looks.
+/// Time between two polls of a plan.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Load before the plans are stated.
+/// Time under load before the intents are submitted.
 const WARM_UP: Duration = Duration::from_secs(2);
-/// Time until a killed daemon is replaced.
+/// Time between the kill of a daemon and its replacement.
 const REPLACEMENT_DELAY: Duration = Duration::from_secs(2);
-/// Requests a second that may be asked for.
+/// Accepted values of `--load`, in requests a second.
 const LOAD_RANGE: std::ops::RangeInclusive<u32> = 1..=2000;
-/// Share of the first plan's steps that have ended when failures begin.
+/// Fraction of the first plan's steps that have ended when failures are injected.
 const FAILURES_AT_FRACTION: f64 = 0.25;
 
-/// Runs a trial, prints its report, and fails if something that must always hold did not.
+/// Runs a trial and prints its report; fails if an invariant was violated.
 pub fn run(args: &Trial, json: bool) -> Result<(), Error> {
     if !batch::FAULT_SECONDS.contains(&args.seconds) {
         return Err(Error::InvalidValue {
@@ -75,56 +75,56 @@
     if json {
         println!("{}", serde_json::to_string(&report)?);
     }
-    let broken = report.violations();
-    log_file::keep_or_remove(!broken.is_empty());
-    match broken {
-        broken if broken.is_empty() => Ok(()),
-        broken => Err(Error::Violated { broken }),
+    let violations = report.violations();
+    log_file::keep_or_remove(!violations.is_empty());
+    match violations {
+        violations if violations.is_empty() => Ok(()),
+        violations => Err(Error::Violated { violations }),
     }
 }
 
-/// Whether a trial runs its daemons inside this process.
+/// Whether a trial runs its daemons in this process.
 pub fn runs_daemons_here(args: &Trial) -> bool {
     Site::named(&args.site).is_some()
 }
 
 async fn run_site(site: Site, load: u32) -> Result<Report, Error> {
     println!("site {}: 6 daemons, {} workers, {} halls", site.name, site.size(), site.halls.len());
-    let mut stage = Testbed::start(site).await?;
-    let operator = stage.site_client(0);
-    stage.wait_until("every daemon serves", |stage| stage.balancer.are_all_healthy()).await;
-    let published = publish(&operator, &stage.site.config()).await?;
+    let mut testbed = Testbed::start(site).await?;
+    let operator = testbed.site_client(0);
+    testbed.wait_until("every daemon serves", |testbed| testbed.balancer.are_all_healthy()).await;
+    let published = publish(&operator, &testbed.site.config()).await?;
     println!("configuration: {}", output::published(&published));
-    place_jobs(&stage, &operator).await?;
-    let load = Load::start(&stage, load);
+    place_jobs(&testbed, &operator).await?;
+    let load = Load::start(&testbed, load);
     sleep(WARM_UP).await;
-    let config_everywhere = measure_config_propagation(&stage, &operator).await?;
-    println!("a new key was in force on every daemon after {} ms", config_everywhere.as_millis());
+    let propagation = measure_config_propagation(&testbed, &operator).await?;
+    println!("a new key was in force on every daemon after {} ms", propagation.as_millis());
 
-    let wave = propose(&operator, maintain_all(&stage)).await?;
+    let wave = propose(&operator, maintain_all(&testbed)).await?;
     println!("\n{}", truncate_lines(&output::plan(&wave)));
     confirm(&operator, &wave).await?;
-    let moving = propose(&operator, move_two_boxes(&stage)).await?;
+    let moving = propose(&operator, move_two_boxes(&testbed)).await?;
     println!("\n{}", output::plan(&moving));
     confirm(&operator, &moving).await?;
     let confirmed = Instant::now();
 
     let plans = [wave.id, moving.id];
-    inject_failures(&mut stage, &plans).await?;
-    let over = watch_plans(&stage, &plans).await?;
+    inject_failures(&mut testbed, &plans).await?;
+    let are_done = watch_plans(&testbed, &plans).await?;
     let rollout = confirmed.elapsed();
-    stage.stop_daemon(1).await;
+    testbed.stop_daemon(1).await;
     load.stop().await;
-    let counts = stage.ledger.counts();
-    for harm in stage.ledger.describe_violations(stage.started_at) {
-        println!("{harm}");
+    let counts = testbed.ledger.counts();
+    for violation in testbed.ledger.describe_violations(testbed.started_at) {
+        println!("{violation}");
     }
-    for breach in stage.ledger.describe_breaches(stage.started_at) {
+    for breach in testbed.ledger.describe_breaches(testbed.started_at) {
         println!("budget breach {breach}");
     }
-    let statuses = stage.totals().await;
-    stage.stop_all().await;
-    Ok(Report::new(counts, rollout, config_everywhere, over, statuses))
+    let totals = testbed.totals().await;
+    testbed.stop_all().await;
+    Ok(Report::new(counts, rollout, propagation, are_done, totals))
 }
 
 async fn publish(operator: &Client, text: &str) -> Result<Published, Error> {
@@ -140,9 +140,9 @@
 }
 
 /// Places every service on every box of its pool.
-async fn place_jobs(stage: &Testbed, operator: &Client) -> Result<(), Error> {
+async fn place_jobs(testbed: &Testbed, operator: &Client) -> Result<(), Error> {
     let mut plans = Vec::new();
-    for pool in stage.site.pools {
+    for pool in testbed.site.pools {
         for (service, _) in pool.services {
             let intent = Intent::Place {
                 account: pool.account.into(),
@@ -154,83 +154,88 @@
             plans.push(plan.id);
         }
     }
-    watch_plans(stage, &plans).await?;
+    watch_plans(testbed, &plans).await?;
     println!("placed {} services", plans.len());
     Ok(())
 }
 
-fn maintain_all(stage: &Testbed) -> Intent {
-    let pools = stage.site.pools.iter().map(|pool| pool.name.into());
+fn maintain_all(testbed: &Testbed) -> Intent {
+    let pools = testbed.site.pools.iter().map(|pool| pool.name.into());
     Intent::Maintain { pools: pools.collect() }
 }
 
-fn move_two_boxes(stage: &Testbed) -> Intent {
-    let [from, to, ..] = stage.site.pools else {
+fn move_two_boxes(testbed: &Testbed) -> Intent {
+    let [from, to, ..] = testbed.site.pools else {
         unreachable!("every site has three pools");
     };
     Intent::Move { from: from.name.into(), to: to.name.into(), boxes: 2 }
 }
 
-/// How long it takes until a key that is new in the configuration lets callers in everywhere.
-async fn measure_config_propagation(stage: &Testbed, operator: &Client) -> Result<Duration, Error> {
-    let text = stage.config_with_new_key();
-    let begun = Instant::now();
+/// Publishes a new caller key and returns the time until every daemon accepts it.
+async fn measure_config_propagation(
+    testbed: &Testbed,
+    operator: &Client,
+) -> Result<Duration, Error> {
+    let text = testbed.config_with_new_key();
+    let started_at = Instant::now();
     let publishing = publish(operator, &text);
-    let seen = stage.wait_for_new_key();
-    let (published, ()) = tokio::join!(publishing, seen);
+    let accepted = testbed.wait_for_new_key();
+    let (published, ()) = tokio::join!(publishing, accepted);
     published?;
-    Ok(begun.elapsed())
+    Ok(started_at.elapsed())
 }
 
-/// Kills the daemon that drives the first plan and a worker that it has not yet come to.
-async fn inject_failures(stage: &mut Testbed, plans: &[String; 2]) -> Result<(), Error> {
+/// Kills a worker and the daemon that drives the first plan, once a part of its steps has ended.
+/// Replaces the daemon.
+async fn inject_failures(testbed: &mut Testbed, plans: &[String; 2]) -> Result<(), Error> {
     let wave = &plans[0];
-    let operator = stage.any_client();
-    let holder = loop {
+    let operator = testbed.any_client();
+    let driver = loop {
         let plan: PlanView = operator.get(&format!("/v1/plans/{wave}")).await?;
-        let ended = plan.finished as f64 / plan.steps.len() as f64;
-        if ended >= FAILURES_AT_FRACTION {
+        let fraction = plan.finished as f64 / plan.steps.len() as f64;
+        if fraction >= FAILURES_AT_FRACTION {
             break plan.holder;
         }
         sleep(POLL_INTERVAL).await;
     };
-    let victim = stage.kill_worker();
+    let victim = testbed.kill_worker();
     println!("killed worker {victim} in mid-wave");
-    let daemon = usize::from(holder.unwrap_or(0));
-    stage.kill_daemon(daemon);
+    let daemon = usize::from(driver.unwrap_or(0));
+    testbed.kill_daemon(daemon);
     println!("killed daemon {daemon}, which drove the wave");
     sleep(REPLACEMENT_DELAY).await;
-    stage.replace_daemon(daemon)?;
+    testbed.replace_daemon(daemon)?;
     println!("replaced daemon {daemon} by an empty one");
     Ok(())
 }
 
-/// Shows the plans' progress until all are over. Returns whether every one is done.
-async fn watch_plans(stage: &Testbed, plans: &[String]) -> Result<bool, Error> {
-    let begun = Instant::now();
-    let mut shown = Instant::now();
+/// Prints the plans' progress until all have ended or the timeout has passed. Returns whether every
+/// plan succeeded.
+async fn watch_plans(testbed: &Testbed, plans: &[String]) -> Result<bool, Error> {
+    let started_at = Instant::now();
+    let mut printed_at = Instant::now();
     loop {
         let mut phases = Vec::new();
         for id in plans {
-            // The daemon asked may just have been killed; another one knows as much.
+            // The daemon may just have been killed; the next poll picks a running one.
             let path = format!("/v1/plans/{id}");
-            if let Ok(plan) = stage.any_client().get::<PlanView>(&path).await {
-                if shown.elapsed() > Duration::from_secs(2) && !plan.phase.is_over() {
+            if let Ok(plan) = testbed.any_client().get::<PlanView>(&path).await {
+                if printed_at.elapsed() > Duration::from_secs(2) && !plan.phase.is_over() {
                     println!("{}", output::progress_line(&plan));
-                    shown = Instant::now();
+                    printed_at = Instant::now();
                 }
                 phases.push(plan.phase);
             }
         }
-        let over = phases.len() == plans.len() && phases.iter().all(|phase| phase.is_over());
-        if over || begun.elapsed() > PLANS_TIMEOUT {
-            return Ok(over && phases.iter().all(|phase| *phase == Phase::Done));
+        let are_over = phases.len() == plans.len() && phases.iter().all(|phase| phase.is_over());
+        if are_over || started_at.elapsed() > PLANS_TIMEOUT {
+            return Ok(are_over && phases.iter().all(|phase| *phase == Phase::Done));
         }
         sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The first lines of a long table.
+/// Shortens a long table to its first lines.
 fn truncate_lines(text: &str) -> String {
     const LINES: usize = 16;
     let lines: Vec<&str> = text.lines().collect();
--- a/cli/src/trial/batch.rs
+++ b/cli/src/trial/batch.rs
@@ -1,4 +1,4 @@
-//! The main job on the stand-in of the users' platform: real daemons serve jobs under random faults.
+//! Trial on the simulated users' platform: real daemon processes run jobs under random faults.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 use crate::args::Trial;
 use crate::error::Error;
 
-/// Name of the daemon's program, which is built into the same directory as this one.
+/// Name of the daemon's executable, which is in the same directory as this one.
 const DAEMON_PROGRAM: &str = "spokeliftd";
-/// How long faults may go on, in seconds.
+/// Accepted durations of the fault phase, in seconds.
 pub const FAULT_SECONDS: std::ops::RangeInclusive<u64> = 2..=600;
 
-/// Plays the faults of a seed and prints what came of it.
+/// Runs the faults of a seed and prints the results.
 pub async fn run(args: &Trial, json: bool) -> Result<(), Error> {
     let program = daemon_path()?;
-    let first = if args.accounts { ACCOUNTS_FROM_SEED } else { 0 };
-    let seed = args.seed.saturating_add(first);
+    let first_seed = if args.accounts { ACCOUNTS_FROM_SEED } else { 0 };
+    let seed = args.seed.saturating_add(first_seed);
     let seconds = args.seconds;
     println!("seed {seed}: {NODES} daemons, {MACHINES} boxes, faults for {seconds} s");
     let program = program.to_string_lossy();
@@ -31,12 +31,12 @@
         println!("{}", serde_json::to_string(&report)?);
     }
     match report.broken {
-        broken if broken.is_empty() => Ok(()),
-        broken => Err(Error::Violated { broken }),
+        violations if violations.is_empty() => Ok(()),
+        violations => Err(Error::Violated { violations }),
     }
 }
 
-/// The daemon's program.
+/// Path of the daemon's executable; an error if the file is missing.
 pub fn daemon_path() -> Result<PathBuf, Error> {
     let path = std::env::current_exe()?.with_file_name(DAEMON_PROGRAM);
     match path.exists() {
--- a/cli/src/trial/load.rs
+++ b/cli/src/trial/load.rs
@@ -1,4 +1,4 @@
-//! A steady load on all entry boxes through the balancer.
+//! Constant load on all entry boxes through the balancer.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -24,76 +24,78 @@
 
 use crate::trial::testbed::Testbed;
 
-/// Every so many requests runs long enough to be cut off by a stop that does not wait.
+/// One of so many requests runs so long that a stop without draining would cut it off.
 const LONG_REQUEST_EVERY: u64 = 25;
-/// How long such a request runs, in milliseconds.
+/// Run time of such a request, in milliseconds.
 const LONG_RUN_MS: u64 = 1500;
-/// How long the others run, in milliseconds.
+/// Run time of the other requests, in milliseconds.
 const SHORT_RUN_MS: std::ops::Range<u64> = 5..40;
-/// Largest body, in bytes.
+/// Limit of the size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 4096;
 
-/// A load that is under way.
+/// Handle of a running load generator.
 pub struct Load {
     stop: Arc<AtomicBool>,
     task: JoinHandle<()>,
 }
 
 impl Load {
-    /// Starts `per_second` requests a second; each is sent at its time, however late the others.
-    pub fn start(stage: &Testbed, per_second: u32) -> Load {
+    /// Starts sending `per_second` requests a second (open loop: late responses delay no later
+    /// request).
+    pub fn start(testbed: &Testbed, per_second: u32) -> Load {
         let stop = Arc::new(AtomicBool::new(false));
-        let site = stage.site.clone();
-        let ledger = stage.ledger.clone();
-        let balancer = stage.balancer.clone();
-        let killed = stage.kills.clone();
-        let stopped = stop.clone();
-        let begun = stage.started_at;
+        let site = testbed.site.clone();
+        let ledger = testbed.ledger.clone();
+        let balancer = testbed.balancer.clone();
+        let kills = testbed.kills.clone();
+        let is_stopped = stop.clone();
+        let started_at = testbed.started_at;
         let task = tokio::spawn(async move {
             let dialer = Dialer::new(Duration::from_millis(500));
             let mut ticks = interval(Duration::from_secs(1) / per_second);
             ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
             let mut calls = JoinSet::new();
             let mut token = 0;
-            while !stopped.load(Ordering::SeqCst) {
+            while !is_stopped.load(Ordering::SeqCst) {
                 ticks.tick().await;
                 while calls.try_join_next().is_some() {}
                 token += 1;
                 let call = next_call(&site, token);
                 let (ledger, balancer) = (ledger.clone(), balancer.clone());
-                let sent = send_call(begun, ledger, balancer, killed.clone(), dialer.clone(), call);
-                calls.spawn(sent);
+                let call =
+                    send_call(started_at, ledger, balancer, kills.clone(), dialer.clone(), call);
+                calls.spawn(call);
             }
             while calls.join_next().await.is_some() {}
         });
         Load { stop, task }
     }
 
-    /// Sends no more and waits for the answers.
+    /// Stops sending and waits for outstanding responses.
     pub async fn stop(self) {
         self.stop.store(true, Ordering::SeqCst);
         let _ = self.task.await;
     }
 }
 
-/// Each third request is not repeatable.
+/// Creates a random call; every third one is not repeatable.
 fn next_call(site: &Site, token: u64) -> Call {
     let mut random = rand::rng();
     let pool = &site.pools[random.random_range(0..site.pools.len())];
     let (service, _) = pool.services[random.random_range(0..pool.services.len())];
-    let long = token.is_multiple_of(LONG_REQUEST_EVERY);
+    let is_long = token.is_multiple_of(LONG_REQUEST_EVERY);
     Call {
         token,
         credential: format!("{}:{}", pool.account, caller_secret(pool.account)),
         service: service.to_owned(),
         repeatable: !token.is_multiple_of(3),
-        run_ms: if long { LONG_RUN_MS } else { random.random_range(SHORT_RUN_MS) },
+        run_ms: if is_long { LONG_RUN_MS } else { random.random_range(SHORT_RUN_MS) },
         body: Bytes::from(vec![b'x'; random.random_range(0..MAX_BODY_BYTES)]),
     }
 }
 
 async fn send_call(
-    begun: Instant,
+    started_at: Instant,
     ledger: Ledger,
     balancer: Arc<Balancer>,
     kills: Arc<Kills>,
@@ -105,27 +107,27 @@
         ledger.record_outcome(call.token, Outcome::NotRun);
         return;
     };
-    let before = kills.mark(entry);
+    let mark = kills.mark(entry);
     let sent_at = Instant::now();
-    let (told, seen) = caller::call(&dialer, balancer.addr(entry), &call).await;
-    // A connection that broke is the doing of a kill only if there was one meanwhile.
-    let told = if told == Outcome::Nothing && kills.was_killed_since(entry, before) {
+    let (outcome, note) = caller::call(&dialer, balancer.addr(entry), &call).await;
+    // A broken connection is put down to a kill only if that daemon was killed during the call.
+    let outcome = if outcome == Outcome::Nothing && kills.was_killed_since(entry, mark) {
         Outcome::Killed
     } else {
-        told
+        outcome
     };
-    if told != Outcome::Answered {
+    if outcome != Outcome::Answered {
         let account = call.credential.split(':').next().unwrap_or_default();
         let took = sent_at.elapsed().as_millis();
-        let sent = sent_at.saturating_duration_since(begun).as_millis();
+        let sent = sent_at.saturating_duration_since(started_at).as_millis();
         let service = &call.service;
         ledger.add_note(
             call.token,
             format!("{account}/{service} at entry box {entry}, sent at {sent} ms, took {took} ms"),
         );
     }
-    if let Some(seen) = seen {
-        ledger.add_note(call.token, seen);
+    if let Some(note) = note {
+        ledger.add_note(call.token, note);
     }
-    ledger.record_outcome(call.token, told);
+    ledger.record_outcome(call.token, outcome);
 }
--- a/cli/src/trial/log_file.rs
+++ b/cli/src/trial/log_file.rs
@@ -1,15 +1,15 @@
-//! Where the daemons of a trial write their log: they run inside the trial's own process.
+//! Log file of a trial whose daemons run in the process of the trial.
 
 use std::fs::File;
 use std::io;
 use std::path::PathBuf;
 
-/// The file with the log of this process's trial.
+/// Path of the log file of this process's trial.
 fn path() -> PathBuf {
     std::env::temp_dir().join(format!("spokelift-trial-{}.log", std::process::id()))
 }
 
-/// Sends the log of this process to a file, at `info` unless `RUST_LOG` says otherwise.
+/// Redirects the log of this process to the file, at `info` unless `RUST_LOG` is set.
 pub fn redirect_log() -> io::Result<()> {
     let file = File::create(path())?;
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
@@ -18,12 +18,12 @@
     Ok(())
 }
 
-/// Keeps the log of a trial that failed and says where it is; removes it otherwise.
-pub fn keep_or_remove(failed: bool) {
+/// Prints the path of the log after a failed trial; removes the file otherwise.
+pub fn keep_or_remove(has_failed: bool) {
     let path = path();
-    if failed {
+    if has_failed {
         println!("what the daemons wrote is kept in {}", path.display());
     } else if let Err(error) = std::fs::remove_file(&path) {
-        log::warn!("{} is not removed: {error}", path.display());
+        log::warn!("cannot remove {}: {error}", path.display());
     }
 }
--- a/cli/src/trial/report.rs
+++ b/cli/src/trial/report.rs
@@ -1,4 +1,4 @@
-//! The end of a trial: a table, and one line of JSON.
+//! Report of a trial: a table and one line of JSON.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use crate::output::pairs;
 
-/// What a trial found.
+/// Results of a trial.
 #[derive(Debug, Serialize)]
 pub struct Report {
     #[serde(flatten)]
@@ -16,7 +16,7 @@
     rollout_seconds: f64,
     config_everywhere_ms: u64,
     plans_done: bool,
-    /// What the daemons counted themselves; for people, not for the verdict.
+    /// Counters of the daemons; shown in the table, ignored by [`Report::violations`].
     #[serde(skip)]
     totals: Totals,
 }
@@ -25,30 +25,30 @@
     pub fn new(
         counts: Counts,
         rollout: Duration,
-        config_everywhere: Duration,
+        propagation: Duration,
         plans_done: bool,
         totals: Totals,
     ) -> Report {
         Report {
             counts,
             rollout_seconds: rollout.as_secs_f64(),
-            config_everywhere_ms: config_everywhere.as_millis() as u64,
+            config_everywhere_ms: propagation.as_millis() as u64,
             plans_done,
             totals,
         }
     }
 
-    /// Names of what must hold and did not.
+    /// Names of the violated invariants.
     pub fn violations(&self) -> Vec<String> {
-        let mut broken: Vec<String> =
+        let mut violations: Vec<String> =
             self.counts.violations().into_iter().map(str::to_owned).collect();
         if !self.plans_done {
-            broken.push("a plan did not end".to_owned());
+            violations.push("a plan did not end".to_owned());
         }
         if self.counts.answered == 0 {
-            broken.push("nothing was answered".to_owned());
+            violations.push("nothing was answered".to_owned());
         }
-        broken
+        violations
     }
 
     pub fn table(&self) -> String {
@@ -72,9 +72,12 @@
             ("boxes moved", counts.moves.to_string()),
             ("config everywhere, ms", self.config_everywhere_ms.to_string()),
         ];
-        let own = self.totals.iter().filter(|(name, _)| is_shown(name));
-        let own = pairs(own.map(|(name, total)| (name.as_str(), total.to_string())));
-        format!("seen by workers and callers\n{}\n\ncounted by the daemons\n{own}", pairs(rows))
+        let counters = self.totals.iter().filter(|(name, _)| is_shown(name));
+        let counters = pairs(counters.map(|(name, total)| (name.as_str(), total.to_string())));
+        format!(
+            "seen by workers and callers\n{}\n\ncounted by the daemons\n{counters}",
+            pairs(rows)
+        )
     }
 }
 
--- a/cli/src/trial/testbed.rs
+++ b/cli/src/trial/testbed.rs
@@ -1,4 +1,4 @@
-//! The stage of a trial: stand-ins for the platform, and six daemons.
+//! Testbed of a trial: six daemons and simulated services of the platform.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -33,22 +33,22 @@
 
 use crate::client::Client;
 
-/// Daemons of a site.
+/// Number of daemons of a site.
 pub const DAEMONS: u16 = 6;
-/// Time a worker's reboot takes.
+/// Duration of a worker's reboot.
 const REBOOT_TIME: Duration = Duration::from_millis(600);
 /// Time between the balancer's health checks.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// The site operator's secret.
 const SITE_SECRET: &str = "trial-site-secret";
-/// A key that is published in mid-trial.
+/// Caller key that is published during the trial.
 const NEW_KEY: &str = "a-new-caller-secret";
-/// Longest wait for the stage to be ready.
+/// Timeout of a wait for the testbed.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
-/// Pause between two looks.
+/// Time between two polls of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The stand-ins and the daemons.
+/// The running daemons and simulated services.
 pub struct Testbed {
     pub site: Site,
     pub ledger: Ledger,
@@ -57,16 +57,16 @@
     boxes: Boxes,
     workers: Vec<Worker>,
     settings: Vec<Settings>,
-    entries: Vec<Option<Daemon>>,
-    /// When daemons were killed.
+    daemons: Vec<Option<Daemon>>,
+    /// Kills of daemons; tells which requests they may have cut off.
     pub kills: Arc<Kills>,
-    /// When the trial began; times in its account of harm count from here.
+    /// Start of the trial; times in its reports are relative to it.
     pub started_at: Instant,
     health_checks: AbortHandle,
 }
 
 impl Testbed {
-    /// Starts everything.
+    /// Starts the simulated services and the daemons.
     pub async fn start(site: Site) -> std::io::Result<Testbed> {
         let ledger = Ledger::new(site.ledger_pools());
         let log = Log::start().await?;
@@ -77,17 +77,17 @@
         let listed = workers.iter().map(|worker| worker.listed.clone());
         let boxes = Boxes::start(listed.collect()).await?;
         let settings = settings(&site, log.addr, boxes.addr)?;
-        let mut entries = Vec::new();
+        let mut daemons = Vec::new();
         for settings in &settings {
-            entries.push(Some(start_entry(settings)?));
+            daemons.push(Some(start_daemon(settings)?));
         }
         let addrs = settings.iter().map(|settings| settings.call_addr);
         let balancer = Arc::new(Balancer::new(addrs.collect()));
-        let checked = balancer.clone();
-        let checks =
-            tokio::spawn(async move { checked.keep_checking(HEALTH_CHECK_INTERVAL).await });
-        let checks = checks.abort_handle();
-        let killed = Arc::new(Kills::new(DAEMONS.into()));
+        let checker = balancer.clone();
+        let health_checks =
+            tokio::spawn(async move { checker.keep_checking(HEALTH_CHECK_INTERVAL).await });
+        let health_checks = health_checks.abort_handle();
+        let kills = Arc::new(Kills::new(DAEMONS.into()));
         Ok(Testbed {
             site,
             ledger,
@@ -96,18 +96,19 @@
             boxes,
             workers,
             settings,
-            entries,
-            kills: killed,
+            daemons,
+            kills,
             started_at: Instant::now(),
-            health_checks: checks,
+            health_checks,
         })
     }
 
-    /// Waits until something holds; gives up after a while, and what follows will tell.
-    pub async fn wait_until(&self, what: &str, holds: impl Fn(&Testbed) -> bool) {
-        let begun = Instant::now();
-        while !holds(self) {
-            if begun.elapsed() > READY_TIMEOUT {
+    /// Waits until a condition holds. After the timeout it prints a message and returns; the trial
+    /// goes on and its report shows the consequences.
+    pub async fn wait_until(&self, what: &str, condition: impl Fn(&Testbed) -> bool) {
+        let started_at = Instant::now();
+        while !condition(self) {
+            if started_at.elapsed() > READY_TIMEOUT {
                 println!("gave up waiting until {what}");
                 return;
             }
@@ -115,18 +116,18 @@
         }
     }
 
-    /// The site operator's client at one daemon.
+    /// Client of one daemon with the credential of the site operator.
     pub fn site_client(&self, daemon: usize) -> Client {
         Client::new(self.settings[daemon].operate_addr, &format!("site:{SITE_SECRET}"))
     }
 
-    /// The site operator's client at a daemon that runs.
+    /// Client of a running daemon with the credential of the site operator.
     pub fn any_client(&self) -> Client {
-        let running = self.entries.iter().position(Option::is_some);
+        let running = self.daemons.iter().position(Option::is_some);
         self.site_client(running.unwrap_or(0))
     }
 
-    /// The site's configuration with one more caller's key for the first account.
+    /// The site's configuration with a second caller key for the first account.
     pub fn config_with_new_key(&self) -> String {
         let account = self.site.pools[0].account;
         let old = format_hash(&hash_secret(&caller_secret(account)));
@@ -134,11 +135,11 @@
         self.site.config().replacen(&old, &format!("{old}\", \"{new}"), 1)
     }
 
-    /// Waits until the new key is good at every entry box, as its callers see it.
+    /// Waits until calls with the new key succeed at every daemon, or the timeout has passed.
     pub async fn wait_for_new_key(&self) {
         let dialer = Dialer::new(Duration::from_secs(1));
         let pool = &self.site.pools[0];
-        let begun = Instant::now();
+        let started_at = Instant::now();
         for settings in &self.settings {
             loop {
                 let call = Call {
@@ -149,9 +150,9 @@
                     run_ms: 1,
                     body: Bytes::new(),
                 };
-                let told =
+                let outcome =
                     caller::call_and_record(&self.ledger, &dialer, settings.call_addr, &call).await;
-                if told == Outcome::Answered || begun.elapsed() > READY_TIMEOUT {
+                if outcome == Outcome::Answered || started_at.elapsed() > READY_TIMEOUT {
                     break;
                 }
                 sleep(POLL_INTERVAL).await;
@@ -159,43 +160,46 @@
         }
     }
 
-    /// Kills a worker of the first pool that serves. Returns its name.
+    /// Kills a serving worker of the first pool. Returns its name.
     pub fn kill_worker(&self) -> String {
-        let first = &self.workers[..self.site.pools[0].boxes];
-        let mut serving = first.iter().filter(|worker| !worker.status().draining);
-        // The last one is the furthest from its turn in most orders.
-        let victim = serving.next_back().unwrap_or(&first[0]);
+        let in_pool = &self.workers[..self.site.pools[0].boxes];
+        let mut serving = in_pool.iter().filter(|worker| !worker.status().draining);
+        // The wave usually maintains the last one latest, so its step has not started yet.
+        let victim = serving.next_back().unwrap_or(&in_pool[0]);
         victim.kill();
         victim.listed.name.to_string()
     }
 
-    /// Kills a daemon.
+    /// Kills a daemon without waiting for its threads to end.
     pub fn kill_daemon(&mut self, daemon: usize) {
-        if let Some(entry) = self.entries[daemon].take() {
+        if let Some(running) = self.daemons[daemon].take() {
             self.kills.record_started(daemon);
-            let begun = self.started_at;
-            println!("kills daemon {daemon} at {} ms", begun.elapsed().as_millis());
-            let killed = entry.kill();
+            let started_at = self.started_at;
+            println!("kills daemon {daemon} at {} ms", started_at.elapsed().as_millis());
+            let killed = running.kill();
             let kills = self.kills.clone();
             std::thread::spawn(move || {
-                let over = killed.join().is_ok();
+                let is_joined = killed.join().is_ok();
                 kills.record_ended(daemon);
-                println!("daemon {daemon} is gone at {} ms ({over})", begun.elapsed().as_millis());
+                println!(
+                    "daemon {daemon} is gone at {} ms ({is_joined})",
+                    started_at.elapsed().as_millis()
+                );
             });
         }
     }
 
-    /// Starts an empty daemon in the place of one that is gone.
+    /// Starts a new daemon without state in place of a killed one.
     pub fn replace_daemon(&mut self, daemon: usize) -> std::io::Result<()> {
-        self.entries[daemon] = Some(start_entry(&self.settings[daemon])?);
+        self.daemons[daemon] = Some(start_daemon(&self.settings[daemon])?);
         Ok(())
     }
 
-    /// Stops a daemon as an operator would, under load.
+    /// Stops a daemon gracefully under load, as an operator would.
     pub async fn stop_daemon(&mut self, daemon: usize) {
-        if let Some(entry) = self.entries[daemon].take() {
+        if let Some(running) = self.daemons[daemon].take() {
             println!("stops daemon {daemon} at {} ms", self.started_at.elapsed().as_millis());
-            entry.stop().await;
+            running.stop().await;
             println!(
                 "stopped daemon {daemon} under load, {} ms",
                 self.started_at.elapsed().as_millis()
@@ -203,11 +207,11 @@
         }
     }
 
-    /// The counters of the daemons that run, added up.
+    /// Sums of the counters of all running daemons.
     pub async fn totals(&self) -> Totals {
         let mut sum = Totals::new();
-        for (daemon, entry) in self.entries.iter().enumerate() {
-            if entry.is_none() {
+        for (daemon, running) in self.daemons.iter().enumerate() {
+            if running.is_none() {
                 continue;
             }
             let totals: Result<Totals, _> = self.site_client(daemon).get("/v1/counters").await;
@@ -218,12 +222,12 @@
         sum
     }
 
-    /// Ends everything.
+    /// Stops all daemons and simulated services.
     pub async fn stop_all(mut self) {
         self.health_checks.abort();
-        for entry in self.entries.iter_mut().filter_map(Option::take) {
+        for daemon in self.daemons.iter_mut().filter_map(Option::take) {
             // Waiting for the thread lets its sockets close before the process ends.
-            let killed = entry.kill();
+            let killed = daemon.kill();
             let _ = tokio::task::spawn_blocking(move || killed.join()).await;
         }
         self.log.stop();
@@ -234,14 +238,14 @@
     }
 }
 
-/// Starts a daemon away from the current runtime.
-fn start_entry(settings: &Settings) -> std::io::Result<Daemon> {
+/// Starts a daemon on a thread of its own, outside the current runtime.
+fn start_daemon(settings: &Settings) -> std::io::Result<Daemon> {
     let settings = settings.clone();
     let started = std::thread::spawn(move || Daemon::start(settings)).join();
     started.unwrap_or_else(|_| Err(std::io::Error::other("the daemon's thread panicked")))
 }
 
-/// Settings of six daemons, each on a loopback address of its own.
+/// Settings of all daemons, each on its own loopback address.
 fn settings(site: &Site, log: SocketAddr, boxes: SocketAddr) -> std::io::Result<Vec<Settings>> {
     let mut addrs: Vec<[SocketAddr; 3]> = Vec::new();
     for id in 0..DAEMONS {
