--- a/cli/src/bench.rs
+++ b/cli/src/bench.rs
@@ -1,4 +1,4 @@
-//! Measurements of the product against its own baselines, in one run.
+//! Benchmarks: each measures the product and its baselines in one run.
 
 mod batch;
 mod generate;
@@ -12,7 +12,7 @@
 use crate::args::BenchKind;
 use crate::error::Error;
 
-/// Runs a measurement and prints its results.
+/// Runs a benchmark and prints its results.
 pub fn run(args: &Bench, json: bool) -> Result<(), Error> {
     match &args.kind {
         BenchKind::Batch(args) => batch::run(args, json || args.json),
--- a/cli/src/bench/batch.rs
+++ b/cli/src/bench/batch.rs
@@ -1,5 +1,5 @@
-//! What batch work costs the scheduler: a cell of workers plays a load that turns from service to service,
-//! in time of its own and without a network, and each part of the work is timed.
+//! Benchmark of the scheduler's processor time for batch jobs. It drives a [`Cell`] with a load whose peak
+//! moves from service to service, in virtual time and without a network, and times each part of the work.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -32,37 +32,37 @@
 use crate::bench::slope::fit_line;
 use crate::error::Error;
 
-/// Workers of the sites that are played.
+/// Numbers of workers of the simulated sites.
 const WORKER_COUNTS: [usize; 3] = [50, 350, 1_100];
-/// Services, among which the workers are divided evenly.
+/// Services; the workers are divided evenly among them.
 const SERVICES: usize = 5;
-/// Time between two looks at what has happened.
+/// Virtual time between two steps of the simulation.
 const TICK: Duration = Duration::from_millis(5);
-/// How long a service's demand is high; the next one's is then.
+/// Time for which the demand of one service is high, before the peak moves to the next.
 const PEAK_DURATION: Duration = Duration::from_secs(5);
-/// Tasks that arrive a second for each worker of the site, in the mean: about half of what they can run.
+/// Mean arrival rate of tasks for each worker: about half of what a worker can run.
 const TASKS_PER_WORKER_PER_S: f64 = 1.3;
-/// Tasks of a job, what each takes, and how long it runs.
+/// Tasks of a job, and the millicores and run time of each.
 const TASKS_PER_JOB: u32 = 8;
 const TASK_CPU: u32 = 4_500;
 const TASK_DURATION: Duration = Duration::from_millis(800);
-/// How long a start and a look take.
+/// Time until a worker's response to a start, and the round-trip time of a poll.
 const RESPONSE_DELAY: Duration = Duration::from_millis(4);
-/// Time between two rounds about boxes, each of which counts the loads three times.
+/// Time between two rounds of box placement, and how often each computes the load of all services.
 const LOADS_INTERVAL: Duration = Duration::from_millis(300);
 const LOADS_PER_INTERVAL: u32 = 3;
 
-/// One size's results.
+/// Results for one number of workers.
 #[derive(Clone, Debug, Serialize)]
 struct Row {
     workers: usize,
     jobs: u64,
     tasks: u64,
     rounds: u64,
-    /// Microseconds for each task, by part.
+    /// Microseconds for each task, by part of the work.
     micros: BTreeMap<&'static str, f64>,
     micros_in_all: f64,
-    /// Workers weighed for each task.
+    /// Workers examined for each task.
     #[serde(rename = "weighed")]
     examined: f64,
 }
@@ -71,11 +71,11 @@
 #[derive(Debug, Serialize)]
 struct Report {
     rows: Vec<Row>,
-    /// Microseconds a task, by workers of the site.
+    /// Microseconds for each task, as a function of the number of workers.
     slope: Slope,
 }
 
-/// Plays the load at each size and prints what it cost.
+/// Simulates the load at each size and prints the measurements.
 pub fn run(args: &BenchBatch, json: bool) -> Result<(), Error> {
     let time = Duration::from_secs(u64::from(args.seconds.clamp(2, 120)));
     let rows: Vec<Row> = WORKER_COUNTS
@@ -108,7 +108,7 @@
     lines.join("\n")
 }
 
-/// Something that a worker tells later.
+/// Message of a worker that is due at a later virtual time.
 enum WorkerEvent {
     Started(TaskName, Run),
     Ended(TaskName, Run),
@@ -121,7 +121,7 @@
     started_at: Instant,
     now: Instant,
     jobs: u64,
-    /// What workers tell, by when.
+    /// Pending messages, by due time and worker.
     events: BTreeMap<(Instant, usize), Vec<WorkerEvent>>,
     running: Vec<Vec<(TaskName, Run)>>,
     last_end: Vec<u64>,
@@ -133,7 +133,7 @@
 impl Simulation {
     fn new(workers: usize, seed: u64) -> Simulation {
         let now = Instant::now();
-        let mut bed = Simulation {
+        let mut simulation = Simulation {
             cell: Cell::new(1),
             rng: StdRng::seed_from_u64(seed),
             workers,
@@ -149,38 +149,38 @@
         };
         for number in 0..workers {
             let addr = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 1);
-            bed.cell.discover(
+            simulation.cell.discover(
                 Peer { incarnation: worker_id(number).into(), addr },
                 worker_entry(number, addr),
                 now,
             );
-            bed.poll(number, Vec::new());
+            simulation.poll(number, Vec::new());
         }
-        bed.time_spent.clear();
-        bed
+        simulation.time_spent.clear();
+        simulation
     }
 
-    /// Times a part of the work.
+    /// Runs `work` and adds its time to that of a part.
     fn timed<T>(&mut self, part: &'static str, work: impl FnOnce(&mut Simulation) -> T) -> T {
-        let begun = Instant::now();
-        let done = work(self);
-        *self.time_spent.entry(part).or_default() += begun.elapsed();
-        done
+        let started_at = Instant::now();
+        let result = work(self);
+        *self.time_spent.entry(part).or_default() += started_at.elapsed();
+        result
     }
 
     fn run(mut self, time: Duration) -> Row {
-        let mut boxes_at = self.now;
+        let mut loads_at = self.now;
         while self.now - self.started_at < time {
             self.now += TICK;
             self.admit_jobs();
             self.deliver_events();
             self.place_tasks();
             self.flush();
-            if self.now >= boxes_at {
-                boxes_at = self.now + LOADS_INTERVAL;
-                self.timed("loads", |bed| {
+            if self.now >= loads_at {
+                loads_at = self.now + LOADS_INTERVAL;
+                self.timed("loads", |simulation| {
                     for _ in 0..LOADS_PER_INTERVAL {
-                        std::hint::black_box(loads(&bed.cell, bed.now));
+                        std::hint::black_box(loads(&simulation.cell, simulation.now));
                     }
                 });
             }
@@ -200,32 +200,32 @@
         }
     }
 
-    /// Jobs arrive: most for the service whose turn it is.
+    /// Admits random jobs, most of them for the service with the demand peak.
     fn admit_jobs(&mut self) {
-        let turn = (self.now - self.started_at).as_millis() / PEAK_DURATION.as_millis();
-        let high = turn as usize % SERVICES;
+        let peak = (self.now - self.started_at).as_millis() / PEAK_DURATION.as_millis();
+        let peak_service = peak as usize % SERVICES;
         let jobs_per_s = TASKS_PER_WORKER_PER_S * self.workers as f64 / f64::from(TASKS_PER_JOB);
         for service in 0..SERVICES {
-            let share = if service == high { 0.8 } else { 0.05 };
-            if self.rng.random::<f64>() < jobs_per_s * share * TICK.as_secs_f64() {
+            let fraction = if service == peak_service { 0.8 } else { 0.05 };
+            if self.rng.random::<f64>() < jobs_per_s * fraction * TICK.as_secs_f64() {
                 self.jobs += 1;
                 let (job, accepted) = (self.jobs, accepted_job(service));
-                self.timed("admit", |bed| bed.cell.admit(job, accepted, None));
+                self.timed("admit", |simulation| simulation.cell.admit(job, accepted, None));
             }
         }
     }
 
-    /// Workers tell what was started and what has ended.
+    /// Delivers the messages that are due: starts, and ends as poll responses.
     fn deliver_events(&mut self) {
         let later = self.events.split_off(&(self.now, usize::MAX));
-        for ((_, worker), news) in std::mem::replace(&mut self.events, later) {
+        for ((_, worker), events) in std::mem::replace(&mut self.events, later) {
             let mut ended = Vec::new();
-            for told in news {
-                match told {
+            for event in events {
+                match event {
                     WorkerEvent::Started(task, run) => {
                         let now = self.now;
-                        self.timed("start", |bed| {
-                            bed.cell.on_started(&worker_id(worker).into(), task, run, now)
+                        self.timed("start", |simulation| {
+                            simulation.cell.on_started(&worker_id(worker).into(), task, run, now)
                         });
                     }
                     WorkerEvent::Ended(task, run) => {
@@ -251,40 +251,41 @@
             figure: 0,
         });
         let clock = 1_000 + (self.now - self.started_at).as_micros() as u64;
-        let seen = PollResponse { clock, running: running.collect(), ended, birth_ms: None };
+        let response = PollResponse { clock, running: running.collect(), ended, birth_ms: None };
         let now = self.now;
-        self.timed("look", |bed| {
-            bed.cell.on_poll(&worker_id(worker).into(), now - RESPONSE_DELAY, now, seen)
+        self.timed("look", |simulation| {
+            simulation.cell.on_poll(&worker_id(worker).into(), now - RESPONSE_DELAY, now, response)
         });
     }
 
     fn place_tasks(&mut self) {
         let (now, wall) = (self.now, self.now - self.started_at);
-        self.timed("place", |bed| {
-            if bed.cell.needs_placement() {
-                bed.rounds += 1;
-                bed.cell.place_ready(now, wall);
+        self.timed("place", |simulation| {
+            if simulation.cell.needs_placement() {
+                simulation.rounds += 1;
+                simulation.cell.place_ready(now, wall);
             }
         });
         for order in std::mem::take(&mut self.cell.outbox) {
             let Order::Start { peer, task, run, .. } = order else { continue };
-            let worker: usize =
-                peer.incarnation.to_string()[1..].parse().expect("ids are made from numbers");
+            let worker: usize = peer.incarnation.to_string()[1..]
+                .parse()
+                .expect("incarnation ids are `w` and a number");
             self.tasks += 1;
             self.running[worker].push((task, run));
-            let mut say = |after: Duration, news: WorkerEvent| {
-                self.events.entry((now + after, worker)).or_default().push(news);
+            let mut schedule = |delay: Duration, event: WorkerEvent| {
+                self.events.entry((now + delay, worker)).or_default().push(event);
             };
-            say(RESPONSE_DELAY, WorkerEvent::Started(task, run));
-            say(TASK_DURATION, WorkerEvent::Ended(task, run));
+            schedule(RESPONSE_DELAY, WorkerEvent::Started(task, run));
+            schedule(TASK_DURATION, WorkerEvent::Ended(task, run));
         }
     }
 
     fn flush(&mut self) {
-        self.timed("flush", |bed| {
-            if bed.cell.needs_flush() {
-                let flush = bed.cell.take_flush();
-                bed.cell.on_flushed(&flush);
+        self.timed("flush", |simulation| {
+            if simulation.cell.needs_flush() {
+                let flush = simulation.cell.take_flush();
+                simulation.cell.on_flushed(&flush);
             }
         });
     }
--- a/cli/src/bench/generate.rs
+++ b/cli/src/bench/generate.rs
@@ -1,4 +1,4 @@
-//! Generated fleets and histories: real records, made by the product's own planner and checks.
+//! Generates fleets and their record histories with the product's own planner and checks.
 
 use std::net::SocketAddr;
 
@@ -18,20 +18,20 @@
 use spokelift_lib::state::record::Record;
 use spokelift_lib::state::record::StepRef;
 
-/// Accounts at the size to design for, and the boxes that go with them.
+/// Accounts and boxes of the design size; smaller sites get accounts in proportion.
 const REFERENCE_ACCOUNTS: u32 = 260;
 const REFERENCE_BOXES: u32 = 6400;
 /// Services of each account.
 const SERVICES_PER_ACCOUNT: u32 = 2;
-/// Halls and boxes in a rack.
+/// Data halls, and boxes in each rack.
 const HALLS: u32 = 14;
 const BOXES_PER_RACK: u32 = 4;
-/// Each service runs on one in so many boxes of its pool.
+/// A service has one replica for so many boxes of its pool.
 const BOXES_PER_REPLICA: u32 = 10;
-/// Daemon number under which generated records are written.
+/// Daemon id of the writer of generated records.
 const WRITER: u16 = 99;
 
-/// How large a generated site is.
+/// Size of a generated site.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub boxes: u32,
@@ -45,7 +45,7 @@
     }
 }
 
-/// A history under way.
+/// A record history and the fleet that results from it.
 pub struct History {
     pub fleet: Fleet,
     pub batches: Vec<Batch>,
@@ -56,8 +56,8 @@
 }
 
 impl History {
-    /// Publishes a site and places its services. All boxes are at `addr`.
-    pub fn new(size: Size, addr: SocketAddr, weigh: &'static str) -> History {
+    /// Publishes a site and places its services. All boxes have the address `addr`.
+    pub fn new(size: Size, addr: SocketAddr, objective: &'static str) -> History {
         let shapes = (0..size.boxes).map(|index| (box_name(index).into(), box_shape(index, addr)));
         let shapes = shapes.collect();
         let mut history = History {
@@ -65,7 +65,7 @@
             batches: Vec::new(),
             shapes,
             size,
-            objective: weigh,
+            objective,
             next_plan: 1,
         };
         history.publish_site();
@@ -73,14 +73,14 @@
         history
     }
 
-    /// Appends one record in a batch of its own; panics if the rule refuses it.
+    /// Appends one record in its own batch; panics if the fleet rejects it.
     pub fn append(&mut self, body: Body) {
         let sequence = self.fleet.next + 1;
         let records = vec![Record { id: u128::from(sequence), body }];
         let batch = Batch { writer: WRITER, incarnation: 1, sequence, records };
         let verdicts = self.fleet.apply(self.fleet.next, &batch);
         if let Some((_, Err(refusal))) = verdicts.first() {
-            panic!("a generated record was refused: {refusal}");
+            panic!("a generated record was rejected: {refusal}");
         }
         self.batches.push(batch);
     }
@@ -98,7 +98,7 @@
     }
 
     fn publish_text(&mut self, text: &str) {
-        let document = Document::parse(text).expect("generated text can be parsed");
+        let document = Document::parse(text).expect("generated configuration parses");
         let change = document.compile(&self.fleet, &self.shapes, &Scope::Site);
         let change = change.expect("generated configuration has no faults");
         self.append(Body::Publish(change));
@@ -109,7 +109,8 @@
         let boxes: Vec<String> = boxes.map(|index| format!("\"{}\"", box_name(index))).collect();
         let owners = (0..self.size.accounts()).filter(|account| account % self.size.pools == pool);
         let owners: Vec<u32> = owners.collect();
-        let shared: Vec<String> = owners.iter().map(|own| format!("\"account-{own}\"")).collect();
+        let shared: Vec<String> =
+            owners.iter().map(|owner| format!("\"account-{owner}\"")).collect();
         let max_out = (boxes.len() / 10).max(1);
         let mut text = format!(
             "[[pool]]\nname = \"pool-{pool}\"\naccount = \"account-{pool}\"\n\
@@ -139,42 +140,43 @@
             let plan = self.start_plan(Intent::Place { account, service, replicas });
             let steps = self.fleet.plans[&plan].steps.len() as u32;
             for step in 0..steps {
-                let claim = StepRef { plan, epoch: 1, step };
-                self.append(Body::Assign(claim));
-                self.append(Body::Finish(claim, Outcome::Done));
+                let step_ref = StepRef { plan, epoch: 1, step };
+                self.append(Body::Assign(step_ref));
+                self.append(Body::Finish(step_ref, Outcome::Done));
             }
         }
     }
 
-    /// Plans, confirms and takes the duty to drive an intent.
+    /// Plans an intent, confirms the plan and makes [`WRITER`] its driver.
     pub fn start_plan(&mut self, intent: Intent) -> PlanId {
         let planner = Planner { fleet: &self.fleet, shapes: &self.shapes, scope: &Scope::Site };
         let id = self.next_plan;
         self.next_plan += 1;
-        let plan = planner.plan(id, intent).expect("a generated intent can be met");
+        let plan = planner.plan(id, intent).expect("a generated intent is feasible");
         self.append(Body::Propose(plan));
         self.append(Body::Confirm(id));
         self.append(Body::Drive { plan: id, holder: WRITER, epoch: 1 });
         id
     }
 
-    /// Maintains every box once: a permit and an end each. Returns how many records that took.
+    /// Appends the maintenance of every box: a permit and an end for each. Returns the number of
+    /// records.
     pub fn append_wave(&mut self) -> usize {
-        let before = self.batches.len();
+        let first = self.batches.len();
         let pools: Vec<_> = self.fleet.pools.keys().cloned().collect();
         for pool in pools {
             let plan = self.start_plan(Intent::Maintain { pools: vec![pool] });
             let steps = self.fleet.plans[&plan].steps.len() as u32;
             for step in 0..steps {
-                let claim = StepRef { plan, epoch: 1, step };
-                self.append(Body::Permit(claim));
-                self.append(Body::Finish(claim, Outcome::Done));
+                let step_ref = StepRef { plan, epoch: 1, step };
+                self.append(Body::Permit(step_ref));
+                self.append(Body::Finish(step_ref, Outcome::Done));
             }
         }
-        self.batches.len() - before
+        self.batches.len() - first
     }
 
-    /// Changes services one at a time, in turn.
+    /// Appends changes of configuration, each of one service, in rotation.
     pub fn append_changes(&mut self) {
         let keys: Vec<_> = self.fleet.services.keys().cloned().collect();
         for index in 0..self.size.changes {
@@ -182,7 +184,7 @@
             let mut service = self.fleet.services[key].clone();
             let base = service.version;
             service.memory_mb = 64 + index % 7;
-            // What the fold keeps itself is no part of an edit.
+            // These fields are derived by the fold and are no part of an edit.
             service.placed.clear();
             service.starting.clear();
             let edit = Edit::Service(key.0.clone(), key.1.clone(), base, service);
--- a/cli/src/bench/keys.rs
+++ b/cli/src/bench/keys.rs
@@ -1,5 +1,5 @@
-//! What calls with unknown keys cost: one real daemon on the stand-in of the users' platform answers callers with good
-//! keys, first alone, then beside a flood of calls whose keys no configuration has held.
+//! Benchmark of calls with unknown keys: a real daemon on the simulated users' platform serves callers with valid
+//! keys, first alone, then during a flood of calls whose keys were never configured.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,37 +22,37 @@
 
 /// Daemons of the site; the first one is called.
 const DAEMONS: usize = 2;
-/// Boxes of the site. Nothing runs on them.
+/// Boxes of the site; nothing runs on them.
 const BOXES: usize = 4;
-/// The account with a good key.
+/// Account with a valid key.
 const ACCOUNT: &str = "good";
-/// Callers with a good key, and the pause of each between two calls.
+/// Clients with a valid key, and the pause of each between two calls.
 const CLIENTS: usize = 4;
 const CLIENT_PAUSE: Duration = Duration::from_millis(10);
-/// Connections over which calls with unknown keys come.
+/// Connections that carry the calls with unknown keys.
 const FLOOD_CONNECTIONS: u32 = 32;
-/// Pause between tries until the accounts are in force.
+/// Time between two checks whether the account configuration has taken effect.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// A job that nobody has handed in.
+/// Path of a job that was never submitted.
 const JOB_PATH: &str = "/q/00000000000000aa";
 
-/// What one part showed.
+/// Results of one part.
 #[derive(Debug, Default, Serialize)]
 struct Part {
-    /// Answers a second to unknown keys, all of them refusals.
+    /// Calls with unknown keys that were refused, per second.
     refused_per_s: f64,
-    /// Answers a second to good keys.
+    /// Calls with valid keys that were answered, per second.
     served_per_s: f64,
-    /// Calls with good keys that were refused as unknown, or had no answer.
+    /// Calls with valid keys that got any other response, or none.
     harmed: usize,
-    /// Time to the answer with a good key, in microseconds.
+    /// Response time with a valid key, in microseconds.
     median_us: u64,
     p99_us: u64,
-    /// Processor time of the daemon, in cores.
+    /// Processor time of the daemon as a mean number of cores.
     cores: f64,
 }
 
-/// Both parts.
+/// Results of both parts.
 #[derive(Debug, Serialize)]
 struct Report {
     alone: Part,
@@ -84,49 +84,49 @@
     }
     let alone = measure_part(&site, time, 0).await;
     let flooded = measure_part(&site, time, unknown).await;
-    let more = (flooded.cores - alone.cores).max(0.0);
-    let cost_us = more / flooded.refused_per_s.max(1.0) * 1e6;
+    let extra_cores = (flooded.cores - alone.cores).max(0.0);
+    let cost_us = extra_cores / flooded.refused_per_s.max(1.0) * 1e6;
     Ok(Report { alone, flooded, cost_us })
 }
 
-/// Plays good callers beside so many calls a second with unknown keys.
+/// Runs the clients with valid keys, and beside them `unknown` calls a second with unknown keys.
 async fn measure_part(site: &Arc<Site>, time: Duration, unknown: u32) -> Part {
-    let began = Instant::now();
-    let until = began + time;
-    let used = || site.nodes[0].pid().map_or(0.0, process_cpu_seconds);
-    let before = used();
+    let started_at = Instant::now();
+    let until = started_at + time;
+    let cpu_seconds = || site.nodes[0].pid().map_or(0.0, process_cpu_seconds);
+    let cpu_before = cpu_seconds();
     let floods = if unknown == 0 { 0 } else { FLOOD_CONNECTIONS };
     let floods: Vec<_> = (0..floods)
         .map(|number| tokio::spawn(flood(site.clone(), number, unknown, until)))
         .collect();
-    let good: Vec<_> =
+    let clients: Vec<_> =
         (0..CLIENTS).map(|_| tokio::spawn(call_with_valid_key(site.clone(), until))).collect();
     let (mut times, mut harmed, mut refused) = (Vec::new(), 0, 0);
-    for task in good {
-        let (answers, failed) = task.await.expect("a caller does not panic");
-        times.extend(answers);
+    for task in clients {
+        let (response_times, failed) = task.await.expect("a caller does not panic");
+        times.extend(response_times);
         harmed += failed;
     }
     for task in floods {
         refused += task.await.expect("a caller does not panic");
     }
-    let took = began.elapsed().as_secs_f64();
+    let elapsed = started_at.elapsed().as_secs_f64();
     times.sort_unstable();
-    let quantile = |share: f64| {
-        let place = (times.len() as f64 * share) as usize;
-        times.get(place).map_or(0, |time: &Duration| time.as_micros() as u64)
+    let quantile = |fraction: f64| {
+        let index = (times.len() as f64 * fraction) as usize;
+        times.get(index).map_or(0, |time: &Duration| time.as_micros() as u64)
     };
     Part {
-        refused_per_s: f64::from(refused) / took,
-        served_per_s: times.len() as f64 / took,
+        refused_per_s: f64::from(refused) / elapsed,
+        served_per_s: times.len() as f64 / elapsed,
         harmed,
         median_us: quantile(0.5),
         p99_us: quantile(0.99),
-        cores: (used() - before) / took,
+        cores: (cpu_seconds() - cpu_before) / elapsed,
     }
 }
 
-/// Calls with keys that nobody has, each another one; returns how many were refused.
+/// Calls with a different unknown key each time; returns how many calls were refused.
 async fn flood(site: Arc<Site>, number: u32, per_s: u32, until: Instant) -> u32 {
     let mut ticks = interval(Duration::from_secs(1) * FLOOD_CONNECTIONS / per_s);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
@@ -141,16 +141,16 @@
     refused
 }
 
-/// Calls with a good key; returns how long each answer took, and how many calls were harmed.
+/// Calls with a valid key; returns the response times, and the number of calls with any other response.
 async fn call_with_valid_key(site: Arc<Site>, until: Instant) -> (Vec<Duration>, usize) {
     let (mut times, mut harmed) = (Vec::new(), 0);
     while Instant::now() < until {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let (status, _) =
             site.call_as(&account_key(ACCOUNT), 0, Method::GET, JOB_PATH, Value::Null).await;
         match status {
-            // Nobody has handed the job in.
-            410 => times.push(began.elapsed()),
+            // The expected response for a job that was never submitted.
+            410 => times.push(started_at.elapsed()),
             _ => harmed += 1,
         }
         sleep(CLIENT_PAUSE).await;
--- a/cli/src/bench/plan.rs
+++ b/cli/src/bench/plan.rs
@@ -1,5 +1,5 @@
-//! Plans and waves at the level of decisions: the product's planner, fold and choice of steps run
-//! against generated fleets and failures in virtual time; beside two baselines and a lower bound.
+//! Benchmark of plans and maintenance waves in virtual time: the product's planner, fold and choice of
+//! steps run on generated fleets with failures, and are compared with two baselines and a lower bound.
 
 mod baseline;
 mod bound;
@@ -24,17 +24,17 @@
 use crate::bench::slope::fit_line;
 use crate::error::Error;
 
-/// Time declared for one box's maintenance, in virtual milliseconds.
+/// Declared duration of one box's maintenance, in virtual milliseconds.
 const DECLARED_MAINTENANCE_MS: u64 = 120_000;
-/// When a hall or rack fails, and for how long it is gone.
+/// Start and duration of the outage of a hall or rack, in virtual milliseconds.
 const FAIL_AT_MS: u64 = 300_000;
 const OUTAGE_MS: u64 = 600_000;
-/// Share of boxes that never come back from a reboot when the fault is `blackhole`.
+/// Fraction of boxes that never return from a reboot with `--faults blackhole`.
 const BLACKHOLE_FRACTION: f64 = 0.01;
-/// A step whose box has not come back after so many times the declared time is given up.
+/// A step is abandoned if its box has not returned after so many times the declared duration.
 const LOST_AFTER_FACTOR: u64 = 3;
 
-/// What goes wrong.
+/// Kinds of injected faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Faults {
     None,
@@ -57,15 +57,15 @@
     }
 }
 
-/// What happens to each box, decided by the seed before anyone plans.
+/// Faults of one run, drawn from the seed before planning.
 pub struct Scenario {
-    /// How long its maintenance really takes; none if it never comes back.
+    /// Actual duration of the maintenance of each box; `None` if the box never returns.
     pub durations_ms: BTreeMap<BoxId, Option<u64>>,
-    /// Boxes that fail together, when, and when they are back.
+    /// Outage of a hall or rack.
     pub failure: Option<Failure>,
 }
 
-/// Boxes that fail together.
+/// Simultaneous outage of a group of boxes, in virtual milliseconds.
 pub struct Failure {
     pub boxes: Vec<BoxId>,
     pub start_ms: u64,
@@ -74,9 +74,9 @@
 
 impl Scenario {
     fn new(fleet: &Fleet, faults: Faults, random: &mut StdRng) -> Scenario {
-        let takes =
+        let durations =
             fleet.boxes.keys().map(|id| (id.clone(), maintenance_duration_ms(faults, random)));
-        let takes_ms = takes.collect();
+        let durations_ms = durations.collect();
         let failed: Vec<BoxId> = match faults {
             Faults::Hall => boxes_where(fleet, |entry| entry.shape.hall.as_ref() == "hall-3"),
             Faults::Rack => boxes_where(fleet, |entry| entry.shape.rack.as_ref() == "rack-3"),
@@ -87,7 +87,7 @@
             start_ms: FAIL_AT_MS,
             end_ms: FAIL_AT_MS + OUTAGE_MS,
         });
-        Scenario { durations_ms: takes_ms, failure }
+        Scenario { durations_ms, failure }
     }
 }
 
@@ -103,13 +103,13 @@
 
 fn boxes_where(
     fleet: &Fleet,
-    is: impl Fn(&spokelift_lib::state::fleet::Entry) -> bool,
+    matches: impl Fn(&spokelift_lib::state::fleet::Entry) -> bool,
 ) -> Vec<BoxId> {
-    let found = fleet.boxes.iter().filter(|(_, entry)| is(entry));
+    let found = fleet.boxes.iter().filter(|(_, entry)| matches(entry));
     found.map(|(id, _)| id.clone()).collect()
 }
 
-/// What one way of carrying out the maintenance came to.
+/// Results of one strategy of carrying out the maintenance.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Measures {
     pub buffer_cost_box_seconds: f64,
@@ -139,14 +139,14 @@
     lower_bound: Measures,
 }
 
-/// Measures and prints a table, and one line of JSON if asked to.
+/// Runs the benchmark and prints a table, and one line of JSON if requested.
 pub fn run(args: &BenchPlan, json: bool) -> Result<(), Error> {
     let faults = Faults::parse(&args.faults).ok_or(Error::InvalidValue {
         what: "--faults",
         value: args.faults.clone(),
         accepted: "none, rack, hall, liars or blackhole",
     })?;
-    let weigh = match args.site.as_str() {
+    let objective = match args.site.as_str() {
         "ulaanbaatar" => "buffer",
         "dakar" => "rollout",
         _ => {
@@ -164,7 +164,7 @@
             accepted: "50 to 20000 boxes, at least 10 for each pool",
         });
     }
-    let report = measure(args, faults, weigh);
+    let report = measure(args, faults, objective);
     print_report(&report);
     if json {
         println!("{}", serde_json::to_string(&report)?);
@@ -172,30 +172,30 @@
     Ok(())
 }
 
-fn generate_history(boxes: u32, pools: u32, weigh: &'static str) -> History {
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-    History::new(Size { boxes, pools, changes: 0 }, nowhere, weigh)
+fn generate_history(boxes: u32, pools: u32, objective: &'static str) -> History {
+    let unused_addr = SocketAddr::from(([127, 0, 0, 1], 9));
+    History::new(Size { boxes, pools, changes: 0 }, unused_addr, objective)
 }
 
-fn measure(args: &BenchPlan, faults: Faults, weigh: &'static str) -> Report {
+fn measure(args: &BenchPlan, faults: Faults, objective: &'static str) -> Report {
     let mut plan_times = Vec::new();
     for part in [8, 4, 2] {
         let boxes = (args.boxes / part).max(10);
         let pools = (args.pools / part).clamp(1, boxes / 10);
-        let history = generate_history(boxes, pools, weigh);
+        let history = generate_history(boxes, pools, objective);
         plan_times.push((f64::from(boxes), simulation::plan_ms(&history)));
     }
-    let history = generate_history(args.boxes, args.pools, weigh);
+    let history = generate_history(args.boxes, args.pools, objective);
     let plan_ms = simulation::plan_ms(&history);
     plan_times.push((f64::from(args.boxes), plan_ms));
     let mut random = StdRng::seed_from_u64(args.seed);
-    let fate = Scenario::new(&history.fleet, faults, &mut random);
-    let one_at_a_time = baseline::one_at_a_time(&history.fleet, &fate, &mut random);
-    let fixed_batch = baseline::fixed_batch(&history.fleet, &fate, &mut random);
-    let lower_bound = bound::lower_bound(&history.fleet, &fate);
-    let before = probe::resident_bytes();
-    let done = simulation::simulate_product(history, &fate);
-    let resident = probe::resident_bytes().saturating_sub(before);
+    let scenario = Scenario::new(&history.fleet, faults, &mut random);
+    let one_at_a_time = baseline::one_at_a_time(&history.fleet, &scenario, &mut random);
+    let fixed_batch = baseline::fixed_batch(&history.fleet, &scenario, &mut random);
+    let lower_bound = bound::lower_bound(&history.fleet, &scenario);
+    let resident_before = probe::resident_bytes();
+    let results = simulation::simulate_product(history, &scenario);
+    let resident = probe::resident_bytes().saturating_sub(resident_before);
     Report {
         boxes: args.boxes,
         pools: args.pools,
@@ -204,23 +204,24 @@
         seed: args.seed,
         plan_ms,
         plan_ms_per_box: fit_line(plan_times),
-        choose_ms_mean: done.choose_ms.iter().sum::<f64>() / done.choose_ms.len().max(1) as f64,
-        choose_ms_max: done.choose_ms.iter().copied().fold(0.0, f64::max),
-        choices: done.choose_ms.len(),
+        choose_ms_mean: results.choose_ms.iter().sum::<f64>()
+            / results.choose_ms.len().max(1) as f64,
+        choose_ms_max: results.choose_ms.iter().copied().fold(0.0, f64::max),
+        choices: results.choose_ms.len(),
         resident_mb: resident as f64 / (1024.0 * 1024.0),
-        predicted_rollout_seconds: done.predicted_rollout_seconds,
-        product: done.measures,
+        predicted_rollout_seconds: results.predicted_rollout_seconds,
+        product: results.measures,
         one_at_a_time,
         fixed_batch,
         lower_bound,
     }
 }
 
-/// Time that some work takes, in milliseconds.
+/// Runs `work`; returns its time in milliseconds and its result.
 fn timed<T>(work: impl FnOnce() -> T) -> (f64, T) {
-    let begun = Instant::now();
-    let done = work();
-    (begun.elapsed().as_secs_f64() * 1000.0, done)
+    let started_at = Instant::now();
+    let result = work();
+    (started_at.elapsed().as_secs_f64() * 1000.0, result)
 }
 
 fn print_report(report: &Report) {
--- a/cli/src/bench/plan/simulation.rs
+++ b/cli/src/bench/plan/simulation.rs
@@ -1,5 +1,5 @@
-//! The product's own decisions in virtual time: planner, permits judged by the fold, and the choice of
-//! steps that the driver makes.
+//! Simulates the product's decisions in virtual time: the planner, permits checked by the fold, and the
+//! driver's choice of steps.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 use crate::bench::plan::Scenario;
 use crate::bench::plan::timed;
 
-/// What the product came to, and how long it thought.
+/// Results of the product, and the time that its decisions took.
 pub struct Results {
     pub measures: Measures,
     pub choose_ms: Vec<f64>,
@@ -37,25 +37,25 @@
 enum Event {
     FailureStarted,
     FailureEnded,
-    StepEnded { step: u32, lost: bool },
+    StepEnded { step: u32, is_lost: bool },
 }
 
 fn maintain_all(fleet: &Fleet) -> Intent {
     Intent::Maintain { pools: fleet.pools.keys().cloned().collect() }
 }
 
-/// How long the planner takes for a wave over every pool, in milliseconds.
+/// Time that the planner takes for a wave over every pool, in milliseconds.
 pub fn plan_ms(history: &History) -> f64 {
     let planner = Planner { fleet: &history.fleet, shapes: &history.shapes, scope: &Scope::Site };
     let intent = maintain_all(&history.fleet);
     let (ms, plan) = timed(|| planner.plan(1 << 40, intent));
-    plan.expect("a wave over every pool has a plan");
+    plan.expect("a wave over every pool is feasible");
     ms
 }
 
 struct Simulation<'a> {
     history: History,
-    fate: &'a Scenario,
+    scenario: &'a Scenario,
     plan: PlanId,
     now_ms: u64,
     events: BinaryHeap<Reverse<(u64, Event)>>,
@@ -63,38 +63,42 @@
     choose_ms: Vec<f64>,
 }
 
-/// Carries out a wave over every pool.
-pub fn simulate_product(mut history: History, fate: &Scenario) -> Results {
+/// Simulates a wave over every pool.
+pub fn simulate_product(mut history: History, scenario: &Scenario) -> Results {
     let plan = history.start_plan(maintain_all(&history.fleet));
     let predicted_rollout_seconds = history.fleet.plans[&plan].predicted.rollout_seconds;
-    let mut run = Simulation {
+    let mut simulation = Simulation {
         history,
-        fate,
+        scenario,
         plan,
         now_ms: 0,
         events: BinaryHeap::new(),
         measures: Measures::default(),
         choose_ms: Vec::new(),
     };
-    if let Some(failure) = &fate.failure {
-        run.events.push(Reverse((failure.start_ms, Event::FailureStarted)));
-        run.events.push(Reverse((failure.end_ms, Event::FailureEnded)));
+    if let Some(failure) = &scenario.failure {
+        simulation.events.push(Reverse((failure.start_ms, Event::FailureStarted)));
+        simulation.events.push(Reverse((failure.end_ms, Event::FailureEnded)));
     }
-    run.start_steps();
-    while let Some(Reverse((at, event))) = run.events.pop() {
-        if run.is_over() {
+    simulation.start_steps();
+    while let Some(Reverse((at_ms, event))) = simulation.events.pop() {
+        if simulation.is_over() {
             break;
         }
-        run.advance_to(at);
-        run.apply_event(event);
-        // Everything that happens at the same moment is seen before the next choice.
-        let more = run.events.peek().is_some_and(|Reverse((next, _))| *next == at);
-        if !more {
-            run.start_steps();
+        simulation.advance_to(at_ms);
+        simulation.apply_event(event);
+        // All events of the same time are applied before the next choice of steps.
+        let has_more = simulation.events.peek().is_some_and(|Reverse((next, _))| *next == at_ms);
+        if !has_more {
+            simulation.start_steps();
         }
     }
-    run.count_unfinished();
-    Results { measures: run.measures, choose_ms: run.choose_ms, predicted_rollout_seconds }
+    simulation.count_unfinished();
+    Results {
+        measures: simulation.measures,
+        choose_ms: simulation.choose_ms,
+        predicted_rollout_seconds,
+    }
 }
 
 impl Simulation<'_> {
@@ -102,35 +106,35 @@
         self.history.fleet.plans[&self.plan].phase.is_over()
     }
 
-    fn claim(&self, step: u32) -> StepRef {
+    fn step_ref(&self, step: u32) -> StepRef {
         StepRef { plan: self.plan, epoch: 1, step }
     }
 
     fn apply_event(&mut self, event: Event) {
-        let failed = self.fate.failure.as_ref().map(|failure| failure.boxes.clone());
+        let failed = self.scenario.failure.as_ref().map(|failure| failure.boxes.clone());
         match event {
             Event::FailureStarted => self.history.append(Body::Down(failed.unwrap_or_default())),
             Event::FailureEnded => self.history.append(Body::Up(failed.unwrap_or_default())),
-            Event::StepEnded { step, lost } => {
-                let outcome = if lost { Outcome::Lost } else { Outcome::Done };
-                self.measures.not_done += u64::from(lost);
-                self.history.append(Body::Finish(self.claim(step), outcome));
+            Event::StepEnded { step, is_lost } => {
+                let outcome = if is_lost { Outcome::Lost } else { Outcome::Done };
+                self.measures.not_done += u64::from(is_lost);
+                self.history.append(Body::Finish(self.step_ref(step), outcome));
                 self.measures.rollout_seconds = self.now_ms as f64 / 1000.0;
             }
         }
     }
 
-    /// Begins the steps that the product would begin now.
+    /// Starts the steps that the product would start now.
     fn start_steps(&mut self) {
         let fleet = &self.history.fleet;
         let plan = &fleet.plans[&self.plan];
         let (ms, choice) = timed(|| wave::choose_steps(fleet, plan, &BTreeSet::new()));
         self.choose_ms.push(ms);
         for step in choice.ready {
-            self.history.append(Body::Permit(self.claim(step)));
+            self.history.append(Body::Permit(self.step_ref(step)));
             let target = self.target(step);
-            let (at, lost) = self.step_end(&target);
-            self.events.push(Reverse((at, Event::StepEnded { step, lost })));
+            let (at_ms, is_lost) = self.step_end(&target);
+            self.events.push(Reverse((at_ms, Event::StepEnded { step, is_lost })));
             self.measures.budget_breaches += u64::from(self.exceeds_budget(&target));
         }
     }
@@ -139,27 +143,29 @@
         self.history.fleet.plans[&self.plan].steps[step as usize].target.clone()
     }
 
+    /// Time at which the step of a box ends if it starts now, and whether it is abandoned as lost.
     fn step_end(&self, target: &BoxId) -> (u64, bool) {
-        let Some(takes) = self.fate.durations_ms[target] else {
+        let Some(duration_ms) = self.scenario.durations_ms[target] else {
             return (self.now_ms + DECLARED_MAINTENANCE_MS * LOST_AFTER_FACTOR, true);
         };
-        let fails = self.fate.failure.as_ref().filter(|failure| {
+        let failure = self.scenario.failure.as_ref().filter(|failure| {
             failure.boxes.contains(target)
                 && failure.start_ms >= self.now_ms
-                && failure.start_ms < self.now_ms + takes
+                && failure.start_ms < self.now_ms + duration_ms
         });
-        match fails {
-            Some(failure) => (failure.end_ms + takes, false),
-            None => (self.now_ms + takes, false),
+        match failure {
+            Some(failure) => (failure.end_ms + duration_ms, false),
+            None => (self.now_ms + duration_ms, false),
         }
     }
 
-    /// Counts for itself, from what it did and what failed, whether a permit went over a budget.
+    /// Checks independently of the fold, from started steps and failed boxes, whether a permit exceeded a
+    /// budget.
     fn exceeds_budget(&self, target: &BoxId) -> bool {
         let fleet = &self.history.fleet;
         let pool = &fleet.pools[&fleet.boxes[target].pool];
         let hall = &fleet.boxes[target].shape.hall;
-        let failure = self.fate.failure.as_ref().filter(|failure| failure.is_down(self.now_ms));
+        let failure = self.scenario.failure.as_ref().filter(|failure| failure.is_down(self.now_ms));
         let plan = &fleet.plans[&self.plan];
         let mut out: BTreeSet<&BoxId> = BTreeSet::new();
         for step in plan.steps.iter().filter(|step| pool.boxes.contains(&step.target)) {
@@ -175,30 +181,32 @@
         out.len() > pool.budget.max_out as usize || in_hall > per_hall
     }
 
-    /// Adds up the spare that each pool's wave holds until `at`: what it may still have out.
-    fn advance_to(&mut self, at: u64) {
-        let held: u64 = self
+    /// Advances the virtual time to `at_ms` and adds up the spare capacity that each pool reserves until then:
+    /// the boxes that it may still take out.
+    fn advance_to(&mut self, at_ms: u64) {
+        let reserved: u64 = self
             .remaining_steps()
             .into_iter()
-            .map(|(pool, left)| self.reserved_boxes(&pool, left))
+            .map(|(pool, remaining)| self.reserved_boxes(&pool, remaining))
             .sum();
-        self.measures.buffer_cost_box_seconds += held as f64 * (at - self.now_ms) as f64 / 1000.0;
-        self.now_ms = at;
+        self.measures.buffer_cost_box_seconds +=
+            reserved as f64 * (at_ms - self.now_ms) as f64 / 1000.0;
+        self.now_ms = at_ms;
     }
 
     /// Steps that have not ended, by pool.
     fn remaining_steps(&self) -> BTreeMap<PoolId, u64> {
         let fleet = &self.history.fleet;
-        let mut left: BTreeMap<PoolId, u64> = BTreeMap::new();
+        let mut remaining: BTreeMap<PoolId, u64> = BTreeMap::new();
         for step in &fleet.plans[&self.plan].steps {
             if !step.progress.is_over() {
-                *left.entry(fleet.boxes[&step.target].pool.clone()).or_default() += 1;
+                *remaining.entry(fleet.boxes[&step.target].pool.clone()).or_default() += 1;
             }
         }
-        left
+        remaining
     }
 
-    fn reserved_boxes(&self, pool: &PoolId, left: u64) -> u64 {
+    fn reserved_boxes(&self, pool: &PoolId, remaining: u64) -> u64 {
         let fleet = &self.history.fleet;
         let plan = &fleet.plans[&self.plan];
         let pool_state = &fleet.pools[pool];
@@ -206,13 +214,13 @@
         let free = u64::from(pool_state.budget.max_out).saturating_sub(down);
         let out =
             fleet.boxes_out(pool_state).filter(|(_, entry)| entry.out.is_some()).count() as u64;
-        // What is out is held in any case; beyond it only what may still go out.
-        out.max(u64::from(plan.width_of(pool)).min(left).min(free))
+        // Boxes that are out count in any case; others only as far as they may still be taken out.
+        out.max(u64::from(plan.width_of(pool)).min(remaining).min(free))
     }
 
-    /// What never had its turn, since its box stayed down.
+    /// Counts the steps that never started because their boxes stayed down.
     fn count_unfinished(&mut self) {
-        let left: u64 = self.remaining_steps().values().sum();
-        self.measures.not_done += left;
+        let remaining: u64 = self.remaining_steps().values().sum();
+        self.measures.not_done += remaining;
     }
 }
--- a/cli/src/bench/probe.rs
+++ b/cli/src/bench/probe.rs
@@ -1,11 +1,11 @@
-//! What the system says of this process: memory, and processor time by thread.
+//! Memory and processor time of processes and threads, from `/proc`.
 
 use std::fs;
 
-/// Clock ticks a second in `/proc`, as Linux reports them to programs.
+/// Clock ticks a second in `/proc` (`USER_HZ`).
 const TICKS_PER_S: f64 = 100.0;
 
-/// Memory in use by this process, in bytes; 0 where the system does not say.
+/// Resident memory of this process, in bytes; 0 where the system does not report it.
 pub fn resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -24,13 +24,14 @@
     ticks.sum::<u64>() as f64 / TICKS_PER_S
 }
 
-/// Processor time of another process, in seconds; 0 where the system does not say.
+/// Processor time of another process, in seconds; 0 where the system does not report it.
 pub fn process_cpu_seconds(process: u32) -> f64 {
     let stat = fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
     cpu_ticks(&stat, "").unwrap_or(0) as f64 / TICKS_PER_S
 }
 
-/// User and system ticks of a `stat` line, if its name begins with `prefix`.
+/// Sum of user and system ticks of a `stat` line; `None` if the name does not begin with `prefix` or
+/// the line is malformed.
 fn cpu_ticks(stat: &str, prefix: &str) -> Option<u64> {
     let (head, tail) = stat.rsplit_once(')')?;
     let (_, name) = head.split_once('(')?;
--- a/cli/src/bench/state.rs
+++ b/cli/src/bench/state.rs
@@ -1,5 +1,6 @@
-//! The agreed state at four sizes: records a second, memory, snapshot, time to ready, and what
-//! control costs a daemon; against a full replay with one record for each change.
+//! Benchmark of the replicated state at four sizes: records applied a second, memory, snapshots, time
+//! to ready, and the cost of the control plane for a daemon. The baseline is a full replay with one
+//! record for each change.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -49,27 +50,27 @@
 use crate::error::Error;
 use crate::output::pairs;
 
-/// Daemons of a site.
+/// Number of daemons of a site.
 const DAEMONS: u16 = 6;
-/// Batches between two snapshots, as the daemons have it by default.
+/// Batches between two snapshots; the default of the daemons.
 const SNAPSHOT_EVERY: usize = 2000;
-/// Time between two snapshots, as the daemons have it by default.
+/// Seconds between two snapshots; the default of the daemons.
 const SNAPSHOT_PERIOD_S: f64 = 600.0;
-/// How long the cost of control is measured without changes, and then with them.
+/// Time for which the control plane is measured without changes, and again with them.
 const MEASURE_TIME: Duration = Duration::from_secs(6);
-/// Changes made while the cost of control is measured.
+/// Changes published during the second of these measurements.
 const LIVE_CHANGES: usize = 30;
 /// Secret of the site operator.
 const SECRET: &str = "bench-site-secret";
 const DAY_S: f64 = 86_400.0;
-/// Every box is maintained once in five weeks.
+/// Seconds between two maintenances of a box: five weeks.
 const MAINTENANCE_PERIOD_S: f64 = 35.0 * DAY_S;
-/// Boxes that fail in a day at 6,400.
+/// Failures of a box in a day: 41 among 6,400 boxes.
 const FAILURES_PER_BOX_DAY: f64 = 41.0 / 6400.0;
-/// Most time a daemon may take to be ready.
+/// Timeout of the start of a daemon.
 const READY_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// One size's results.
+/// Results for one size.
 #[derive(Clone, Debug, Serialize)]
 struct Row {
     boxes: u32,
@@ -88,7 +89,7 @@
     control: Control,
 }
 
-/// Encoded bytes of one of each kind of object, at the largest size.
+/// Mean encoded size of each kind of object in bytes, at the largest size.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct ObjectBytes {
     account: f64,
@@ -118,7 +119,7 @@
     bytes as f64 / count.max(1) as f64
 }
 
-/// What control costs one daemon, at the largest size.
+/// Cost of the control plane for one daemon.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct Control {
     idle_bytes_per_s: f64,
@@ -164,7 +165,7 @@
     slopes: Slopes,
 }
 
-/// Measures at four sizes and prints a table, and one line of JSON if asked to.
+/// Measures at four sizes and prints a table, and one line of JSON if requested.
 pub fn run(args: &BenchState, json: bool) -> Result<(), Error> {
     check_range("--boxes", args.boxes, 64, 20_000, "64 to 20000")?;
     check_range("--pools", args.pools, 1, 500, "1 to 500")?;
@@ -192,7 +193,7 @@
 }
 
 async fn measure(args: &BenchState) -> Result<Report, Error> {
-    let target = start_worker_stub().await?;
+    let worker_stub = start_worker_stub().await?;
     let mut sizes = Vec::new();
     let mut bytes_each = None;
     for part in [8, 4, 2, 1] {
@@ -201,8 +202,8 @@
             pools: (args.pools / part).max(1),
             changes: args.changes / part,
         };
-        let mut history = History::new(size, target.proxy.addr, "buffer");
-        sizes.push(measure_size(size, &mut history, &target).await?);
+        let mut history = History::new(size, worker_stub.proxy.addr, "buffer");
+        sizes.push(measure_size(size, &mut history, &worker_stub).await?);
         if part == 1 {
             bytes_each = Some(ObjectBytes::measure(&history.fleet));
         }
@@ -212,8 +213,8 @@
 }
 
 fn build_report(args: &BenchState, sizes: Vec<Row>, bytes_each: ObjectBytes) -> Report {
-    let full = sizes.last().expect("four sizes were measured").clone();
-    let control = full.control;
+    let largest = sizes.last().expect("four sizes were measured").clone();
+    let control = largest.control;
     let by_boxes =
         |value: fn(&Row) -> f64| fit_line(sizes.iter().map(|row| (row.boxes.into(), value(row))));
     let slopes = Slopes {
@@ -226,28 +227,28 @@
         core_ms_per_change_per_box: by_boxes(|row| row.control.core_ms_per_change),
     };
     let changes_per_s = f64::from(args.changes) / DAY_S;
-    let chunks = full.snapshot_bytes.div_ceil(snapshot::CHUNK_BYTES) as f64;
+    let chunks = largest.snapshot_bytes.div_ceil(snapshot::CHUNK_BYTES) as f64;
     let boxes = f64::from(args.boxes);
     let appends_per_s_mean = changes_per_s * control.appends_per_change
         + 2.0 * boxes / MAINTENANCE_PERIOD_S
         + 2.0 * boxes * FAILURES_PER_BOX_DAY / DAY_S
         + (1.0 + chunks) / SNAPSHOT_PERIOD_S;
-    // Snapshots go to the log once and come back from it on every daemon, in base64.
-    let snapshot_bytes_per_s = full.snapshot_bytes as f64 * 4.0 / 3.0 / SNAPSHOT_PERIOD_S;
+    // A snapshot is written to the log once and read back by every daemon, in base64.
+    let snapshot_bytes_per_s = largest.snapshot_bytes as f64 * 4.0 / 3.0 / SNAPSHOT_PERIOD_S;
     Report {
         boxes: args.boxes,
         pools: args.pools,
         changes: args.changes,
-        apply_per_s: full.apply_per_s,
-        ready_ms: full.ready_ms,
-        snapshot_bytes: full.snapshot_bytes,
-        resident_mb: full.resident_mb,
+        apply_per_s: largest.apply_per_s,
+        ready_ms: largest.ready_ms,
+        snapshot_bytes: largest.snapshot_bytes,
+        resident_mb: largest.resident_mb,
         appends_per_s_mean,
         control_bytes_per_s: control.idle_bytes_per_s
             + control.bytes_per_change * changes_per_s
             + snapshot_bytes_per_s,
         core_percent: control.idle_core_percent + control.core_ms_per_change * changes_per_s / 10.0,
-        baseline_ready_ms: full.baseline_ready_ms,
+        baseline_ready_ms: largest.baseline_ready_ms,
         bytes_each,
         control,
         sizes,
@@ -258,25 +259,25 @@
 async fn measure_size(
     size: Size,
     history: &mut History,
-    target: &WorkerStub,
+    worker_stub: &WorkerStub,
 ) -> Result<Row, Error> {
-    let wave = history.append_wave();
-    let before_changes = history.batches.len();
+    let wave_records = history.append_wave();
+    let changes_from = history.batches.len();
     history.append_changes();
     let encoded: Vec<Bytes> = history.batches.iter().map(encode_batch).collect();
-    let wave_from = before_changes - wave;
-    let before = probe::resident_bytes();
+    let wave_from = changes_from - wave_records;
+    let resident_before = probe::resident_bytes();
     let mut fleet = Fleet::default();
     fold(&mut fleet, &encoded[..wave_from]);
     let wave_apply_per_s =
-        measure_rate(wave, || fold(&mut fleet, &encoded[wave_from..before_changes]));
+        measure_rate(wave_records, || fold(&mut fleet, &encoded[wave_from..changes_from]));
     let apply_per_s =
-        measure_rate(size.changes as usize, || fold(&mut fleet, &encoded[before_changes..]));
-    let fleet_mb = megabytes(probe::resident_bytes().saturating_sub(before));
-    assert_eq!(fleet, history.fleet, "a second fold of the same records differs");
-    let begun = Instant::now();
+        measure_rate(size.changes as usize, || fold(&mut fleet, &encoded[changes_from..]));
+    let fleet_mb = megabytes(probe::resident_bytes().saturating_sub(resident_before));
+    assert_eq!(fleet, history.fleet, "folding the same records twice gives different fleets");
+    let started_at = Instant::now();
     let state = snapshot::encode(&fleet);
-    let encode_ms = millis(begun.elapsed());
+    let encode_ms = millis(started_at.elapsed());
     let tail_from = encoded.len().saturating_sub(SNAPSHOT_EVERY);
     let (ready_ms, resident_mb) = measure_ready(&truncated_log(history, tail_from)).await?;
     let (baseline_ready_ms, _) = measure_ready(&encoded).await?;
@@ -294,7 +295,7 @@
         ready_ms,
         resident_mb,
         baseline_ready_ms,
-        control: measure_control(history, target).await?,
+        control: measure_control(history, worker_stub).await?,
     })
 }
 
@@ -304,15 +305,15 @@
 
 fn fold(fleet: &mut Fleet, encoded: &[Bytes]) {
     for bytes in encoded {
-        let batch = Batch::decode(bytes).expect("these bytes were encoded above");
+        let batch = Batch::decode(bytes).expect("batches were encoded by `encode_batch`");
         fleet.apply(fleet.next, &batch);
     }
 }
 
 fn measure_rate(count: usize, work: impl FnOnce()) -> f64 {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     work();
-    count as f64 / begun.elapsed().as_secs_f64()
+    count as f64 / started_at.elapsed().as_secs_f64()
 }
 
 fn millis(time: Duration) -> f64 {
@@ -323,8 +324,8 @@
     bytes as f64 / (1024.0 * 1024.0)
 }
 
-/// The same history as a log that has let go of what is before a snapshot: nothing, the chunks,
-/// and the batches after them. Offsets are kept by empty records in place of those let go.
+/// The log after truncation up to a snapshot: the mark, the chunks of the snapshot, and the batches
+/// after `tail_from`. Empty records stand in for the truncated ones, so that offsets stay the same.
 fn truncated_log(history: &History, tail_from: usize) -> Vec<Bytes> {
     let mut fleet = Fleet::default();
     let earlier: Vec<Bytes> = history.batches[..tail_from].iter().map(encode_batch).collect();
@@ -349,24 +350,24 @@
     log
 }
 
-/// Starts one empty daemon on a log and waits until it serves. Returns the time and the memory
-/// that took.
+/// Starts a daemon without state on a log and waits until it serves. Returns the time in milliseconds
+/// and the growth of resident memory in megabytes.
 async fn measure_ready(records: &[Bytes]) -> Result<(f64, f64), Error> {
     let log = Log::start().await?;
     records.iter().for_each(|record| log.put(record.clone()));
-    let gone = records.iter().take_while(|record| record.is_empty()).count();
-    // The mark goes with what it stands for; the chunks are what is left of the past.
-    let kept_from = if gone > 0 { gone as u64 + 1 } else { 0 };
+    let truncated = records.iter().take_while(|record| record.is_empty()).count();
+    // The mark is truncated as well; only the chunks remain of what precedes the tail.
+    let kept_from = if truncated > 0 { truncated as u64 + 1 } else { 0 };
     log.retain_from(kept_from);
     let boxes = Boxes::start(Vec::new()).await?;
     let settings = settings(0, &[], log.addr, boxes.addr);
-    let before = probe::resident_bytes();
-    let begun = Instant::now();
-    let entry = start_daemon(settings)?;
-    wait_until_serving(entry.addrs.call).await?;
-    let ready_ms = millis(begun.elapsed());
-    let resident_mb = megabytes(probe::resident_bytes().saturating_sub(before));
-    stop_daemon(entry).await;
+    let resident_before = probe::resident_bytes();
+    let started_at = Instant::now();
+    let daemon = start_daemon(settings)?;
+    wait_until_serving(daemon.addrs.call).await?;
+    let ready_ms = millis(started_at.elapsed());
+    let resident_mb = megabytes(probe::resident_bytes().saturating_sub(resident_before));
+    stop_daemon(daemon).await;
     log.stop();
     boxes.stop();
     Ok((ready_ms, resident_mb))
@@ -374,16 +375,17 @@
 
 async fn wait_until_serving(addr: SocketAddr) -> Result<(), Error> {
     let dialer = Dialer::new(Duration::from_secs(1));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
         let request = Request::get(HEALTH).body(full("")).expect("a constant path is valid");
-        let answer = dialer.exchange(addr, request, 1024, Duration::from_secs(5)).await;
-        if answer.is_ok_and(|answer| answer.status().is_success()) {
+        let response = dialer.exchange(addr, request, 1024, Duration::from_secs(5)).await;
+        if response.is_ok_and(|response| response.status().is_success()) {
             return Ok(());
         }
-        if begun.elapsed() > READY_TIMEOUT {
-            let late = std::io::Error::new(std::io::ErrorKind::TimedOut, "a daemon is not ready");
-            return Err(Error::Trial(late));
+        if started_at.elapsed() > READY_TIMEOUT {
+            let timeout =
+                std::io::Error::new(std::io::ErrorKind::TimedOut, "a daemon is not ready");
+            return Err(Error::Trial(timeout));
         }
         sleep(Duration::from_millis(2)).await;
     }
@@ -394,13 +396,14 @@
     started.unwrap_or_else(|_| Err(std::io::Error::other("the daemon's thread panicked")))
 }
 
-async fn stop_daemon(entry: Daemon) {
-    let killed = entry.kill();
+async fn stop_daemon(daemon: Daemon) {
+    let killed = daemon.kill();
     let _ = tokio::task::spawn_blocking(move || killed.join()).await;
 }
 
-/// Six daemons on the full state: bytes, processor time and appends, idle and with changes.
-async fn measure_control(history: &History, target: &WorkerStub) -> Result<Control, Error> {
+/// Runs six daemons on the full state and measures bytes, processor time and appends, idle and with
+/// changes.
+async fn measure_control(history: &History, worker_stub: &WorkerStub) -> Result<Control, Error> {
     let log = Log::start().await?;
     let tail_from = history.batches.len().saturating_sub(SNAPSHOT_EVERY);
     truncated_log(history, tail_from).into_iter().for_each(|record| log.put(record));
@@ -415,37 +418,37 @@
         leaving: false,
     });
     let boxes = Boxes::start(listed.collect()).await?;
-    let log_link = Proxy::start(log.addr).await?;
-    let boxes_link = Proxy::start(boxes.addr).await?;
+    let log_proxy = Proxy::start(log.addr).await?;
+    let boxes_proxy = Proxy::start(boxes.addr).await?;
     let mut links = Vec::new();
     for _ in 0..DAEMONS {
         links.push(Link::start().await?);
     }
-    let mut entries = Vec::new();
+    let mut daemons = Vec::new();
     for id in 0..DAEMONS {
-        let entry = start_daemon(settings(id, &links, log_link.addr, boxes_link.addr))?;
-        links[usize::from(id)].set_upstream(entry.addrs.peer);
-        entries.push(entry);
+        let daemon = start_daemon(settings(id, &links, log_proxy.addr, boxes_proxy.addr))?;
+        links[usize::from(id)].set_upstream(daemon.addrs.peer);
+        daemons.push(daemon);
     }
-    for entry in &entries {
-        wait_until_serving(entry.addrs.call).await?;
+    for daemon in &daemons {
+        wait_until_serving(daemon.addrs.call).await?;
     }
-    // The first polls of all boxes and the whole box list are behind it by then.
+    // Excludes the first polls of all boxes and the first transfer of the whole box list.
     sleep(MEASURE_TIME).await;
-    let target = target.clone();
-    let site = Testbed { log, log_link, boxes_link, entries, worker_stub: target };
-    let control = site.measure().await;
-    for entry in site.entries {
-        stop_daemon(entry).await;
+    let worker_stub = worker_stub.clone();
+    let testbed = Testbed { log, log_proxy, boxes_proxy, daemons, worker_stub };
+    let control = testbed.measure().await;
+    for daemon in testbed.daemons {
+        stop_daemon(daemon).await;
     }
     control
 }
 
 struct Testbed {
     log: Log,
-    log_link: Proxy,
-    boxes_link: Proxy,
-    entries: Vec<Daemon>,
+    log_proxy: Proxy,
+    boxes_proxy: Proxy,
+    daemons: Vec<Daemon>,
     worker_stub: WorkerStub,
 }
 
@@ -468,12 +471,12 @@
 
 impl Testbed {
     async fn measure(&self) -> Result<Control, Error> {
-        let daemons = f64::from(DAEMONS);
+        let daemon_count = f64::from(DAEMONS);
         let first = self.sample().await?;
         sleep(MEASURE_TIME).await;
         let idle = self.sample().await?;
         let client = self.client(0);
-        let mut in_force = Duration::ZERO;
+        let mut slowest_change = Duration::ZERO;
         let pause = MEASURE_TIME / LIVE_CHANGES as u32;
         let busy_from = Instant::now();
         for index in 0..LIVE_CHANGES {
@@ -482,52 +485,52 @@
                  slots = 1\nmemory_mb = {}\n",
                 1000 + index
             );
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let published: Published = client.post("/v1/publish", text.into_bytes()).await?;
-            assert_eq!(published.in_force.len(), self.entries.len(), "in force everywhere");
-            in_force = in_force.max(begun.elapsed());
+            assert_eq!(published.in_force.len(), self.daemons.len(), "in force everywhere");
+            slowest_change = slowest_change.max(started_at.elapsed());
             sleep(pause).await;
         }
         let busy_s = busy_from.elapsed().as_secs_f64();
         let busy = self.sample().await?;
         let idle_s = MEASURE_TIME.as_secs_f64();
-        let per_s = |part: fn(&Sample) -> f64| (part(&idle) - part(&first)) / idle_s / daemons;
+        let per_s = |part: fn(&Sample) -> f64| (part(&idle) - part(&first)) / idle_s / daemon_count;
         let idle_bytes_per_s = per_s(Sample::total_bytes);
-        let idle_core = (idle.core_s - first.core_s) / idle_s / daemons;
+        let idle_core = (idle.core_s - first.core_s) / idle_s / daemon_count;
         let changes = LIVE_CHANGES as f64;
-        let more_bytes =
-            (busy.total_bytes() - idle.total_bytes()) / daemons - idle_bytes_per_s * busy_s;
-        let more_core = (busy.core_s - idle.core_s) / daemons - idle_core * busy_s;
+        let extra_bytes =
+            (busy.total_bytes() - idle.total_bytes()) / daemon_count - idle_bytes_per_s * busy_s;
+        let extra_core = (busy.core_s - idle.core_s) / daemon_count - idle_core * busy_s;
         Ok(Control {
             idle_bytes_per_s,
-            idle_peer_bytes_per_s: per_s(|reading| reading.peer_bytes),
-            idle_log_bytes_per_s: per_s(|reading| reading.log_bytes),
-            idle_list_bytes_per_s: per_s(|reading| reading.list_bytes),
-            idle_poll_bytes_per_s: per_s(|reading| reading.poll_bytes),
+            idle_peer_bytes_per_s: per_s(|sample| sample.peer_bytes),
+            idle_log_bytes_per_s: per_s(|sample| sample.log_bytes),
+            idle_list_bytes_per_s: per_s(|sample| sample.list_bytes),
+            idle_poll_bytes_per_s: per_s(|sample| sample.poll_bytes),
             bytes_per_poll: (idle.poll_bytes - first.poll_bytes) / (idle.polls - first.polls),
-            bytes_per_change: (more_bytes / changes).max(0.0),
+            bytes_per_change: (extra_bytes / changes).max(0.0),
             idle_core_percent: idle_core * 100.0,
-            core_ms_per_change: (more_core * 1000.0 / changes).max(0.0),
+            core_ms_per_change: (extra_core * 1000.0 / changes).max(0.0),
             appends_per_change: (busy.appends - idle.appends) / changes,
-            config_everywhere_ms: millis(in_force),
+            config_everywhere_ms: millis(slowest_change),
         })
     }
 
     fn client(&self, daemon: usize) -> Client {
-        Client::new(self.entries[daemon].addrs.operate, &format!("site:{SECRET}"))
+        Client::new(self.daemons[daemon].addrs.operate, &format!("site:{SECRET}"))
     }
 
     async fn sample(&self) -> Result<Sample, Error> {
-        let mut peers = 0;
-        for daemon in 0..self.entries.len() {
+        let mut peer_bytes = 0;
+        for daemon in 0..self.daemons.len() {
             let client = self.client(daemon);
             let totals: Totals = client.get("/v1/counters").await?;
-            peers += totals.get("peer.sent.bytes").copied().unwrap_or(0);
+            peer_bytes += totals.get("peer.sent.bytes").copied().unwrap_or(0);
         }
         Ok(Sample {
-            peer_bytes: peers as f64,
-            log_bytes: self.log_link.forwarded_bytes() as f64,
-            list_bytes: self.boxes_link.forwarded_bytes() as f64,
+            peer_bytes: peer_bytes as f64,
+            log_bytes: self.log_proxy.forwarded_bytes() as f64,
+            list_bytes: self.boxes_proxy.forwarded_bytes() as f64,
             poll_bytes: self.worker_stub.proxy.forwarded_bytes() as f64,
             polls: self.worker_stub.polls.load(Ordering::SeqCst) as f64,
             core_s: probe::thread_cpu_seconds("entry-"),
@@ -536,7 +539,7 @@
     }
 }
 
-/// A stand-in for every worker at once: it always says that it knows more than whoever asks.
+/// Stub that answers for all workers. Its status has the highest fence, so no daemon sends it orders.
 #[derive(Clone)]
 struct WorkerStub {
     proxy: Proxy,
@@ -545,7 +548,7 @@
 
 async fn start_worker_stub() -> std::io::Result<WorkerStub> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
-    let link = Proxy::start(listener.local_addr()?).await?;
+    let proxy = Proxy::start(listener.local_addr()?).await?;
     let (stop, stopped) = watch::channel(false);
     let status = Status {
         fence: u64::MAX,
@@ -556,9 +559,9 @@
     };
     let body = serde_json::to_vec(&status).map_err(std::io::Error::other)?;
     let polls = Arc::new(AtomicU64::new(0));
-    let counted = polls.clone();
+    let poll_counter = polls.clone();
     let handler = move |_: Request<Incoming>| {
-        counted.fetch_add(1, Ordering::SeqCst);
+        poll_counter.fetch_add(1, Ordering::SeqCst);
         let body = body.clone();
         async move { Response::new(full(body)) }
     };
@@ -566,15 +569,15 @@
         let _stop = stop;
         serve(listener, stopped, handler).await;
     });
-    Ok(WorkerStub { proxy: link, polls })
+    Ok(WorkerStub { proxy, polls })
 }
 
 fn settings(id: u16, links: &[Link], log: SocketAddr, boxes: SocketAddr) -> Settings {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let others = links.iter().enumerate().filter(|(to, _)| *to != usize::from(id));
     let peers = others.map(|(to, link)| (to as u16, link.addr()));
     let mut settings = Settings::resolve(|setting| {
-        let given = match setting.flag {
+        let value = match setting.flag {
             "id" => id.to_string(),
             "hall" => "hall-0".to_owned(),
             "peer-secret" => "bench-peer-secret".to_owned(),
@@ -583,12 +586,12 @@
             "site-key-hash" => spokelift_lib::state::account::format_hash(&hash_secret(SECRET)),
             _ => return None,
         };
-        Some(given)
+        Some(value)
     })
-    .expect("the bench's settings are valid");
+    .expect("settings of the benchmark are valid");
     settings.peers = peers.collect();
     settings.peer_key = derive_key("bench-peer-secret");
-    settings.call_addr = any;
+    settings.call_addr = any_port;
     settings
 }
 
