--- a/cli/tests/test_cli.rs
+++ b/cli/tests/test_cli.rs
@@ -1,4 +1,4 @@
-//! The operators' tool against a real daemon: what it prints and how it exits.
+//! The command line tool against a real daemon: output and exit codes.
 
 use std::process::Output;
 
@@ -34,8 +34,8 @@
     output.status.code().unwrap()
 }
 
-/// Ids, paths and times differ from run to run.
-fn settled(text: &str, path: &str) -> String {
+/// Masks ids and paths, which differ between runs.
+fn mask_ids(text: &str, path: &str) -> String {
     let text = text.replace(path, "FILE");
     let words = text.split_inclusive([' ', '\n', ':', ';']);
     let masked = words.map(|word| {
@@ -47,12 +47,12 @@
 }
 
 #[tokio::test]
-async fn a_tour_from_publishing_to_a_finished_wave() {
+async fn a_site_is_published_and_maintained() {
     let fixture = Fixture::start(DAEMON, 1, &[]).await.unwrap();
     let file = TempFile::new("tour.toml", &fixture.site.config());
     let published = run(&fixture, &["publish", file.path()]).await;
     assert_eq!(code(&published), 0, "{}", stderr(&published));
-    insta::assert_snapshot!("publish", settled(&stdout(&published), file.path()));
+    insta::assert_snapshot!("publish", mask_ids(&stdout(&published), file.path()));
     let again = run(&fixture, &["publish", file.path()]).await;
     assert!(stdout(&again).starts_with("nothing to change"), "{}", stdout(&again));
 
@@ -60,7 +60,7 @@
     let words: Vec<&str> = words.split(' ').collect();
     let plan = run(&fixture, &words).await;
     assert_eq!(code(&plan), 0, "{}", stderr(&plan));
-    insta::assert_snapshot!("place", settled(&stdout(&plan), file.path()));
+    insta::assert_snapshot!("place", mask_ids(&stdout(&plan), file.path()));
     let id = stdout(&plan)[5..21].to_owned();
     let (_, jobs) = fixture.call_operator_api(0, "GET", "/v1/jobs", "").await;
     assert_eq!(jobs[0]["placed"], 0, "nothing changes before the plan is confirmed");
@@ -70,7 +70,7 @@
     insta::assert_snapshot!("jobs", stdout(&run(&fixture, &["jobs"]).await));
 
     let plan = run(&fixture, &["intent", "maintain", "--pool", "front"]).await;
-    insta::assert_snapshot!("maintain", settled(&stdout(&plan), file.path()));
+    insta::assert_snapshot!("maintain", mask_ids(&stdout(&plan), file.path()));
     let id = stdout(&plan)[5..21].to_owned();
     assert_eq!(code(&run(&fixture, &["plan", "confirm", &id]).await), 0);
     assert_eq!(code(&run(&fixture, &["wave", "pause", &id]).await), 0);
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn a_plan_that_has_gone_stale_is_refused_whole() {
+async fn a_stale_plan_is_rejected_as_a_whole() {
     let fixture = Fixture::start(DAEMON, 1, &[]).await.unwrap();
     fixture.set_up().await;
     let intent = r#"{"move":{"from":"front","to":"outreach","boxes":1}}"#;
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn faults_of_a_file_are_shown_in_their_place() {
+async fn faults_of_a_file_are_shown_at_their_location() {
     let fixture = Fixture::start(DAEMON, 1, &[]).await.unwrap();
     let text = "[[account]]\nname = \"clinics\"\n\n[[pool]]\nname = \"front\"\n\
                 account = \"clinics\"\nmax_out = 5\nboxes = [\"box-000\", \"box-100\"]\n\n\
@@ -114,11 +114,11 @@
     let file = TempFile::new("faults.toml", text);
     let refused = run(&fixture, &["publish", file.path()]).await;
     assert_eq!(code(&refused), 3);
-    insta::assert_snapshot!("faults", settled(&stderr(&refused), file.path()));
+    insta::assert_snapshot!("faults", mask_ids(&stderr(&refused), file.path()));
     let file = TempFile::new("syntax.toml", "[[pool]]\nname = \"front\ncolour = 1\n");
     let refused = run(&fixture, &["publish", file.path()]).await;
     assert_eq!(code(&refused), 3);
-    insta::assert_snapshot!("syntax", settled(&stderr(&refused), file.path()));
+    insta::assert_snapshot!("syntax", mask_ids(&stderr(&refused), file.path()));
 }
 
 #[tokio::test]
--- a/cli/tests/test_platform.rs
+++ b/cli/tests/test_platform.rs
@@ -1,5 +1,5 @@
-//! Real daemons on the stand-in of the users' platform: what clients are told holds, and no task
-//! runs twice, whatever fails.
+//! Real daemons on the simulated users' platform: replies to clients hold, and no task runs twice,
+//! whatever fails.
 
 use std::process::Stdio;
 use std::time::Duration;
@@ -26,14 +26,14 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeliftd");
 
-/// A job of two steps; each task runs for `millis`.
+/// A job of two steps; each task runs for `millis` milliseconds.
 fn job(tasks: u32, millis: u32) -> Value {
     let step = |after: &[u32]| json!({ "count": tasks, "cpu": 1000, "memMb": 100, "estimateMs": millis, "after": after });
     json!({ "spec": format!("ms={millis} cpu=1000 mem=100"), "steps": [step(&[]), step(&[0])] })
 }
 
-/// A job whose tasks run until it is cancelled; one of them may be away.
-fn lasting(tasks: u32) -> Value {
+/// A job whose tasks run until it is cancelled; one of them may be missing at a time.
+fn long_running_job(tasks: u32) -> Value {
     json!({
         "spec": "cpu=500 mem=100",
         "steps": [{
@@ -46,19 +46,20 @@
     format!("{number:016x}")
 }
 
-fn assert_sound(site: &Site) {
+fn assert_no_faults(site: &Site) {
     assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
 
-/// Each node reads the addresses of the others a few times; by the third time all have written theirs.
-async fn until_nodes_know_each_other(site: &Site) {
+/// Waits until all nodes know the addresses of the others. Each node reads them a few times; by the
+/// third time all have written theirs.
+async fn wait_for_node_discovery(site: &Site) {
     let reads = 3 * site.nodes.len();
     let read = async |site: &Site| site.store.full_reads("keyed.nodes") >= reads;
-    site.wait_until("the nodes know each other", read).await;
+    site.wait_until("the nodes have discovered each other", read).await;
 }
 
 #[tokio::test]
-async fn a_job_is_served_from_end_to_end() {
+async fn a_job_runs_end_to_end() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     assert_eq!(site.submit(0, &id(1), job(4, 100)).await, 200);
     assert_eq!(site.submit(1, &id(1), job(4, 100)).await, 200);
@@ -72,22 +73,22 @@
     let large = json!({ "spec": "x".repeat(300_000), "steps": [] });
     assert_eq!(site.submit(0, &id(3), large).await, 413);
     assert_eq!(site.job_state(0, &id(3)).await, Err(410));
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_cancelled_job_is_gone_from_the_workers() {
+async fn tasks_of_a_cancelled_job_are_stopped() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
-    site.submit_until_accepted(&id(1), lasting(4)).await;
+    site.submit_until_accepted(&id(1), long_running_job(4)).await;
     site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&id(1)) == 4).await;
     assert_eq!(site.cancel(1, &id(1)).await, 200);
     site.wait_until("no task runs", async |site| site.ledger.running_tasks(&id(1)) == 0).await;
     assert_eq!(site.job_state(0, &id(1)).await, Ok("canceled".to_owned()));
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn jobs_survive_the_death_of_the_scheduler() {
+async fn jobs_survive_a_crash_of_the_scheduler() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     for number in 0..8 {
         site.submit_until_accepted(&id(number), job(4, 400)).await;
@@ -98,30 +99,30 @@
         site.wait_until_succeeded(&id(number)).await;
     }
     assert_eq!(site.ledger.done_count(), 64);
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_strong_node_takes_the_lead_before_weak_ones() {
+async fn a_node_with_capacity_becomes_leader_before_others() {
     let site = Site::start_with_cpu_shares(PROGRAM, &[0.1, 0.1, 0.5, 0.1], 3, 0).await.unwrap();
     assert_eq!(site.leader(), Some(2));
-    site.submit_until_accepted(&id(1), lasting(2)).await;
+    site.submit_until_accepted(&id(1), long_running_job(2)).await;
     site.nodes[2].kill();
-    site.wait_until("a weak node leads", async |site| site.leader() != Some(2)).await;
-    // The last holder, which is weak, does not take the lead back before the strong one.
+    site.wait_until("a node without capacity leads", async |site| site.leader() != Some(2)).await;
+    // The last leader, a node without capacity, does not renew its lease before the preferred node takes it.
     for node in &site.nodes {
         node.kill();
     }
     for node in &site.nodes {
         node.start().unwrap();
     }
-    site.wait_until("the strong node leads", async |site| site.leader() == Some(2)).await;
+    site.wait_until("the node with capacity leads", async |site| site.leader() == Some(2)).await;
     site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&id(1)) == 2).await;
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_scheduler_that_wakes_from_a_pause_does_no_harm() {
+async fn a_scheduler_resumed_after_a_pause_starts_no_task_twice() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     let leader = site.leader().unwrap();
     for number in 0..8 {
@@ -131,7 +132,7 @@
     site.wait_until("another node leads", async |site| site.leader() != Some(leader)).await;
     for number in 8..12 {
         let job = job(4, 300);
-        site.wait_until("a running node takes the job", async |site| {
+        site.wait_until("a running node accepts the job", async |site| {
             let node = (leader + 1) % 3;
             site.submit(node, &id(number), job.clone()).await == 200
         })
@@ -141,46 +142,48 @@
     for number in 0..12 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_scheduler_that_the_store_turns_away_goes_on_through_another_node() {
+async fn a_leader_rejected_by_the_store_writes_through_another_node() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
-    until_nodes_know_each_other(&site).await;
+    wait_for_node_discovery(&site).await;
     site.submit_until_accepted(&id(1), job(4, 600)).await;
     let leader = site.leader().unwrap();
     for (number, fault) in [Fault::Busy, Fault::Unresponsive].into_iter().enumerate() {
         site.nodes[leader].store_endpoint.set_fault(fault);
-        // Twice the silence after which another node would claim the lead.
+        // Twice the time without renewal after which another node would take the lease.
         let until = Instant::now() + TAKEOVER_TIMEOUT * 2;
         let mut next = 100 * (number as u64 + 1);
         while Instant::now() < until {
             next += 1;
-            let taken =
+            let is_accepted =
                 async |site: &Site| site.submit(leader, &id(next), job(2, 100)).await == 200;
-            site.wait_until("the node that is turned away takes a job", taken).await;
+            site.wait_until("the node without access to the store accepts a job", is_accepted)
+                .await;
             site.wait_until_succeeded(&id(next)).await;
         }
         assert_eq!(site.leader(), Some(leader));
         site.nodes[leader].store_endpoint.set_fault(Fault::None);
     }
     site.wait_until_succeeded(&id(1)).await;
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_holder_whose_answers_come_late_goes_on_renewing_and_ordering() {
+async fn a_leader_with_slow_store_responses_renews_its_lease_and_moves_machines() {
     let site = Site::start(PROGRAM, 3, 2, 3).await.unwrap();
-    until_nodes_know_each_other(&site).await;
+    wait_for_node_discovery(&site).await;
     let leader = site.leader().unwrap();
-    // Longer than an append waits until a peer is asked as well, which the store refuses then.
-    let late = Flow::Delay(Duration::from_millis(400));
+    // Longer than the delay after which an append is sent through a peer as well; the store then
+    // rejects the second one.
+    let delayed = Flow::Delay(Duration::from_millis(400));
     site.nodes[leader]
         .store_proxy
-        .set_fault(proxy::Fault { answer: late, ..proxy::Fault::default() });
+        .set_fault(proxy::Fault { answer: delayed, ..proxy::Fault::default() });
     let before = site.store.append_count("keyed.lead");
-    site.wait_until("the lead is renewed", async |site| {
+    site.wait_until("the leader lease is renewed", async |site| {
         site.store.append_count("keyed.lead") > before + 8
     })
     .await;
@@ -195,16 +198,16 @@
         site.wait_until_succeeded(&id(number)).await;
     }
     assert_eq!(site.leader(), Some(leader));
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_job_that_comes_while_the_store_is_silent_is_refused_for_certain() {
+async fn submissions_are_rejected_while_the_store_does_not_respond() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     for node in &site.nodes {
         node.store_endpoint.set_fault(Fault::Unresponsive);
     }
-    // Nobody knows what became of the one that was under way.
+    // The outcome of the first write is unknown, since it was under way when the store went silent.
     assert_eq!(site.submit(0, &id(1), job(1, 10)).await, 504);
     for number in 2..8 {
         assert_eq!(site.submit(0, &id(number), job(1, 10)).await, 503);
@@ -217,11 +220,11 @@
     for number in 2..8 {
         assert_eq!(site.job_state(0, &id(number)).await, Err(410));
     }
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn what_was_accepted_survives_the_death_of_all() {
+async fn accepted_jobs_survive_a_crash_of_all_nodes() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     for number in 0..6 {
         site.submit_until_accepted(&id(number), job(4, 300)).await;
@@ -236,11 +239,11 @@
         site.wait_until_succeeded(&id(number)).await;
     }
     assert_eq!(site.ledger.done_count(), 48);
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn lost_and_late_answers_of_the_store_lose_nothing() {
+async fn lost_and_late_store_responses_lose_no_job() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     for fault in [Fault::LosesAnswers, Fault::Late] {
         for node in &site.nodes {
@@ -259,11 +262,11 @@
             site.wait_until_succeeded(&id(number)).await;
         }
     }
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_store_that_is_away_stops_no_running_job() {
+async fn running_jobs_go_on_while_the_store_is_unavailable() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     site.submit_until_accepted(&id(1), job(4, 1_000)).await;
     for node in &site.nodes {
@@ -271,7 +274,8 @@
     }
     let refused = site.submit(0, &id(2), job(1, 100)).await;
     assert_eq!(refused, 503);
-    site.wait_until("the second step has begun", async |site| site.ledger.start_count() == 8).await;
+    site.wait_until("the second step has started", async |site| site.ledger.start_count() == 8)
+        .await;
     sleep(Duration::from_millis(1_500)).await;
     for node in &site.nodes {
         node.store_endpoint.set_fault(Fault::None);
@@ -279,30 +283,30 @@
     site.wait_until_succeeded(&id(1)).await;
     assert_eq!(site.job_state(0, &id(2)).await, Err(410));
     assert_eq!(site.ledger.start_count(), 8);
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn jobs_that_come_together_at_a_slow_store_are_written_together() {
+async fn concurrent_submissions_are_batched_on_a_slow_store() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     site.store.set_append_time(Duration::from_millis(100));
     let before = site.store.append_count("keyed.jobs");
     let jobs = 1..=60;
-    let insist = async |number: u64| site.submit_until_accepted(&id(number), job(1, 10)).await;
-    join_all(jobs.clone().map(insist)).await;
+    let submit = async |number: u64| site.submit_until_accepted(&id(number), job(1, 10)).await;
+    join_all(jobs.clone().map(submit)).await;
     let appends = site.store.append_count("keyed.jobs") - before;
     assert!(appends <= 30, "60 jobs took {appends} appends");
     site.store.set_append_time(Duration::ZERO);
     for number in jobs {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn jobs_of_several_nodes_are_written_side_by_side_and_all_survive() {
+async fn nodes_write_jobs_to_separate_partitions_and_all_survive() {
     let site = Site::start(PROGRAM, 4, 4, 0).await.unwrap();
-    until_nodes_know_each_other(&site).await;
+    wait_for_node_discovery(&site).await;
     for node in 0..4 {
         assert_eq!(site.submit(node, &id(node as u64), job(4, 300)).await, 200);
     }
@@ -318,16 +322,16 @@
     for number in 0..4 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_job_is_refused_after_one_try_once_the_store_is_known_to_be_away() {
+async fn submissions_are_rejected_after_one_attempt_once_the_store_is_known_unavailable() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     for node in &site.nodes {
         node.store_endpoint.set_fault(Fault::Busy);
     }
-    // By the end of the first refusal it is known.
+    // After the first rejection the node knows that the store is unavailable.
     assert_eq!(site.submit(0, &id(1), job(1, 10)).await, 503);
     let failed = async || {
         let metrics = site.metrics(0).await.unwrap();
@@ -344,13 +348,13 @@
     }
     site.submit_until_accepted(&id(9), job(1, 10)).await;
     site.wait_until_succeeded(&id(9)).await;
-    // What was refused has not run.
+    // Rejected jobs have not run.
     assert_eq!(site.ledger.start_count(), 2);
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_store_that_forgets_its_history_costs_no_job() {
+async fn compaction_of_the_store_loses_no_job() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     for number in 0..4 {
         site.submit_until_accepted(&id(number), job(4, 300)).await;
@@ -359,7 +363,7 @@
     for number in 0..4 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
@@ -373,17 +377,15 @@
     for number in 0..6 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
-/// Users of a service saw two jobs of three fail, for the rest of the day. A few tasks brought down each
-/// worker that started them, 10 ms later, with all that ran beside them; the worker was back after 2 s. The
-/// scheduler found another life on the worker's box, gave its tasks to other workers at once, and so on: one
-/// task was started 180 times. The log of that day has runs 179 to 184 of one task in a row under one token,
-/// 3.2 s apart, each on a life of a worker that was gone at the next look: nothing counted what ends with a
-/// worker, since a worker that crashed tells no ends.
+/// A task that crashes each worker that starts it is abandoned after a few crashes. A crashed worker reports
+/// no ends and is back within seconds as a new incarnation, so its tasks are started on other workers at once.
+/// Without a count of crashes, a single task can be started 180 times and take down with each worker
+/// all other tasks on it, so that most jobs of the service fail.
 #[tokio::test]
-async fn a_task_that_brings_down_its_workers_is_given_up() {
+async fn a_task_that_crashes_its_workers_is_abandoned() {
     let site = Site::start(PROGRAM, 2, 6, 0).await.unwrap();
     let mut poison = job(2, 300);
     poison["spec"] = json!("ms=300 cpu=1000 mem=100 kills=10");
@@ -391,16 +393,16 @@
     for number in 2..8 {
         site.submit_until_accepted(&id(number), job(4, 300)).await;
     }
-    let over = async |site: &Site| {
+    let is_over = async |site: &Site| {
         let failed = site.job_state(0, &id(1)).await.is_ok_and(|state| state == "failed");
         failed || !site.ledger.violations().is_empty()
     };
-    site.wait_until("the job has failed", over).await;
+    site.wait_until("the job has failed", is_over).await;
     for number in 2..8 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_sound(&site);
-    assert!(site.ledger.crashes_by_job(&id(1)) >= 2, "no task is given up for one crash");
+    assert_no_faults(&site);
+    assert!(site.ledger.crashes_by_job(&id(1)) >= 2, "no task is abandoned after a single crash");
     let (code, shown) = tool(&site, 0, &["batch", "explain", &id(1)]);
     assert_eq!(code, Some(0), "{shown}");
     assert!(
@@ -408,25 +410,25 @@
         "{shown}"
     );
     assert!(shown.contains("only this job had just begun there"), "{shown}");
-    let given_up = counter(&site, 0, "batch_task_given_up").await;
-    assert_eq!(given_up + counter(&site, 1, "batch_task_given_up").await, 1);
+    let abandoned = counter(&site, 0, "batch_task_given_up").await;
+    assert_eq!(abandoned + counter(&site, 1, "batch_task_given_up").await, 1);
 }
 
 #[tokio::test]
-async fn tasks_of_a_worker_that_is_cut_off_wait_for_its_lease() {
+async fn tasks_of_an_unreachable_worker_wait_for_lease_expiry() {
     let site = Site::start(PROGRAM, 2, 3, 0).await.unwrap();
-    site.submit_until_accepted(&id(1), lasting(3)).await;
+    site.submit_until_accepted(&id(1), long_running_job(3)).await;
     site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&id(1)) == 3).await;
     let worker = site.machines.workers().into_iter().find(|worker| !worker.is_idle()).unwrap();
     worker.set_fault(worker::Fault::Disconnected);
-    site.wait_until("its tasks have lapsed", async |_| worker.is_idle()).await;
+    site.wait_until("its leases have expired", async |_| worker.is_idle()).await;
     site.wait_until("all tasks run elsewhere", async |site| site.ledger.running_tasks(&id(1)) == 3)
         .await;
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_start_without_an_answer_is_not_repeated_elsewhere_while_it_may_run() {
+async fn an_unanswered_start_is_not_repeated_elsewhere_while_it_may_run() {
     let site = Site::start(PROGRAM, 2, 3, 0).await.unwrap();
     for worker in site.machines.workers().iter().take(2) {
         worker.set_fault(worker::Fault::LosesStartAnswers);
@@ -437,11 +439,11 @@
     for number in 0..4 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_run_whose_start_had_no_answer_is_found_and_goes_on() {
+async fn a_run_whose_start_was_unanswered_is_found_and_continues() {
     let site = Site::start(PROGRAM, 2, 3, 0).await.unwrap();
     for worker in site.machines.workers() {
         worker.set_fault(worker::Fault::LosesStartAnswers);
@@ -450,22 +452,22 @@
     site.wait_until_succeeded(&id(1)).await;
     // None of the runs was stopped and started again.
     assert_eq!(site.ledger.start_count(), 6);
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_worker_that_is_slow_to_answer_is_given_more_time() {
+async fn a_worker_that_starts_tasks_slowly_is_given_more_time() {
     let site = Site::start(PROGRAM, 2, 3, 0).await.unwrap();
     for worker in site.machines.workers() {
         worker.set_fault(worker::Fault::SlowStarts);
     }
     site.submit_until_accepted(&id(1), job(6, 100)).await;
     site.wait_until_succeeded(&id(1)).await;
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_worker_that_fails_everything_is_told_from_a_job_that_fails() {
+async fn a_worker_that_fails_every_task_is_distinguished_from_a_failing_job() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     site.machines.worker("m-0").unwrap().set_fault(worker::Fault::FailsAll);
     for number in 0..10 {
@@ -482,50 +484,50 @@
         site.job_state(0, &id(20)).await.is_ok_and(|state| state == "failed")
     })
     .await;
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_wave_keeps_within_its_bound_and_spares_tasks_that_last() {
+async fn a_wave_respects_max_down_and_long_running_tasks() {
     let site = Site::start(PROGRAM, 2, 6, 2).await.unwrap();
-    site.submit_until_accepted(&id(1), lasting(4)).await;
+    site.submit_until_accepted(&id(1), long_running_job(4)).await;
     site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&id(1)) == 4).await;
     let machines: Vec<String> = (0..5).map(|number| format!("m-{number}")).collect();
     site.request_wave(7, &machines, 2);
     site.wait_until("the wave has succeeded", async |site| site.has_wave_succeeded(7)).await;
-    let (begun, most_down) = site.machines.maintenance_counts(7);
-    assert_eq!(begun, 5);
+    let (started, most_down) = site.machines.maintenance_counts(7);
+    assert_eq!(started, 5);
     assert!(most_down <= 2, "{most_down} machines were down at once");
     site.wait_until("all tasks run again", async |site| site.ledger.running_tasks(&id(1)) == 4)
         .await;
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_wave_ends_whose_machines_are_switched_off() {
+async fn a_wave_over_switched_off_machines_succeeds() {
     let site = Site::start(PROGRAM, 2, 2, 4).await.unwrap();
     let machines: Vec<String> = (0..6).map(|number| format!("m-{number}")).collect();
     site.request_wave(7, &machines, 2);
     site.wait_until("the wave has succeeded", async |site| site.has_wave_succeeded(7)).await;
-    let (begun, most_down) = site.machines.maintenance_counts(7);
-    assert_eq!(begun, 6);
+    let (started, most_down) = site.machines.maintenance_counts(7);
+    assert_eq!(started, 6);
     assert!(most_down <= 2, "{most_down} machines were down at once");
 }
 
 #[tokio::test]
-async fn a_wave_ends_although_an_order_for_upkeep_was_lost() {
+async fn a_wave_succeeds_despite_a_lost_maintenance_order() {
     let site = Site::start(PROGRAM, 2, 6, 0).await.unwrap();
     site.machines.lose_orders(1);
     let machines: Vec<String> = (0..3).map(|number| format!("m-{number}")).collect();
     site.request_wave(7, &machines, 1);
     site.wait_until("the wave has succeeded", async |site| site.has_wave_succeeded(7)).await;
-    let (begun, most_down) = site.machines.maintenance_counts(7);
-    assert_eq!(begun, 3);
+    let (started, most_down) = site.machines.maintenance_counts(7);
+    assert_eq!(started, 3);
     assert!(most_down <= 1, "{most_down} machines were down at once");
 }
 
 #[tokio::test]
-async fn a_wave_ends_although_an_earlier_scheduler_had_done_a_part_and_not_written_it() {
+async fn a_wave_succeeds_after_maintenance_that_an_earlier_scheduler_did_not_record() {
     let site = Site::start(PROGRAM, 2, 3, 0).await.unwrap();
     let machines: Vec<String> = (0..3).map(|number| format!("m-{number}")).collect();
     for machine in &machines[..2] {
@@ -533,17 +535,17 @@
     }
     site.request_wave(7, &machines, 1);
     site.wait_until("the wave has succeeded", async |site| site.has_wave_succeeded(7)).await;
-    // The workers that lived on take work.
+    // Workers that were not rebooted take tasks.
     site.submit_until_accepted(&id(1), job(24, 100)).await;
     site.wait_until_succeeded(&id(1)).await;
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
 async fn idle_machines_are_switched_off_and_come_back_for_work() {
     let site = Site::start(PROGRAM, 2, 9, 0).await.unwrap();
-    site.submit_until_accepted(&id(1), lasting(2)).await;
-    // Three are kept beside what the tasks that last need.
+    site.submit_until_accepted(&id(1), long_running_job(2)).await;
+    // Three machines are kept beside those that the long-running tasks need.
     site.wait_until("idle machines are off", async |site| site.machines.count_in_pool("work") == 4)
         .await;
     for number in 2..14 {
@@ -555,11 +557,11 @@
         site.wait_until_succeeded(&id(number)).await;
     }
     assert_eq!(site.ledger.running_tasks(&id(1)), 2);
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_machine_with_a_label_that_only_the_reserve_has_is_fetched_for_a_task() {
+async fn a_machine_with_a_required_label_is_moved_from_the_reserve() {
     let site = Site::start(PROGRAM, 2, 2, 4).await.unwrap();
     let step = json!({
         "count": 2, "cpu": 1000, "memMb": 100, "estimateMs": 100, "requires": "r1-2",
@@ -571,11 +573,11 @@
     .await;
     site.wait_until_succeeded(&id(1)).await;
     assert_eq!(site.machines.count_in_pool("work"), 3, "{}", site.diagnostics());
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn machines_move_to_the_service_that_is_short_of_them() {
+async fn machines_move_to_the_service_with_a_shortage() {
     let site = Site::start(PROGRAM, 2, 2, 3).await.unwrap();
     for number in 0..12 {
         site.submit_until_accepted(&id(number), job(8, 500)).await;
@@ -585,13 +587,13 @@
     for number in 0..12 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
-/// Users of a service whose demand rose while the store was slow waited for boxes that were idle elsewhere: each
-/// order waited until the store knew of it, 1.2 s on average, behind whatever else was being written.
+/// Orders for machines do not wait for a slow store. If each order waits until the store has recorded it, behind
+/// all other writes, a service with rising demand waits 1.2 s on average for each box that is idle elsewhere.
 #[tokio::test]
-async fn machines_move_without_waiting_for_a_store_that_is_slow() {
+async fn machines_move_without_waiting_for_a_slow_store() {
     let site = Site::start(PROGRAM, 2, 2, 6).await.unwrap();
     site.store.set_append_time(Duration::from_millis(300));
     let ahead = async |site: &Site| {
@@ -608,17 +610,17 @@
     for number in 0..16 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert!(ahead(&site).await <= 2, "once is enough for each scheduler");
-    assert_sound(&site);
+    assert!(ahead(&site).await <= 2, "each scheduler announces at most once");
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
 async fn after_a_planned_stop_the_next_scheduler_moves_machines_at_once() {
-    // Longer than anything is awaited here.
+    // Longer than any wait in this test.
     let turn_gap = Duration::from_secs(600);
     let site = Site::start_with_handover_gap(PROGRAM, 2, 2, 4, turn_gap).await.unwrap();
-    // Tasks that last, so that what one scheduler fetches is needed under the next one as well.
-    site.submit_until_accepted(&id(0), lasting(40)).await;
+    // Long-running tasks, so that the next scheduler needs the machines moved by the first as well.
+    site.submit_until_accepted(&id(0), long_running_job(40)).await;
     site.wait_until("the first moves machines", async |site| {
         site.machines.count_in_pool("work") > 2
     })
@@ -627,24 +629,24 @@
     site.nodes[leader].signal(Signal::SIGTERM).unwrap();
     assert_eq!(site.nodes[leader].wait_for_exit(Duration::from_secs(10)).await, Some(true));
     let before = site.machines.count_in_pool("work");
-    assert!(before < 6, "nothing is left to be moved");
-    site.submit_until_accepted(&id(1), lasting(60)).await;
+    assert!(before < 6, "no machine is left to be moved");
+    site.submit_until_accepted(&id(1), long_running_job(60)).await;
     site.wait_until("the next moves machines", async |site| {
         site.machines.count_in_pool("work") > before
     })
     .await;
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_planned_stop_hands_over_and_ends_well() {
+async fn a_planned_stop_hands_over_and_exits_cleanly() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     for number in 0..4 {
         site.submit_until_accepted(&id(number), job(4, 500)).await;
     }
     let leader = site.leader().unwrap();
     site.nodes[leader].signal(Signal::SIGTERM).unwrap();
-    // It still answers while the platform takes it out.
+    // It still answers while the platform takes it out of service.
     assert!(site.job_state(leader, &id(0)).await.is_ok());
     assert_eq!(site.nodes[leader].wait_for_exit(Duration::from_secs(10)).await, Some(true));
     assert_ne!(site.leader(), Some(leader));
@@ -652,11 +654,11 @@
     for number in 0..4 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test]
-async fn a_step_that_needs_advice_runs_where_the_advice_lets_it() {
+async fn a_step_that_needs_advice_runs_only_on_advised_machines() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     for number in 0..4 {
         let step = json!({ "count": 3, "cpu": 500, "memMb": 100, "estimateMs": 100 });
@@ -671,10 +673,10 @@
         site.wait_until_succeeded(&id(number)).await;
     }
     assert_eq!(site.ledger.start_count(), 12);
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
-/// What the tool prints.
+/// Runs the command line tool; returns its exit code, and its standard output and error.
 fn tool(site: &Site, node: usize, words: &[&str]) -> (Option<i32>, String) {
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_spokelift"));
     command.arg("--daemon").arg(site.nodes[node].operator_addr.to_string()).args(words);
@@ -689,7 +691,10 @@
     let site = Site::start(PROGRAM, 2, 2, 0).await.unwrap();
     let large = json!({ "spec": "ms=100", "steps": [{ "count": 1, "cpu": 64_000, "memMb": 100 }] });
     site.submit_until_accepted(&id(1), large).await;
-    site.wait_until("both know who leads", async |site| site.pending_jobs(1).await.is_some()).await;
+    site.wait_until("both nodes know the leader", async |site| {
+        site.pending_jobs(1).await.is_some()
+    })
+    .await;
     for node in 0..2 {
         let (code, text) = tool(&site, node, &["batch", "explain", &id(1)]);
         assert_eq!(code, Some(0), "{text}");
@@ -708,9 +713,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_submit_and_cancel_jobs_in_the_products_own_names() {
+async fn operators_submit_and_cancel_jobs_in_the_products_own_format() {
     let site = Site::start(PROGRAM, 2, 3, 0).await.unwrap();
-    site.wait_until("both know who leads", async |site| site.pending_jobs(1).await.is_some()).await;
+    site.wait_until("both nodes know the leader", async |site| {
+        site.pending_jobs(1).await.is_some()
+    })
+    .await;
     let short = "spec = \"ms=100\"\n[[steps]]\ntasks = 2\ncores = 1.0\nmemory_mb = 100\n\
                  [[steps]]\ntasks = 3\ncores = 0.5\nafter = [0]\n";
     let short = TempFile::new("short.toml", short);
@@ -721,9 +729,9 @@
         site.wait_until_succeeded(text.trim()).await;
     }
     assert_eq!(site.ledger.start_count(), 10);
-    let lasting = "spec = \"x\"\n[[steps]]\ntasks = 3\ncores = 0.5\nlasting = true\n";
-    let lasting = TempFile::new("lasting.toml", lasting);
-    let (job, words) = (id(7), ["batch", "submit", "q", lasting.path(), "--id", &id(7)]);
+    let long_running = "spec = \"x\"\n[[steps]]\ntasks = 3\ncores = 0.5\nlasting = true\n";
+    let long_running = TempFile::new("long-running.toml", long_running);
+    let (job, words) = (id(7), ["batch", "submit", "q", long_running.path(), "--id", &id(7)]);
     let (code, text) = tool(&site, 0, &[&["--key", SITE_KEY], &words[..]].concat());
     assert_eq!((code, text.trim()), (Some(0), job.as_str()));
     site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&job) == 3).await;
@@ -733,13 +741,13 @@
     site.wait_until("no task runs", async |site| site.ledger.running_tasks(&job) == 0).await;
     let (code, _) = tool(&site, 1, &["--key", SITE_KEY, "batch", "cancel", &id(8)]);
     assert_eq!(code, Some(3));
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn changes_need_the_credential_of_the_site_and_a_sound_job() {
+async fn changes_need_the_site_credential_and_a_valid_job() {
     let site = Site::start(PROGRAM, 1, 2, 0).await.unwrap();
-    let sound = TempFile::new("sound.toml", "spec = \"x\"\n[[steps]]\ntasks = 1\n");
+    let valid = TempFile::new("valid.toml", "spec = \"x\"\n[[steps]]\ntasks = 1\n");
     let refused = |key: &str, queue: &str, text: &str, why: &str| {
         let file = TempFile::new("refused.toml", text);
         let words = ["--key", key, "batch", "submit", queue, file.path()];
@@ -747,7 +755,7 @@
         assert_eq!(code, Some(3), "{printed}");
         assert!(printed.contains(why), "{printed}");
     };
-    let text = std::fs::read_to_string(sound.path()).unwrap();
+    let text = std::fs::read_to_string(valid.path()).unwrap();
     refused("site:another-secret", "q", &text, "credential is missing or not valid");
     refused("desk:a-secret-of-the-site", "q", &text, "credential is missing or not valid");
     refused(SITE_KEY, "no-queue", &text, "there is no such queue");
@@ -760,11 +768,11 @@
     let (code, _) = tool(&site, 0, &["--key", "site:another", "batch", "cancel", &id(1)]);
     assert_eq!(code, Some(3));
     assert_eq!(site.ledger.start_count(), 0);
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn metrics_count_and_show_how_long_things_take() {
+async fn metrics_show_counts_and_durations() {
     let site = Site::start(PROGRAM, 1, 2, 0).await.unwrap();
     site.submit_until_accepted(&id(1), job(2, 50)).await;
     site.wait_until_succeeded(&id(1)).await;
@@ -777,7 +785,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_see_how_far_a_wave_is() {
+async fn operators_see_the_progress_of_a_wave() {
     let site = Site::start(PROGRAM, 1, 3, 0).await.unwrap();
     let machines: Vec<String> = (0..2).map(|number| format!("m-{number}")).collect();
     site.request_wave(4, &machines, 1);
@@ -791,22 +799,22 @@
     assert!(text.contains("4     2      2      1        over"), "{text}");
 }
 
-/// A counter of the metrics of a node; 0 if it has not counted yet.
+/// Value of a counter in the metrics of a node; 0 if the node does not report it.
 async fn counter(site: &Site, node: usize, name: &str) -> u64 {
     let text = site.metrics(node).await.unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix(&format!("{name} ")));
     line.and_then(|value| value.trim().parse().ok()).unwrap_or(0)
 }
 
-/// What users saw: a service whose demand rose kept its few boxes for half a minute, while another had
-/// boxes to spare. Connections had gone silent for a second, and the holder of the lead gave up those
-/// to the interface for boxes one call at a time.
+/// Boxes are ordered without delay after connections to the machines interface have hung for a second. If the
+/// leader closes hung connections only one call at a time, a service with rising demand gets no boxes for half a
+/// minute, although another service has boxes to spare.
 #[tokio::test]
-async fn boxes_are_ordered_again_at_once_after_connections_went_silent() {
+async fn boxes_are_ordered_without_delay_after_connections_hang() {
     const JOBS: u64 = 24;
     let site = Site::start(PROGRAM, 1, 1, 16).await.unwrap();
-    // More than the pool holds, so that many boxes are ordered side by side, and so much that more are
-    // wanted when the first ten have come: no more may be under way at once.
+    // More than the pool can run, so that many boxes are ordered concurrently, and so much that more are
+    // wanted when the first ten have come: no more than ten orders may be under way at once.
     for number in 1..=JOBS {
         assert_eq!(site.submit(0, &id(number), job(16, 600)).await, 200);
     }
@@ -816,29 +824,33 @@
         site.wait_until_succeeded(&id(number)).await;
     }
     let opened = site.machines_proxy.connection_count();
-    assert!(opened > 4, "{opened} connections for orders side by side");
-    // All that are to go have gone: of orders that are under way side by side as the silence begins none has an answer.
-    site.wait_until("boxes have gone", async |site| site.machines.count_in_pool("work") <= 3).await;
+    assert!(opened > 4, "{opened} connections for concurrent orders");
+    // Waits until all surplus boxes have left: orders under way when the connections hang get no answer.
+    site.wait_until("surplus boxes have left", async |site| {
+        site.machines.count_in_pool("work") <= 3
+    })
+    .await;
     site.machines_proxy.black_hole_open(Direction::Both);
-    // More than those boxes bear, until it is cancelled.
-    assert_eq!(site.submit(0, &id(JOBS + 1), lasting(100)).await, 200);
+    // Long-running tasks, more than the remaining boxes can run.
+    assert_eq!(site.submit(0, &id(JOBS + 1), long_running_job(100)).await, 200);
     site.wait_until("boxes have come again", async |site| site.machines.count_in_pool("work") >= 7)
         .await;
     let unanswered = counter(&site, 0, "call_machines_unknown").await;
     assert!(unanswered <= 3, "{unanswered} calls about boxes without an answer");
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
-/// Entries of other writers among those of the workers name no worker to use, hold up nobody, and are shown.
+/// Unusable entries among those of the workers are ignored for placement, delay no takeover, and are shown to
+/// operators.
 #[tokio::test]
-async fn entries_that_no_worker_writes_hold_up_nothing_and_are_shown() {
+async fn unusable_worker_entries_block_nothing_and_are_shown() {
     let site = Site::start(PROGRAM, 2, 3, 0).await.unwrap();
-    let foreign = [
+    let unusable = [
         ("x-bytes", "\u{0}\u{1}not json".to_owned()),
         ("x-state", worker::entry_in_state("resting").to_string()),
         ("x-half", json!({ "service": "work", "address": 7 }).to_string()),
     ];
-    for (key, value) in &foreign {
+    for (key, value) in &unusable {
         site.store.put(WORKER_TOPIC, Record::set(*key, value.clone()));
     }
     for number in 0..4 {
@@ -847,28 +859,28 @@
     for number in 0..4 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    let holder = site.leader().unwrap();
+    let leader = site.leader().unwrap();
     let shown = |node: usize| tool(&site, node, &["batch", "workers"]).1;
     for why in ["unusable entry: unreadable", "unusable entry: state", "unusable entry: misshapen"]
     {
-        site.wait_until(why, async |_| shown(holder).contains(why)).await;
+        site.wait_until(why, async |_| shown(leader).contains(why)).await;
     }
-    // The next scheduler waits for none of them.
-    site.nodes[holder].kill();
+    // The next scheduler waits for none of these entries.
+    site.nodes[leader].kill();
     for number in 4..8 {
         site.submit_until_accepted(&id(number), job(3, 100)).await;
     }
     for number in 4..8 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
 
-/// Workers that take whatever they are told, whose room changes under full load: no start goes over it.
+/// Workers that accept every start, whose capacity changes under full load: no start exceeds the capacity.
 #[tokio::test]
-async fn starts_keep_within_rooms_that_change() {
+async fn starts_respect_changing_capacities() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
-    let rooms = [8_000, 2_000, 6_000, 1_000];
+    let capacities = [8_000, 2_000, 6_000, 1_000];
     let submits = async {
         for number in 0..40 {
             site.submit_until_accepted(&id(number), job(8, 400)).await;
@@ -876,9 +888,9 @@
         }
     };
     let resizes = async {
-        for round in 0..rooms.len() {
+        for round in 0..capacities.len() {
             for (number, worker) in site.machines.workers().iter().enumerate() {
-                worker.set_cpu(rooms[(round + number) % rooms.len()], false);
+                worker.set_cpu(capacities[(round + number) % capacities.len()], false);
             }
             sleep(Duration::from_secs(3)).await;
         }
@@ -890,5 +902,5 @@
     for number in 0..40 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_sound(&site);
+    assert_no_faults(&site);
 }
--- a/cli/tests/test_scenarios.rs
+++ b/cli/tests/test_scenarios.rs
@@ -1,4 +1,4 @@
-//! Runs the scenario files; [`spokelift_testutils::scenario`] explains their words.
+//! Runs the scenario files; [`spokelift_testutils::scenario`] documents their commands.
 
 use spokelift_testutils::scenario;
 
