--- a/transport/src/dial.rs
+++ b/transport/src/dial.rs
@@ -1,9 +1,9 @@
-//! Outgoing HTTP connections that say truthfully whether a request may have been received.
+//! Outgoing HTTP connections, with errors that tell whether a request may have been received.
 //!
-//! Connections are kept by address and used for one request at a time. hyper's bare connection
-//! is used rather than a pooling client, since such a client sends some requests again by itself.
-//! A connection goes back to the pool only when its answer was read whole, so an abandoned answer
-//! can never be taken for the next request's.
+//! Connections are pooled by address and used for one request at a time. hyper's bare connection is
+//! used rather than a pooling client, since such a client retries some requests by itself. A
+//! connection returns to the pool only when its response was read to the end, so the rest of an
+//! abandoned response is never taken for the next one.
 
 mod exchange;
 mod pool;
@@ -38,30 +38,32 @@
 pub use crate::dial::response::ResponseBody;
 use crate::socket;
 
-/// How long a request must have gone without an answer when it is given up, or its connection ends,
-/// to say anything about the connection: many times the 5 ms that any of our services takes in calm,
-/// and longer than a process short of processor is usually late. With 0.2 s such a holder of the lead
-/// sent 848 calls again on a day of high load at 350 boxes. Whoever gives up sooner had another reason.
+/// Minimum time without a response for an abandoned request, or the end of its connection, to count
+/// against the connection; also the minimum delay before a second copy is sent. Services respond
+/// within 5 ms under normal load, and a process short of CPU is usually late by less than this:
+/// with 0.2 s a leader short of CPU sent 848 second copies under high load with 350 boxes. A
+/// request abandoned sooner was abandoned for another reason.
 const UNANSWERED_AFTER: Duration = Duration::from_millis(300);
-/// How long ago a connection may have answered to be used for a request that cannot be sent twice: a
-/// small part of the time that callers wait, and long enough for requests in a row to share one.
+/// Maximum time since its last response for a connection to be reused by [`Dialer::send`], whose
+/// requests cannot be sent twice: a small part of the time that callers wait, and long enough for
+/// consecutive requests to share a connection.
 const SEND_MAX_IDLE: Duration = Duration::from_secs(1);
-/// How long ago a connection may have answered to be used for other requests. Our own server closes
-/// one that is idle for 120 s; others may sooner.
+/// Maximum time since its last response for a connection to be reused by exchanges. Our own server
+/// closes a connection that is idle for 120 s; others may sooner.
 const EXCHANGE_MAX_IDLE: Duration = Duration::from_secs(8);
-/// Connections to one address that may be in the making at a time. A site's calls side by side need a
-/// few; where an address does not answer, so many packets each `connect_timeout` ask whether it does.
+/// Maximum number of concurrent connection attempts to one address. Concurrent calls need a few; to
+/// an address that does not respond, this many attempts are made in each `connect_timeout`.
 const MAX_CONNECTING: usize = 8;
-/// How long an idle connection may take to become ready before a new one is made.
+/// How long an idle connection may take to become ready before a new one is opened.
 const READY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Body of an outgoing request or of an answer to a caller.
+/// Body of an outgoing request, or of a response to a caller.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Why a body was not passed on whole.
+/// Why a body was not passed on to its end.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The connection the body came from was cut.
+    /// The connection that the body came from was cut.
     #[error("the body was cut")]
     Cut(#[source] hyper::Error),
     /// The body is over its limit.
@@ -72,14 +74,14 @@
     Timeout,
 }
 
-/// A body of known bytes.
+/// Creates a body with the given bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Why a request has no answer, in the order of what is known of it.
+/// Why a request has no response, and whether it may have been received.
 pub enum SendError {
-    /// Not one byte of the request has left; it comes back to be sent elsewhere.
+    /// No byte of the request was sent; it is returned, so that it can be sent elsewhere.
     NotSent(Box<Request<Body>>, NotSent),
     /// The request may have been received.
     Cut(hyper::Error),
@@ -88,10 +90,10 @@
 /// Why a request was not sent.
 #[derive(Debug, Error)]
 pub enum NotSent {
-    /// No connection could be made.
+    /// No connection could be opened.
     #[error("no connection: {0}")]
     Connect(#[from] std::io::Error),
-    /// No connection could be made in time.
+    /// No connection could be opened in time.
     #[error("no connection in time")]
     ConnectTimeout,
     /// The connection ended before the request was written to it.
@@ -99,24 +101,24 @@
     Closed(#[from] hyper::Error),
 }
 
-/// What happened to a connection.
+/// What happened on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A new connection was made.
+    /// A new connection was opened.
     Opened,
-    /// No connection could be made.
+    /// No connection could be opened.
     Unreachable,
-    /// A request had no answer for a quarter of a second or longer, then it was given up or its
-    /// connection ended.
+    /// A request got no response for at least 300 ms, and then was abandoned or its connection
+    /// ended.
     Unanswered {
-        /// The connection had carried requests before.
+        /// Whether the connection carried requests before this one.
         is_reused: bool,
-        /// So many idle connections to the address were given up for it.
+        /// Number of idle connections to the address that were closed because of it.
         closed_idle: usize,
     },
 }
 
-/// Is told of each [`Event`] of a connection to an address.
+/// Called with each [`Event`] of a connection to an address.
 pub type EventHandler = Arc<dyn Fn(SocketAddr, Event) + Send + Sync>;
 
 impl fmt::Debug for SendError {
@@ -128,7 +130,7 @@
     }
 }
 
-/// Makes and keeps connections. Clones share them.
+/// Opens and pools connections. Clones share the pool.
 #[derive(Clone)]
 pub struct Dialer {
     pool: Arc<ConnectionPool>,
@@ -137,35 +139,37 @@
 }
 
 impl Dialer {
-    /// A dialer that waits up to `connect_timeout` for a connection.
+    /// Creates a dialer that waits up to `connect_timeout` for a connection.
     pub fn new(connect_timeout: Duration) -> Dialer {
         Dialer { pool: Arc::default(), connect_timeout, on_event: None }
     }
 
-    /// The same dialer, which tells `watch` what happens to its connections.
+    /// Returns the same dialer, which calls `handler` with each event of its connections.
     ///
     /// ```
     /// # use std::sync::Arc;
     /// # use std::time::Duration;
     /// # use spokelift_transport::dial::Dialer;
     /// let dialer = Dialer::new(Duration::from_millis(400));
-    /// let dialer = dialer.with_event_handler(Arc::new(|addr, event| println!("{addr}: {event:?}")));
+    /// let handler = Arc::new(|addr, event| println!("{addr}: {event:?}"));
+    /// let dialer = dialer.with_event_handler(handler);
     /// ```
-    pub fn with_event_handler(self, watch: EventHandler) -> Dialer {
-        Dialer { on_event: Some(watch), ..self }
+    pub fn with_event_handler(self, handler: EventHandler) -> Dialer {
+        Dialer { on_event: Some(handler), ..self }
     }
 
     fn emit(&self, addr: SocketAddr, event: Event) {
-        if let Some(watch) = &self.on_event {
-            watch(addr, event);
+        if let Some(handler) = &self.on_event {
+            handler(addr, event);
         }
     }
 
-    /// Sends a request and returns the head of its answer; the body is read from [`ResponseBody`].
+    /// Sends a request and returns the head of its response; the body is read from
+    /// [`ResponseBody`].
     ///
-    /// For requests that may do harm if they are sent twice: only a connection that answered within the
-    /// last second is used again. Of one that has gone silent since, nobody could say whether the
-    /// request was received; a new connection costs one round trip.
+    /// For requests that must not be sent twice: a connection is reused only if it had a response
+    /// within the last second. If an older one is dead, nobody could tell whether the request was
+    /// received; a new connection costs one round trip.
     ///
     /// # Errors
     ///
@@ -178,7 +182,7 @@
         self.send_within(addr, request, SEND_MAX_IDLE).await
     }
 
-    /// The same on a connection that answered within that time, or a new one.
+    /// Sends a request on a connection that had a response within `within`, or on a new one.
     async fn send_within(
         &self,
         addr: SocketAddr,
@@ -186,18 +190,18 @@
         within: Duration,
     ) -> Result<Response<ResponseBody>, SendError> {
         let mut request = request;
-        // An idle connection may have been closed by the other side; hyper gives the request
-        // back if it was not written, and the next connection is tried.
+        // An idle connection may have been closed by the other side; hyper returns the request if
+        // it was not written, and the next connection is tried.
         while let Some(sender) = self.take_idle(addr, within).await {
             match self.send_on(addr, sender, request, true).await {
                 Err(SendError::NotSent(unsent, _)) => request = *unsent,
-                done => return done,
+                result => return result,
             }
         }
         self.send_on_new(addr, request).await
     }
 
-    /// The same on a connection that has carried no request yet.
+    /// Sends a request on a new connection.
     async fn send_on_new(
         &self,
         addr: SocketAddr,
@@ -220,12 +224,12 @@
         addr: SocketAddr,
         mut sender: SendRequest<Body>,
         request: Request<Body>,
-        kept: bool,
+        is_reused: bool,
     ) -> Result<Response<ResponseBody>, SendError> {
         let mut pending = PendingRequest {
             dialer: self,
             addr,
-            is_reused: kept,
+            is_reused,
             sent_at: clock::now(),
             is_finished: false,
         };
@@ -233,8 +237,8 @@
             Ok(response) => {
                 pending.is_finished = true;
                 let dialer = self.clone();
-                let home = ConnectionReturn { dialer, addr, sender, is_reused: kept };
-                Ok(response.map(|incoming| ResponseBody::new(incoming, home)))
+                let connection = ConnectionReturn { dialer, addr, sender, is_reused };
+                Ok(response.map(|incoming| ResponseBody::new(incoming, connection)))
             }
             Err(mut error) => Err(match error.take_message() {
                 Some(unsent) => {
@@ -259,19 +263,21 @@
         }
     }
 
-    /// Takes in that a request was given up, or its connection ended, while nothing had come on that
-    /// connection since `since`.
-    fn record_unanswered(&self, addr: SocketAddr, since: Instant, kept: bool) {
+    /// Reports that a request was abandoned, or its connection ended, when nothing had been
+    /// received on that connection since `since`. Closes the idle connections to the address that
+    /// have had no response since then either. Does nothing if less than [`UNANSWERED_AFTER`] has
+    /// passed.
+    fn record_unanswered(&self, addr: SocketAddr, since: Instant, is_reused: bool) {
         if clock::since(since) >= UNANSWERED_AFTER {
-            let given_up = self.pool.close_unanswered_since(addr, since);
-            self.emit(addr, Event::Unanswered { is_reused: kept, closed_idle: given_up });
+            let closed_idle = self.pool.close_unanswered_since(addr, since);
+            self.emit(addr, Event::Unanswered { is_reused, closed_idle });
         }
     }
 
     async fn connect(&self, addr: SocketAddr) -> Result<SendRequest<Body>, NotSent> {
-        let connecting = self.pool.connect_permits(addr);
+        let permits = self.pool.connect_permits(addr);
         let connect = async {
-            let _permit = connecting.acquire().await.expect("the semaphore is never closed");
+            let _permit = permits.acquire().await.expect("the semaphore is never closed");
             TcpStream::connect(addr).await
         };
         let connect = timeout(self.connect_timeout, connect);
@@ -279,15 +285,15 @@
         socket::set_options(&stream)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         tokio::spawn(async move {
-            // The error also reaches whoever waits for the answer.
+            // The error is also returned to the task that waits for the response.
             let _ = connection.await;
         });
         Ok(sender)
     }
 }
 
-/// A request without an answer so far. Dropped before there is one, its connection may
-/// be silent.
+/// A request without a response so far. If it is dropped before there is one, its connection may be
+/// dead.
 struct PendingRequest<'a> {
     dialer: &'a Dialer,
     addr: SocketAddr,
--- a/transport/src/dial/exchange.rs
+++ b/transport/src/dial/exchange.rs
@@ -1,4 +1,4 @@
-//! Small exchanges: a request, and its whole answer within a time.
+//! Small exchanges: a request and its whole response, with a time limit.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,8 +21,8 @@
 use crate::dial::SendError;
 use crate::dial::UNANSWERED_AFTER;
 
-/// How many times as long as answers of an address took lately the next one may take before the
-/// request is sent a second time.
+/// A response is overdue, and the request is sent a second time, after this multiple of the recent
+/// response time.
 const OVERDUE_FACTOR: u32 = 4;
 
 /// Why a small exchange failed.
@@ -34,63 +34,66 @@
     /// The request may have been received.
     #[error("cut: {0}")]
     Cut(hyper::Error),
-    /// The answer's body was not read whole.
+    /// The body of the response was not read to its end.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// No whole answer in time.
+    /// No complete response in time.
     #[error("no answer in time")]
     Timeout,
-    /// The answer has another status than 200.
+    /// The response has an unexpected status.
     #[error("status {0}")]
     Status(u16),
-    /// The answer does not decode.
+    /// The response does not decode.
     #[error("the answer does not decode: {0}")]
     Decode(#[from] serde_json::Error),
-    /// The request could not be made.
+    /// The request could not be built.
     #[error("not a request: {0}")]
     Request(#[from] hyper::http::Error),
 }
 
-/// Bounds of an exchange.
+/// Limits of an exchange.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most bytes of the answer's body.
+    /// Maximum size of the response's body, in bytes.
     pub max_bytes: usize,
-    /// Longest time for the whole exchange.
+    /// Time limit for the whole exchange.
     pub timeout: Duration,
-    /// How long of that the server may hold the answer back on purpose, as in a long poll.
+    /// Part of `timeout` for which the server may hold the response back on purpose, as in a long
+    /// poll.
     pub long_poll: Duration,
 }
 
-/// An answer to a request that may have been sent twice.
+/// A response to a request that may have been sent twice.
 #[derive(Debug)]
 pub struct HedgedResponse {
-    /// The answer.
+    /// The response.
     pub response: Response<Bytes>,
-    /// The request was sent a second time as well, and the other try has no answer yet: it may have
-    /// been carried out, or may be carried out later.
+    /// Whether the other copy of the request has no response yet: it may have been carried out, or
+    /// may be carried out later.
     pub is_other_pending: bool,
 }
 
 impl Dialer {
-    /// Sends a request once and reads the whole answer, at most `limit` bytes, within `wait`.
+    /// Sends a request once and reads the whole response, at most `limit` bytes, within
+    /// `time_limit`.
     ///
     /// # Errors
     ///
-    /// [`ExchangeError`]; nothing was received only if it is [`ExchangeError::NotSent`].
+    /// [`ExchangeError`]; only after [`ExchangeError::NotSent`] is it certain that the server
+    /// received nothing.
     pub async fn exchange(
         &self,
         addr: SocketAddr,
         request: Request<Body>,
         limit: usize,
-        wait: Duration,
+        time_limit: Duration,
     ) -> Result<Response<Bytes>, ExchangeError> {
-        let begun = clock::now();
-        let done = self.exchange_once(addr, request, limit, wait).await;
-        if done.is_ok() {
-            self.pool.record_latency(addr, clock::since(begun));
+        let started_at = clock::now();
+        let result = self.exchange_once(addr, request, limit, time_limit).await;
+        if result.is_ok() {
+            self.pool.record_latency(addr, clock::since(started_at));
         }
-        done
+        result
     }
 
     async fn exchange_once(
@@ -98,99 +101,103 @@
         addr: SocketAddr,
         request: Request<Body>,
         limit: usize,
-        wait: Duration,
+        time_limit: Duration,
     ) -> Result<Response<Bytes>, ExchangeError> {
         let sent = async {
             read_response(self.send_within(addr, request, EXCHANGE_MAX_IDLE).await, limit).await
         };
-        timeout(wait, sent).await.map_err(|_| ExchangeError::Timeout)?
+        timeout(time_limit, sent).await.map_err(|_| ExchangeError::Timeout)?
     }
 
-    /// Sends a request that does no harm if it is received twice. If its answer is overdue, by what
-    /// this address or all took lately, it is sent again on a new connection: the first one may be silent,
-    /// which a slow server cannot be told from. The same if its connection is cut. The first answer
-    /// counts; if it is that of the second try, all connections there that have not answered since the
-    /// first are given up.
+    /// Sends a request that may safely be received twice. If its response is overdue, by the recent
+    /// response times of this address or of all, or if its connection is cut, a second copy is sent
+    /// on a new connection: the first connection may be dead, which cannot be told from a slow
+    /// server. The first response counts. If it is that of the second copy, all connections to the
+    /// address that have had no response since the first copy was sent are closed.
     ///
-    /// With every connection silent a call to the store is answered after 0.3 s instead of none within
-    /// its 0.6 s.
+    /// If all connections are dead, a call to the store gets its response after 0.3 s instead of
+    /// none within its 0.6 s.
     ///
     /// # Errors
     ///
-    /// [`ExchangeError`]; nothing was received only if it is [`ExchangeError::NotSent`].
+    /// [`ExchangeError`]; only after [`ExchangeError::NotSent`] is it certain that the server
+    /// received nothing.
     pub async fn exchange_hedged(
         &self,
         addr: SocketAddr,
         mut request: impl FnMut() -> Result<Request<Body>, hyper::http::Error>,
         limits: Limits,
     ) -> Result<HedgedResponse, ExchangeError> {
-        let begun = clock::now();
+        let started_at = clock::now();
         let first = self.exchange_once(addr, request()?, limits.max_bytes, limits.timeout);
         let mut first = std::pin::pin!(first);
         let overdue = limits.long_poll + self.hedge_delay(addr);
-        let cut = match timeout(overdue.min(limits.timeout), &mut first).await {
+        let cut_error = match timeout(overdue.min(limits.timeout), &mut first).await {
             // The connection ended, perhaps before the request was received.
             Ok(Err(error @ (ExchangeError::Cut(_) | ExchangeError::Body(BodyError::Cut(_))))) => {
                 Some(error)
             }
-            Ok(done) => {
-                if limits.long_poll.is_zero() && done.is_ok() {
-                    self.pool.record_latency(addr, clock::since(begun));
+            Ok(result) => {
+                if limits.long_poll.is_zero() && result.is_ok() {
+                    self.pool.record_latency(addr, clock::since(started_at));
                 }
-                return unhedged(done);
+                return unhedged(result);
             }
             Err(_) => None,
         };
-        let left = limits.timeout.saturating_sub(clock::since(begun));
+        let remaining = limits.timeout.saturating_sub(clock::since(started_at));
         let second = request()?;
         let second =
             async { read_response(self.send_on_new(addr, second).await, limits.max_bytes).await };
-        let second = timeout(left, second);
+        let second = timeout(remaining, second);
         let second = async { second.await.unwrap_or(Err(ExchangeError::Timeout)) };
-        let open = |response| Ok(HedgedResponse { response, is_other_pending: true });
-        if let Some(cut) = cut {
+        let other_pending = |response| Ok(HedgedResponse { response, is_other_pending: true });
+        if let Some(cut_error) = cut_error {
             return match second.await {
-                Ok(response) => open(response),
-                Err(_) => Err(cut),
+                Ok(response) => other_pending(response),
+                Err(_) => Err(cut_error),
             };
         }
         let mut second = std::pin::pin!(second);
         tokio::select! {
-            done = &mut first => match done {
+            result = &mut first => match result {
                 Ok(response) => {
-                    // It was slow, not silent.
-                    self.pool.record_latency(addr, clock::since(begun).saturating_sub(limits.long_poll));
-                    open(response)
+                    // The connection was slow, not dead.
+                    let latency = clock::since(started_at).saturating_sub(limits.long_poll);
+                    self.pool.record_latency(addr, latency);
+                    other_pending(response)
                 }
                 Err(error) => match second.await {
-                    Ok(response) => open(response),
+                    Ok(response) => other_pending(response),
                     Err(other) => Err(less_certain(error, other)),
                 },
             },
-            done = &mut second => match done {
+            result = &mut second => match result {
                 Ok(response) => {
-                    self.record_unanswered(addr, begun, true);
-                    open(response)
+                    self.record_unanswered(addr, started_at, true);
+                    other_pending(response)
                 }
                 Err(error) => match first.await {
-                    Ok(response) => open(response),
+                    Ok(response) => other_pending(response),
                     Err(other) => Err(less_certain(other, error)),
                 },
             },
         }
     }
 
-    /// From when on an answer of an address is overdue.
+    /// Time after which a response of an address is overdue.
     fn hedge_delay(&self, addr: SocketAddr) -> Duration {
         (self.pool.recent_latency(addr) * OVERDUE_FACTOR).max(UNANSWERED_AFTER)
     }
 }
 
-fn unhedged(done: Result<Response<Bytes>, ExchangeError>) -> Result<HedgedResponse, ExchangeError> {
-    done.map(|response| HedgedResponse { response, is_other_pending: false })
+fn unhedged(
+    result: Result<Response<Bytes>, ExchangeError>,
+) -> Result<HedgedResponse, ExchangeError> {
+    result.map(|response| HedgedResponse { response, is_other_pending: false })
 }
 
-/// What is known after two tries: nothing was received only if neither was sent.
+/// The error to report after two copies: nothing was received only if neither was sent.
 fn less_certain(first: ExchangeError, second: ExchangeError) -> ExchangeError {
     match first {
         ExchangeError::NotSent(_) => second,
@@ -206,12 +213,12 @@
         SendError::NotSent(_, cause) => ExchangeError::NotSent(cause),
         SendError::Cut(cause) => ExchangeError::Cut(cause),
     })?;
-    let (head, answer) = response.into_parts();
-    let bytes = collect_body(answer, limit).await?;
+    let (head, body) = response.into_parts();
+    let bytes = collect_body(body, limit).await?;
     Ok(Response::from_parts(head, bytes))
 }
 
-/// Reads a body whole, at most `limit` bytes.
+/// Reads a body to its end, at most `limit` bytes.
 pub async fn collect_body<B>(body: B, limit: usize) -> Result<Bytes, BodyError>
 where
     B: HttpBody<Data = Bytes, Error = BodyError>,
--- a/transport/src/dial/pool.rs
+++ b/transport/src/dial/pool.rs
@@ -1,9 +1,9 @@
-//! Connections kept between requests, by address, with when each last answered.
+//! Idle connections by address, with the time of the last response on each.
 //!
-//! A connection can go silent without a reset: what is sent is lost and nothing comes back. Nobody
-//! tells, so a request that has no answer casts doubt on every connection to its address that has
-//! not answered since that request was sent. They are all given up then: if each had to fail by
-//! itself, 64 of them would cost 64 times the time limit of a call.
+//! A connection can go dead without a reset: what is sent is lost, nothing comes back, and no error
+//! is reported. A request without a response therefore makes every connection to its address
+//! suspect that has had no response since that request was sent, and all of them are closed. If
+//! each had to fail by itself, 64 of them would cost 64 times the time limit of a call.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,23 +21,23 @@
 use crate::dial::EXCHANGE_MAX_IDLE;
 use crate::dial::MAX_CONNECTING;
 
-/// Idle connections kept for one address.
+/// Maximum number of idle connections to one address.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// A connection without a request under way.
+/// A connection without a request in flight.
 struct IdleConnection {
     sender: SendRequest<Body>,
-    /// When it last answered.
+    /// Time of the last response on it.
     last_answer_at: Instant,
 }
 
-/// What is kept of an address.
+/// State of an address.
 struct Remote {
-    /// Connections without a request under way, the one that answered last at the end.
+    /// Idle connections, the one with the latest response at the end.
     idle: Vec<IdleConnection>,
-    /// How long its answers took lately: the longest, forgotten by an eighth with each answer.
+    /// Maximum of recent response times; decays by an eighth with each response.
     recent_latency: Duration,
-    /// Bounds the connections in the making.
+    /// Limits concurrent connection attempts.
     connect_permits: Arc<Semaphore>,
 }
 
@@ -48,11 +48,12 @@
     }
 }
 
-/// What is kept of each address.
+/// Idle connections and response times of all addresses.
 #[derive(Default)]
 pub(super) struct ConnectionPool {
     remotes: Mutex<HashMap<SocketAddr, Remote>>,
-    /// How long answers of all addresses took lately. Where this process is itself late, all are.
+    /// Maximum of recent response times of all addresses; decays by a thirty-second with each
+    /// response. If this process itself is slow, all responses are late.
     recent_latency: Mutex<Duration>,
 }
 
@@ -61,7 +62,7 @@
         self.remotes.lock().expect("no holder of the addresses panics")
     }
 
-    /// Takes the connection that answered last, if that is no longer ago than `within`.
+    /// Takes the idle connection with the latest response, if that came within `within`.
     pub(super) fn take_idle(
         &self,
         addr: SocketAddr,
@@ -69,12 +70,13 @@
     ) -> Option<SendRequest<Body>> {
         let mut remotes = self.remotes();
         let idle = &mut remotes.get_mut(&addr)?.idle;
-        idle.retain(|kept| clock::since(kept.last_answer_at) <= EXCHANGE_MAX_IDLE);
-        let last = idle.pop_if(|kept| clock::since(kept.last_answer_at) <= within);
-        last.map(|kept| kept.sender)
+        idle.retain(|connection| clock::since(connection.last_answer_at) <= EXCHANGE_MAX_IDLE);
+        let last = idle.pop_if(|connection| clock::since(connection.last_answer_at) <= within);
+        last.map(|connection| connection.sender)
     }
 
-    /// Keeps a connection that has just answered.
+    /// Adds a connection that has just received a response; closes it if there are enough idle
+    /// ones.
     pub(super) fn put_idle(&self, addr: SocketAddr, sender: SendRequest<Body>) {
         let mut remotes = self.remotes();
         let idle = &mut remotes.entry(addr).or_default().idle;
@@ -83,32 +85,34 @@
         }
     }
 
-    /// Gives up the connections to an address that have not answered since; returns how many.
+    /// Closes the idle connections to an address that have had no response since `since`; returns
+    /// how many.
     pub(super) fn close_unanswered_since(&self, addr: SocketAddr, since: Instant) -> usize {
         let mut remotes = self.remotes();
         let Some(remote) = remotes.get_mut(&addr) else { return 0 };
         let before = remote.idle.len();
-        remote.idle.retain(|kept| kept.last_answer_at >= since);
+        remote.idle.retain(|connection| connection.last_answer_at >= since);
         before - remote.idle.len()
     }
 
-    /// An answer of an address took so long.
-    pub(super) fn record_latency(&self, addr: SocketAddr, took: Duration) {
+    /// Records the response time of an address.
+    pub(super) fn record_latency(&self, addr: SocketAddr, elapsed: Duration) {
         let mut remotes = self.remotes();
         let remote = remotes.entry(addr).or_default();
-        remote.recent_latency = took.max(remote.recent_latency - remote.recent_latency / 8);
-        let mut usual = self.recent_latency.lock().expect("no holder of the time panics");
-        *usual = took.max(*usual - *usual / 32);
+        remote.recent_latency = elapsed.max(remote.recent_latency - remote.recent_latency / 8);
+        let mut latency = self.recent_latency.lock().expect("no holder of the time panics");
+        *latency = elapsed.max(*latency - *latency / 32);
     }
 
-    /// How long answers take, of an address or of all, whichever is longer; nothing if none came yet.
+    /// Recent response time of the address or of all addresses, whichever is longer; zero if there
+    /// was no response yet.
     pub(super) fn recent_latency(&self, addr: SocketAddr) -> Duration {
         let of_addr =
             self.remotes().get(&addr).map_or(Duration::ZERO, |remote| remote.recent_latency);
         of_addr.max(*self.recent_latency.lock().expect("no holder of the time panics"))
     }
 
-    /// Bounds how many connections to an address are in the making.
+    /// Semaphore that limits concurrent connection attempts to an address.
     pub(super) fn connect_permits(&self, addr: SocketAddr) -> Arc<Semaphore> {
         self.remotes().entry(addr).or_default().connect_permits.clone()
     }
--- a/transport/src/dial/response.rs
+++ b/transport/src/dial/response.rs
@@ -1,4 +1,4 @@
-//! The answer to a request, which gives its connection back once it was read whole.
+//! The body of a response, which returns its connection to the pool once it is read to the end.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -19,45 +19,49 @@
 use crate::dial::BodyError;
 use crate::dial::Dialer;
 
-/// Where a connection goes back to when its answer was read whole.
+/// A connection in use, and the dialer to return it to once its response is read.
 pub(super) struct ConnectionReturn {
     pub(super) dialer: Dialer,
     pub(super) addr: SocketAddr,
     pub(super) sender: SendRequest<Body>,
-    /// The connection had carried requests before this one.
+    /// Whether the connection carried requests before this one.
     pub(super) is_reused: bool,
 }
 
-/// Body of an answer. Dropped before its end, it closes its connection.
+/// Body of a response. If it is dropped before its end, its connection is closed.
 pub struct ResponseBody {
     incoming: Incoming,
     connection: Option<ConnectionReturn>,
-    /// When something of it last came.
+    /// When a part of the response was last received.
     last_received_at: Instant,
 }
 
 impl ResponseBody {
-    pub(super) fn new(incoming: Incoming, home: ConnectionReturn) -> ResponseBody {
-        ResponseBody { incoming, connection: Some(home), last_received_at: clock::now() }
+    pub(super) fn new(incoming: Incoming, connection: ConnectionReturn) -> ResponseBody {
+        ResponseBody { incoming, connection: Some(connection), last_received_at: clock::now() }
     }
 
-    /// The rest of the answer is not waited for, or does not come.
+    /// Records that the rest of the response is not awaited or does not come.
     fn record_unanswered(&mut self) {
-        if let Some(home) = self.connection.take() {
-            home.dialer.record_unanswered(home.addr, self.last_received_at, home.is_reused);
+        if let Some(connection) = self.connection.take() {
+            connection.dialer.record_unanswered(
+                connection.addr,
+                self.last_received_at,
+                connection.is_reused,
+            );
         }
     }
 
     fn return_connection(&mut self) {
-        if let Some(home) = self.connection.take() {
-            home.dialer.pool.put_idle(home.addr, home.sender);
+        if let Some(connection) = self.connection.take() {
+            connection.dialer.pool.put_idle(connection.addr, connection.sender);
         }
     }
 }
 
 impl Drop for ResponseBody {
     fn drop(&mut self) {
-        // An answer without a body is never polled.
+        // A response without a body is never polled.
         if self.incoming.is_end_stream() {
             self.return_connection();
         }
--- a/transport/src/lib.rs
+++ b/transport/src/lib.rs
@@ -1,5 +1,6 @@
-//! Moves bytes and says what is known when that fails: [`dial`] for outgoing HTTP, [`serve`] for
-//! incoming, and [`clock`] for what "now" is.
+//! HTTP connections, with errors that tell whether a request may have been received: [`dial`] for
+//! outgoing and [`serve`] for incoming ones, [`socket`] for their options, and [`clock`] for time
+//! that counts suspensions.
 
 #![warn(missing_docs)]
 
--- a/transport/src/serve.rs
+++ b/transport/src/serve.rs
@@ -1,4 +1,4 @@
-//! HTTP servers: one task for each connection, stopped without cutting off a request.
+//! HTTP server with one task for each connection. On shutdown, requests in flight are completed.
 
 mod phase;
 
@@ -27,14 +27,14 @@
 use crate::serve::phase::TrackedStream;
 use crate::socket;
 
-/// Most connections one listener holds; further ones wait to be accepted.
+/// Maximum number of connections of a listener; further ones wait to be accepted.
 const MAX_CONNECTIONS: usize = 4096;
 /// Largest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Pause after an accept has failed, e.g. for want of file descriptors.
+/// Pause after a failed accept, for example for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves `listener` until `stop` turns true, then lets the requests in flight end.
+/// Serves `listener` until `stop` turns true, then completes the requests in flight.
 ///
 /// Dropping the future closes every connection at once.
 pub async fn serve<H, F>(listener: TcpListener, mut stop: watch::Receiver<bool>, handler: H)
@@ -75,18 +75,18 @@
     F: Future<Output = Response<Body>>,
 {
     if socket::set_options(&stream).is_err() {
-        // The caller has gone already.
+        // The caller has disconnected already.
         return;
     }
     let phase = Phase::new();
     let service = service_fn(|request| {
         phase.start_response();
-        let answer = handler(request);
+        let response = handler(request);
         let phase = &phase;
         async move {
-            let answer = answer.await;
+            let response = response.await;
             phase.finish_response();
-            Ok::<_, Infallible>(answer)
+            Ok::<_, Infallible>(response)
         }
     });
     let mut builder = http1::Builder::new();
@@ -107,7 +107,7 @@
             }
         };
         tokio::select! {
-            // An error here is the caller's own: it went away or sent no HTTP.
+            // An error here is the caller's: it disconnected or sent invalid HTTP.
             _ = connection.as_mut() => return,
             _ = stop.wait_for(|stop| *stop), if !is_closing => {
                 connection.as_mut().graceful_shutdown();
@@ -116,6 +116,6 @@
             () = sleep_until(clock::timer_instant(due_at)) => {}
         }
     }
-    // The rest of a long answer may still be on its way.
+    // The rest of a long response may still be in transit.
     let _ = connection.await;
 }
--- a/transport/src/serve/phase.rs
+++ b/transport/src/serve/phase.rs
@@ -1,4 +1,4 @@
-//! What an accepted connection is doing, and how long it may.
+//! Activity of an accepted connection, and its time limits.
 
 use std::io;
 use std::pin::Pin;
@@ -17,36 +17,37 @@
 
 use crate::clock;
 
-/// How long a caller may take to send a request's head.
+/// Time limit for receiving the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a connection may be without a request. Longer than any client that we know keeps one: a
-/// request that is sent while its connection is being closed has no answer. Of 400 requests within
-/// 20 ms of the close, 14 and 37 were lost that way; our own dialer keeps connections for 8 s.
+/// How long a connection may be without a request. This is longer than known clients keep idle
+/// connections, since a request that is sent while its connection is being closed gets no response:
+/// of 400 requests within 20 ms of the close, between 14 and 37 were lost. Our own dialer keeps
+/// connections for 8 s.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What a connection is doing.
+/// Activity of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Activity {
-    /// Nothing, since then.
+    /// No request, since this time.
     Idle(Instant),
-    /// It receives the head of a request, since then.
+    /// Receiving the head of a request, since this time.
     ReadingHead(Instant),
-    /// A request is being answered.
+    /// Responding to a request.
     Responding,
 }
 
-/// What is due on a connection.
+/// What is to be done about a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Due {
-    /// Nothing before then.
+    /// Nothing before this time.
     Later(Instant),
-    /// It has been idle for long enough to be closed.
+    /// It has been idle for too long and is to be closed gracefully.
     Close,
-    /// The caller takes too long for a head.
+    /// The caller takes too long to send a head; the connection is to be dropped.
     Abort,
 }
 
-/// What a connection is doing; shared by its reader and its requests.
+/// Activity of a connection, shared by its stream and its request handlers.
 #[derive(Clone)]
 pub(super) struct Phase(Arc<Mutex<Activity>>);
 
@@ -55,42 +56,42 @@
         Phase(Arc::new(Mutex::new(Activity::Idle(clock::now()))))
     }
 
-    fn set(&self, doing: Activity) {
-        *self.0.lock().expect("no holder of the phase panics") = doing;
+    fn set(&self, activity: Activity) {
+        *self.0.lock().expect("no holder of the phase panics") = activity;
     }
 
-    /// Bytes have come.
+    /// Records that bytes were received.
     fn on_bytes(&self) {
-        let mut doing = self.0.lock().expect("no holder of the phase panics");
-        if matches!(*doing, Activity::Idle(_)) {
-            *doing = Activity::ReadingHead(clock::now());
+        let mut activity = self.0.lock().expect("no holder of the phase panics");
+        if matches!(*activity, Activity::Idle(_)) {
+            *activity = Activity::ReadingHead(clock::now());
         }
     }
 
-    /// A request has come.
+    /// Records that a request was received.
     pub(super) fn start_response(&self) {
         self.set(Activity::Responding);
     }
 
-    /// Its answer is known. What is left of it may still be on its way.
+    /// Records that the response is ready. Its body may still be in transit.
     pub(super) fn finish_response(&self) {
         self.set(Activity::Idle(clock::now()));
     }
 
-    /// What is due now.
+    /// What is to be done now.
     pub(super) fn due(&self) -> Due {
-        let doing = *self.0.lock().expect("no holder of the phase panics");
-        match doing {
+        let activity = *self.0.lock().expect("no holder of the phase panics");
+        match activity {
             Activity::Idle(since) if clock::since(since) >= IDLE_TIMEOUT => Due::Close,
             Activity::ReadingHead(since) if clock::since(since) >= HEAD_TIMEOUT => Due::Abort,
             Activity::ReadingHead(since) => Due::Later(since + HEAD_TIMEOUT),
-            // A head may begin at any time.
+            // A head may arrive at any time.
             Activity::Idle(_) | Activity::Responding => Due::Later(clock::now() + HEAD_TIMEOUT),
         }
     }
 }
 
-/// A connection whose bytes are noted in its phase.
+/// A stream that records received bytes in its phase.
 pub(super) struct TrackedStream {
     stream: TcpStream,
     phase: Phase,
--- a/transport/src/socket.rs
+++ b/transport/src/socket.rs
@@ -1,7 +1,7 @@
-//! Options of every TCP connection, made or accepted.
+//! Options of every TCP connection, outgoing or accepted.
 //!
-//! A connection can go silent without a reset. Whoever waits for an answer has a time limit; what
-//! nobody waits on, such as an accepted connection without requests, would stay for ever.
+//! A connection can go dead without a reset. Requests have time limits, but a connection that
+//! nothing waits on, such as an accepted one without requests, would stay open forever.
 
 use std::io;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 use socket2::TcpKeepalive;
 use tokio::net::TcpStream;
 
-/// Time without a byte after which the kernel asks the other side for a sign of life.
+/// Idle time after which the kernel sends a keepalive probe.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(5);
-/// Time between such questions.
+/// Time between keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// How long bytes or questions may go unacknowledged until the kernel ends the connection: longer than
-/// any cut that a request survives, since an answer that is ready is delivered also when it is late.
+/// How long data or probes may go unacknowledged until the kernel closes the connection. This is
+/// longer than any network interruption that a request survives, since a response that is ready is
+/// delivered even if it is late.
 const USER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Sends small messages at once, and has the kernel end the connection once it has been silent for
-/// 30 s.
+/// Disables Nagle's algorithm, and has the kernel close a connection that has been dead for 30 s.
 ///
 /// ```
 /// # let runtime = tokio::runtime::Runtime::new().unwrap();
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 ///
-/// Those of the system; the connection has usually ended then.
+/// Errors of the system; the connection has usually ended then.
 pub fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
