--- a/cli/tests/test_settings.rs
+++ b/cli/tests/test_settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings, as whoever starts it sees them.
+//! The daemon's settings on the command line.
 
 use std::process::Command;
 use std::process::Output;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_flag_goes_before_its_variable() {
+fn a_flag_overrides_its_variable() {
     let mut flags = GOOD.to_vec();
     flags.extend(["--queue-limit", "5"]);
     let output = spokeliftd(&flags, &[("SPOKELIFT_QUEUE_LIMIT", "many")]);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_short_secret_is_refused_and_not_shown() {
+fn a_short_secret_is_rejected_and_not_shown() {
     let mut flags = GOOD.to_vec();
     flags[6] = "hush";
     let output = spokeliftd(&flags, &[]);
--- a/lib/src/daemon.rs
+++ b/lib/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon: its sockets, its tasks, and its stop.
+//! Runs a daemon: binds its sockets, starts its tasks and shuts it down.
 
 use std::io;
 use std::net::SocketAddr;
@@ -32,12 +32,12 @@
 use crate::settings::Settings;
 use crate::transport::serve::serve;
 
-/// How often the state of service is looked at for the log lines.
+/// How often the basis on which the daemon serves is checked for changes.
 const SERVICE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Ports tried where the system may choose.
+/// Attempts to find a port that is free for both TCP and UDP when the system chooses it.
 const MAX_BIND_ATTEMPTS: usize = 8;
 
-/// The addresses a daemon listens on.
+/// The addresses that a daemon listens on.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Addrs {
     /// For callers and the balancer.
@@ -48,7 +48,7 @@
     pub peer: SocketAddr,
 }
 
-/// The sockets a daemon serves.
+/// The sockets that a daemon serves.
 pub struct Sockets {
     call: TcpListener,
     operate: TcpListener,
@@ -57,7 +57,7 @@
 }
 
 impl Sockets {
-    /// Binds the addresses of the settings.
+    /// Binds the configured addresses.
     pub async fn bind(settings: &Settings) -> Result<Sockets, StartError> {
         let call = listen("callers", settings.call_addr).await?;
         let operate = listen("operators", settings.operate_addr).await?;
@@ -65,7 +65,7 @@
         Ok(Sockets { call, operate, peer, catch_up })
     }
 
-    /// The addresses bound.
+    /// The bound addresses.
     pub fn addrs(&self) -> io::Result<Addrs> {
         Ok(Addrs {
             call: self.call.local_addr()?,
@@ -75,29 +75,29 @@
     }
 }
 
-/// Binds the same port for datagrams and streams. A port that the system chose for one may be
-/// taken for the other; another one is tried then.
+/// Binds the same port for UDP and TCP. A port that the system chose for TCP may be in use for UDP,
+/// so several are tried.
 async fn bind_peer(addr: SocketAddr) -> Result<(UdpSocket, TcpListener), StartError> {
-    let mut last = None;
+    let mut last_error = None;
     for _ in 0..MAX_BIND_ATTEMPTS {
-        let stream = listen("peers", addr).await?;
-        let both = async {
-            let bound = stream.local_addr()?;
+        let listener = listen("peers", addr).await?;
+        let bind_udp = async {
+            let bound = listener.local_addr()?;
             UdpSocket::bind(bound).await
         };
-        match both.await {
-            Ok(datagrams) => return Ok((datagrams, stream)),
-            Err(source) => last = Some(source),
+        match bind_udp.await {
+            Ok(socket) => return Ok((socket, listener)),
+            Err(source) => last_error = Some(source),
         }
     }
-    let source = last.expect("it was tried at least once");
+    let source = last_error.expect("at least one port is tried");
     let purpose = "peers";
     Err(StartError::Bind { purpose, addr, source })
 }
 
 /// Runs a daemon until `stop` turns true and the requests in flight have ended.
 ///
-/// Dropping the future, or the runtime it is on, is a crash.
+/// Dropping the future, or the runtime it runs on, stops the daemon as a crash would.
 pub async fn run(
     settings: Settings,
     sockets: Sockets,
@@ -112,10 +112,10 @@
     let calls = serve(sockets.call, closed.clone(), handler(&node, call::handle));
     let operations = serve(sockets.operate, closed, handler(&node, operator_api::handle));
     let stopping = async {
-        // A sender that is gone is a stop as well.
+        // A dropped sender stops the daemon as well.
         let _ = stop.wait_for(|stop| *stop).await;
         node.set_stopping();
-        log::info!("stops: the balancer is told first");
+        log::info!("shutting down: reporting not ready before the listeners close");
         sleep(node.settings.stop_delay).await;
         let _ = close.send(true);
     };
@@ -152,13 +152,13 @@
     }
 }
 
-/// Logs when the daemon begins and ceases to serve, and on what basis.
+/// Logs and counts each change of the basis on which the daemon serves.
 async fn log_basis(node: Arc<Node>) {
     let mut last = None;
     loop {
         let basis = node.basis();
         if last != Some(basis) {
-            log::info!(basis = basis.as_str(); "serves by");
+            log::info!(basis = basis.as_str(); "serving basis changed");
             node.counters.count(&format!("basis.{}", basis.as_str()));
             last = Some(basis);
         }
--- a/lib/src/latency.rs
+++ b/lib/src/latency.rs
@@ -1,4 +1,4 @@
-//! Histograms of how long things take, for the metrics address.
+//! Latency histograms for the metrics address.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,11 +7,11 @@
 
 use hdrhistogram::Histogram;
 
-/// Longest time that is told apart, in milliseconds; longer ones count as that.
+/// Upper bound of the histograms, in milliseconds; longer times are recorded as this value.
 const MAX_TRACKED_MS: u64 = 600_000;
-/// Digits that are kept of a time.
+/// Significant decimal digits of a recorded time.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// Quantiles that are shown.
+/// Quantiles reported for each histogram.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
 
 /// Histograms by name.
@@ -21,7 +21,7 @@
 }
 
 impl Latencies {
-    /// Takes a time into account.
+    /// Records a duration in the histogram `name`, with a resolution of 1 ms.
     ///
     /// ```
     /// use std::time::Duration;
@@ -30,18 +30,19 @@
     /// latencies.record("client.get", Duration::from_millis(7));
     /// assert!(latencies.render().contains("client_get_ms{quantile=\"0.99\"} 7\n"));
     /// ```
-    pub fn record(&self, name: &str, took: Duration) {
+    pub fn record(&self, name: &str, elapsed: Duration) {
         let mut by_name = self.by_name.lock().expect("no holder of the histograms panics");
         if !by_name.contains_key(name) {
             let histogram = Histogram::new_with_bounds(1, MAX_TRACKED_MS, SIGNIFICANT_DIGITS);
             by_name.insert(name.to_owned(), histogram.expect("the bounds are constants"));
         }
         if let Some(histogram) = by_name.get_mut(name) {
-            histogram.saturating_record(took.as_millis() as u64);
+            histogram.saturating_record(elapsed.as_millis() as u64);
         }
     }
 
-    /// All histograms as text: for each, the quantiles in milliseconds and the count.
+    /// Renders all histograms in the Prometheus text format: for each, the quantiles in
+    /// milliseconds and the count.
     pub fn render(&self) -> String {
         let by_name = self.by_name.lock().expect("no holder of the histograms panics");
         let mut text = String::new();
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,8 +1,9 @@
-//! All logic of spokelift, a fleet capacity and maintenance manager.
+//! The library of spokelift, a fleet capacity and maintenance manager.
 //!
-//! The layers, from the bottom: [`transport`] moves bytes, [`protocol`] says what they mean,
-//! [`coordination`] makes the daemons act as one, [`state`] is what they agree on. On top of them,
-//! [`call`] serves callers and [`operate`] serves operators; [`daemon`] puts all together.
+//! The layers, from the bottom: [`transport`] makes and serves HTTP connections, [`protocol`]
+//! defines the messages, [`coordination`] keeps the daemons in agreement, and [`state`] is the
+//! state that they agree on. On top of them, [`call`] serves callers and [`operator_api`] serves
+//! operators; [`daemon`] assembles them. [`batch`] schedules jobs on the users' platform.
 
 #![warn(missing_docs)]
 
--- a/lib/src/listen.rs
+++ b/lib/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listening on the addresses of the settings, and why a process cannot start.
+//! Binds the configured addresses, and defines the errors that keep a process from starting.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,24 +12,24 @@
     /// An address could not be bound.
     #[error("cannot listen for {purpose} on {addr}")]
     Bind {
-        /// What the address is for.
+        /// Purpose of the address.
         purpose: &'static str,
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The underlying error.
         #[source]
         source: io::Error,
     },
-    /// The metrics socket could not be made.
+    /// The socket for metrics could not be created.
     #[error("cannot send metrics")]
     Metrics(#[source] io::Error),
 }
 
-/// Binds an address for connections; `purpose` says in the error what it is for.
+/// Binds a TCP listener; `purpose` says in the error what the address is for.
 ///
 /// # Errors
 ///
-/// [`StartError::Bind`] if that fails.
+/// [`StartError::Bind`] if the address cannot be bound.
 pub async fn listen(purpose: &'static str, addr: SocketAddr) -> Result<TcpListener, StartError> {
     let bound = TcpListener::bind(addr).await;
     bound.map_err(|source| StartError::Bind { purpose, addr, source })
--- a/lib/src/log_limit.rs
+++ b/lib/src/log_limit.rs
@@ -1,4 +1,5 @@
-//! Log lines within bounds: so many a second, and none that waits for its reader.
+//! Limits logging: the rate of lines is bounded, and a thread that logs never waits for the reader
+//! of the output.
 
 use std::io;
 use std::io::Write;
@@ -21,21 +22,21 @@
 
 use crate::transport::clock;
 
-/// Lines a second. A line costs about 15 microseconds of processor, so these take half a hundredth
-/// of a core; a busy site of fifty boxes writes about 300.
+/// Log lines per second. A cluster of fifty boxes under load writes about 300. A line takes about
+/// 15 microseconds of CPU, so this is about half a percent of a core.
 const LINES_PER_S: f64 = 400.0;
-/// Lines that may come at once.
+/// Log lines allowed in a burst.
 const BURST_LINES: f64 = 1_200.0;
-/// Part of the burst that is kept for warnings and errors.
+/// Part of the burst that is reserved for warnings and errors.
 const WARNING_RESERVE_LINES: f64 = 200.0;
-/// Lines that wait for the reader of the output; further ones are left out.
+/// Lines that may wait to be written to the output; further ones are dropped.
 const QUEUE_LINES: usize = 4_096;
-/// Time between writes to the output, so that many lines go out in one.
+/// Pause between writes to the output, so that lines are written in batches.
 const WRITE_INTERVAL: Duration = Duration::from_millis(50);
-/// How long the end of the process waits for the last lines.
+/// How long the process waits at exit until the queued lines are written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How many lines may be written now.
+/// A token bucket that limits the rate of log lines.
 #[derive(Debug)]
 pub struct Budget {
     available_lines: f64,
@@ -44,12 +45,13 @@
 }
 
 impl Budget {
-    /// A full budget.
+    /// A full bucket.
     pub fn new(now: Instant) -> Budget {
         Budget { available_lines: BURST_LINES, filled_at: now, dropped_lines: 0 }
     }
 
-    /// Takes a line; how many were left out before it, or `None` if it is left out itself.
+    /// Accounts for one line. Returns how many lines were dropped since the last one that passed,
+    /// or `None` if this line must be dropped.
     ///
     /// ```
     /// use std::time::Instant;
@@ -62,8 +64,8 @@
         let passed = now.saturating_duration_since(self.filled_at).as_secs_f64();
         self.available_lines = (self.available_lines + passed * LINES_PER_S).min(BURST_LINES);
         self.filled_at = now;
-        let least = if level <= Level::Warn { 1.0 } else { WARNING_RESERVE_LINES + 1.0 };
-        if self.available_lines < least {
+        let required = if level <= Level::Warn { 1.0 } else { WARNING_RESERVE_LINES + 1.0 };
+        if self.available_lines < required {
             self.dropped_lines += 1;
             return None;
         }
@@ -72,14 +74,14 @@
     }
 }
 
-/// Passes lines on to another logger, within a budget.
+/// A logger that passes records on to another one within a [`Budget`].
 pub struct RateLimited<L> {
     inner: L,
     budget: Mutex<Budget>,
 }
 
 impl<L: Log> RateLimited<L> {
-    /// Limits what `inner` gets.
+    /// Limits the rate of the records that `inner` gets.
     pub fn new(inner: L) -> RateLimited<L> {
         RateLimited { inner, budget: Mutex::new(Budget::new(clock::now())) }
     }
@@ -95,16 +97,16 @@
             return;
         }
         let mut budget = self.budget.lock().expect("no holder of the budget panics");
-        let taken = budget.try_take_line(record.level(), clock::now());
+        let dropped = budget.try_take_line(record.level(), clock::now());
         drop(budget);
-        match taken {
+        match dropped {
             None => {}
             Some(0) => self.inner.log(record),
-            Some(left_out) => {
-                let line = format_args!("{left_out} lines were left out");
-                let told =
+            Some(dropped) => {
+                let line = format_args!("{dropped} log lines dropped by the rate limit");
+                let notice =
                     Record::builder().level(Level::Warn).target(module_path!()).args(line).build();
-                self.inner.log(&told);
+                self.inner.log(&notice);
                 self.inner.log(record);
             }
         }
@@ -115,14 +117,15 @@
     }
 }
 
-/// Where formatted lines go: a thread writes them, and whoever logs never waits for it.
+/// A writer for formatted log lines that never blocks: a thread of its own writes them to the
+/// output.
 pub struct Pipe {
     lines: SyncSender<Vec<u8>>,
     progress: Arc<Progress>,
     dropped_lines: u64,
 }
 
-/// How far the thread that writes the lines is.
+/// How many lines a [`Pipe`] has queued and its thread has written.
 #[derive(Default)]
 pub struct Progress {
     sent: AtomicU64,
@@ -130,23 +133,24 @@
 }
 
 impl Progress {
-    /// Waits for the lines so far, though not for ever.
+    /// Waits until all lines queued so far are written, or a timeout has passed.
     pub fn wait_written(&self) {
-        let until = clock::now() + FLUSH_TIMEOUT;
-        let waits = || self.written.load(Ordering::Acquire) < self.sent.load(Ordering::Acquire);
-        while waits() && clock::now() < until {
+        let deadline = clock::now() + FLUSH_TIMEOUT;
+        let is_pending =
+            || self.written.load(Ordering::Acquire) < self.sent.load(Ordering::Acquire);
+        while is_pending() && clock::now() < deadline {
             thread::sleep(WRITE_INTERVAL / 10);
         }
     }
 }
 
 impl Pipe {
-    /// A pipe to an output, and how far it is.
+    /// Starts a thread that writes to `output`; returns a pipe to it, and its progress.
     pub fn new(output: impl Write + Send + 'static) -> (Pipe, Arc<Progress>) {
         let (lines, queue) = sync_channel(QUEUE_LINES);
         let progress = Arc::new(Progress::default());
-        let written = progress.clone();
-        thread::spawn(move || write_queued(&queue, output, &written.written));
+        let counts = progress.clone();
+        thread::spawn(move || write_queued(&queue, output, &counts.written));
         (Pipe { lines, progress: progress.clone(), dropped_lines: 0 }, progress)
     }
 }
@@ -154,12 +158,13 @@
 fn write_queued(queue: &Receiver<Vec<u8>>, mut output: impl Write, written: &AtomicU64) {
     while let Ok(mut bytes) = queue.recv() {
         let mut lines = 1;
-        // No more than the queue holds, or a fast writer could keep it here and grow it without end.
+        // At most one queue of lines, since a thread that logs fast could otherwise keep this loop
+        // going and grow `bytes` without bound.
         for line in queue.try_iter().take(QUEUE_LINES) {
             bytes.extend_from_slice(&line);
             lines += 1;
         }
-        // There is nowhere to tell that the log itself cannot be written.
+        // A failure to write the log itself cannot be reported anywhere.
         let _ = output.write_all(&bytes).and_then(|()| output.flush());
         written.fetch_add(lines, Ordering::Release);
         thread::sleep(WRITE_INTERVAL);
@@ -185,7 +190,7 @@
         Ok(line.len())
     }
 
-    /// Whoever logs does not wait; [`Progress::settle`] does.
+    /// Does nothing, so that logging never blocks; [`Progress::wait_written`] waits.
     fn flush(&mut self) -> io::Result<()> {
         Ok(())
     }
--- a/lib/src/metrics.rs
+++ b/lib/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Counters: one for each refusal, retry and fault reason.
+//! Event counters, with one for each reason of a refusal, retry or fault.
 //!
 //! Counting goes through `cadence`. Its sink keeps totals in this process, for `spokelift
-//! counters`, and passes each metric on to a StatsD address where one is set.
+//! counters`, and forwards each metric to a StatsD address if one is set.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -65,7 +65,7 @@
 }
 
 impl Counters {
-    /// Counters that also send to `statsd`, if given.
+    /// Creates counters that also send to `statsd`, if given.
     pub fn new(statsd: Option<SocketAddr>) -> io::Result<Counters> {
         let totals = Arc::new(Mutex::new(Totals::new()));
         let statsd = match statsd {
@@ -95,7 +95,7 @@
 
     /// Adds to a counter.
     pub fn add(&self, name: &str, value: u64) {
-        // A lost StatsD datagram is no fault of the event that is counted.
+        // A StatsD datagram that cannot be sent must not fail the operation that is counted.
         let _ = self.client.count(name, value);
     }
 
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings: each one a flag and an environment variable, all checked at start.
+//! The daemon's settings. Each one is a flag and an environment variable; all are checked at start.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -20,21 +20,21 @@
 /// Shortest peer secret accepted, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
 
-/// One setting, as the tables of flags and variables have it.
+/// A setting, as the table of flags and variables lists it.
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
     /// Name of the flag, without the dashes.
     pub flag: &'static str,
-    /// What it is for, with its unit.
+    /// Description, with the unit.
     pub help: &'static str,
-    /// What it may be.
+    /// Description of the accepted values.
     pub accepted: &'static str,
-    /// Value without flag and variable; none if it must be given.
+    /// Default value; `None` if the setting is required.
     pub default: Option<&'static str>,
 }
 
 impl Setting {
-    /// Name of the environment variable.
+    /// Name of the environment variable: `SPOKELIFT_` and the flag in upper case.
     ///
     /// ```
     /// let setting = spokelift_lib::settings::ALL[0];
@@ -85,60 +85,60 @@
     "statsd", "address to send metrics to", "IP:PORT, or empty for none", Some("");
 }
 
-/// Checked settings.
+/// Validated settings of a daemon.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Number of this daemon.
     pub id: DaemonId,
-    /// Data hall it stands in.
+    /// Data hall of the daemon's box.
     pub hall: String,
     /// Address for callers.
     pub call_addr: SocketAddr,
     /// Address for operators.
     pub operate_addr: SocketAddr,
-    /// Address for peers, UDP and TCP.
+    /// Address for peers; UDP for heartbeats and TCP for catch-up.
     pub peer_addr: SocketAddr,
     /// The other daemons.
     pub peers: Vec<(DaemonId, SocketAddr)>,
-    /// Key derived from the shared secret.
+    /// Key derived from the secret that the daemons share.
     pub peer_key: PeerKey,
-    /// Address of the log.
+    /// Address of the platform's log.
     pub log_addr: SocketAddr,
-    /// Address of the box list.
+    /// Address of the platform's box list.
     pub box_list_addr: SocketAddr,
     /// Hash of the site operator's secret.
     pub site_key_hash: KeyHash,
-    /// How old the state served by may be.
+    /// Maximum age of the state by which the daemon serves.
     pub max_age: Duration,
     /// Time between heartbeats.
     pub heartbeat_interval: Duration,
-    /// Time between polls.
+    /// Time between polls of the box list, and of boxes whose state is uncertain.
     pub poll_interval: Duration,
-    /// Bytes a second that polls of boxes may take.
+    /// Bytes per second that polls of boxes may take.
     pub poll_bytes_per_s: u32,
-    /// This daemon's share of the log's rate.
+    /// Appends per second that this daemon may make to the log.
     pub appends_per_s: u32,
-    /// Requests of a service that may wait.
+    /// Requests of a service that may wait for a slot.
     pub queue_limit: u32,
-    /// How long a request may wait.
+    /// How long a request may wait for a slot.
     pub queue_wait: Duration,
-    /// How long a request may take.
+    /// How long a request may take in total.
     pub call_limit: Duration,
     /// Largest request body, in bytes.
     pub body_limit: u64,
-    /// Time between telling the balancer and closing the door.
+    /// Time between reporting not ready to the balancer and closing the listeners.
     pub stop_delay: Duration,
     /// Batches on the log between two snapshots.
     pub snapshot_every: u64,
-    /// Most time between two snapshots.
+    /// Maximum time between two snapshots.
     pub snapshot_period: Duration,
     /// How long a plan's last steps wait for boxes that are down.
     pub down_grace: Duration,
-    /// Where to send metrics.
+    /// StatsD address to send metrics to; `None` for none.
     pub statsd: Option<SocketAddr>,
 }
 
-/// One setting that cannot be used.
+/// A setting that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 #[error("--{flag} ({variable}) {problem}")]
 #[diagnostic(code(spokelift::settings), help("accepted: {accepted}"))]
@@ -149,28 +149,28 @@
     pub variable: String,
     /// What is wrong with the value.
     pub problem: Problem,
-    /// What it may be.
+    /// Description of the accepted values.
     pub accepted: &'static str,
 }
 
 /// What is wrong with a value.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Problem {
-    /// It must be given.
+    /// It is required and not set.
     #[error("is not set")]
     Missing,
-    /// It cannot be read.
+    /// The value is not one of those accepted.
     #[error("is {0:?}")]
     Invalid(String),
-    /// It is a secret that cannot be used, and is not shown.
+    /// The secret is too short. Its value is not shown.
     #[error("is too short")]
     SecretTooShort,
-    /// It names the same peer twice, or this daemon itself.
+    /// The list of peers names a daemon twice, or this daemon itself.
     #[error("names daemon {0} twice, or this daemon itself")]
     DuplicatePeer(DaemonId),
 }
 
-/// Everything that is wrong with the settings.
+/// All settings that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 #[error("{} setting(s) cannot be used", faults.len())]
 #[diagnostic(help("each one is a flag or an environment variable; --help lists them"))]
@@ -204,7 +204,8 @@
         });
     }
 
-    /// Reads a value by `read`; a fault stands for it where there is none.
+    /// Parses the value of a setting with `read`; records a fault if there is none or it cannot be
+    /// parsed.
     fn value<T>(&mut self, flag: &'static str, read: impl Fn(&str) -> Option<T>) -> Option<T> {
         let text = self.text(flag)?;
         let value = read(&text);
@@ -241,9 +242,9 @@
 
     fn peers(&mut self, own: Option<DaemonId>) -> Option<Vec<(DaemonId, SocketAddr)>> {
         let peers = self.value("peers", parse_peers)?;
-        let mut seen: BTreeSet<DaemonId> = own.into_iter().collect();
+        let mut known_ids: BTreeSet<DaemonId> = own.into_iter().collect();
         for (id, _) in &peers {
-            if !seen.insert(*id) {
+            if !known_ids.insert(*id) {
                 self.record_fault(find("peers"), Problem::DuplicatePeer(*id));
             }
         }
@@ -260,7 +261,7 @@
 
 fn find(flag: &'static str) -> &'static Setting {
     let found = ALL.iter().find(|setting| setting.flag == flag);
-    found.expect("settings are read by the names in the table")
+    found.expect("every setting that is read is in the table")
 }
 
 fn parse_peers(text: &str) -> Option<Vec<(DaemonId, SocketAddr)>> {
@@ -273,7 +274,7 @@
 }
 
 impl Settings {
-    /// Checks the values that `get` gives for each setting, and names every fault at once.
+    /// Checks the values that `get` returns for each setting, and reports all faults at once.
     ///
     /// ```
     /// use spokelift_lib::settings::Settings;
@@ -291,18 +292,17 @@
     }
 }
 
-/// What a node on the users' platform is told beside the platform's own settings file.
+/// Settings of a node on the users' platform beside those of the platform's settings file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeSettings {
-    /// Hash of the site operator's secret; without one, nobody may change anything through the
-    /// operators' port.
+    /// Hash of the site operator's secret. If `None`, the operators' port accepts no changes.
     pub site_key_hash: Option<KeyHash>,
-    /// Workers that one node looks after for the scheduler.
+    /// Workers that one node polls and dispatches to for the scheduler.
     pub workers_per_shard: usize,
 }
 
 impl NodeSettings {
-    /// Checks the values that `get` gives for each setting, and names every fault at once.
+    /// Checks the values that `get` returns for each setting, and reports all faults at once.
     ///
     /// ```
     /// use spokelift_lib::settings::NodeSettings;
@@ -313,25 +313,25 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names those that cannot be used.
+    /// [`SettingsError`] lists the settings that cannot be used.
     pub fn resolve(
         get: impl Fn(&Setting) -> Option<String>,
     ) -> Result<NodeSettings, SettingsError> {
         const KEY: &str = "site-key-hash";
         let has_key = get(find(KEY)).is_some();
         let mut reader = Reader { get, faults: Vec::new() };
-        let site_key = if has_key { reader.value(KEY, parse_hash) } else { None };
-        let workers_per_share = reader.number("workers-per-share", 1..=100_000);
-        match workers_per_share {
-            Some(workers_per_share) if reader.faults.is_empty() => {
-                Ok(NodeSettings { site_key_hash: site_key, workers_per_shard: workers_per_share })
+        let site_key_hash = if has_key { reader.value(KEY, parse_hash) } else { None };
+        let workers_per_shard = reader.number("workers-per-share", 1..=100_000);
+        match workers_per_shard {
+            Some(workers_per_shard) if reader.faults.is_empty() => {
+                Ok(NodeSettings { site_key_hash, workers_per_shard })
             }
             _ => Err(SettingsError { faults: reader.faults }),
         }
     }
 }
 
-/// Reads every setting before giving up, so that all faults are found.
+/// Reads every setting before it returns `None`, so that all faults are found.
 fn read_settings<F: Fn(&Setting) -> Option<String>>(reader: &mut Reader<F>) -> Option<Settings> {
     let id = reader.parsed("id");
     let hall = reader.value("hall", |text| is_name(text).then(|| text.to_owned()));
@@ -340,12 +340,12 @@
     let peer_addr = reader.parsed("peer-addr");
     let peers = reader.peers(id);
     let peer_key = reader.secret("peer-secret");
-    let log = reader.parsed("log");
-    let boxes = reader.parsed("boxes");
-    let site_key = reader.value("site-key-hash", parse_hash);
+    let log_addr = reader.parsed("log");
+    let box_list_addr = reader.parsed("boxes");
+    let site_key_hash = reader.value("site-key-hash", parse_hash);
     let max_age = reader.millis("max-age-ms", 500..=60_000);
-    let heartbeat = reader.millis("heartbeat-ms", 50..=5_000);
-    let poll = reader.millis("poll-ms", 50..=60_000);
+    let heartbeat_interval = reader.millis("heartbeat-ms", 50..=5_000);
+    let poll_interval = reader.millis("poll-ms", 50..=60_000);
     let poll_bytes_per_s = reader.number("poll-bytes-per-s", 100..=1_000_000_000);
     let appends_per_s = reader.number("appends-per-s", 1..=100);
     let queue_limit = reader.number("queue-limit", 0..=100_000);
@@ -365,12 +365,12 @@
         peer_addr: peer_addr?,
         peers: peers?,
         peer_key: peer_key?,
-        log_addr: log?,
-        box_list_addr: boxes?,
-        site_key_hash: site_key?,
+        log_addr: log_addr?,
+        box_list_addr: box_list_addr?,
+        site_key_hash: site_key_hash?,
         max_age: max_age?,
-        heartbeat_interval: heartbeat?,
-        poll_interval: poll?,
+        heartbeat_interval: heartbeat_interval?,
+        poll_interval: poll_interval?,
         poll_bytes_per_s: poll_bytes_per_s?,
         appends_per_s: appends_per_s?,
         queue_limit: queue_limit?,
--- a/lib/tests/test_imports.rs
+++ b/lib/tests/test_imports.rs
@@ -1,13 +1,13 @@
-//! Which files of lib/src/batch import each other in circles. A file in a circle cannot be read, or tried, without all others
-//! of it. The circles that there are may only shrink.
+//! Import cycles between the files of lib/src/batch. A file in a cycle can be neither understood
+//! nor tested without all others of the cycle, so the cycles may only shrink.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-/// Files that stand in circles, circle by circle, the largest first. Only lower numbers are right here.
-const KNOWN: [usize; 3] = [42, 5, 3];
+/// Numbers of files in each import cycle, the largest first. A change may only lower them.
+const CYCLE_SIZES: [usize; 3] = [42, 5, 3];
 
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
@@ -25,8 +25,8 @@
     }
 }
 
-/// The module that a path names, or the one that holds what it names.
-fn holder(modules: &BTreeMap<String, String>, path: &str) -> Option<String> {
+/// The module that a path names, or the module that contains the named item.
+fn module_of(modules: &BTreeMap<String, String>, path: &str) -> Option<String> {
     let mut path = path;
     loop {
         if modules.contains_key(path) {
@@ -45,56 +45,56 @@
             let line = line.trim_start_matches("pub ");
             line.strip_prefix("use crate::")?.strip_suffix(';')
         });
-        let named = lines.filter_map(|path| holder(&found, path));
+        let named = lines.filter_map(|path| module_of(&found, path));
         (module.clone(), named.filter(|other| other != module).collect())
     };
     found.iter().map(of).collect()
 }
 
-/// All modules that a module needs, over others too.
-fn needed(imports: &Imports, module: &str) -> BTreeSet<String> {
-    let mut needed = BTreeSet::new();
-    let mut open = vec![module.to_owned()];
-    while let Some(module) = open.pop() {
+/// All modules that a module imports, directly or indirectly.
+fn reachable(imports: &Imports, module: &str) -> BTreeSet<String> {
+    let mut reachable = BTreeSet::new();
+    let mut pending = vec![module.to_owned()];
+    while let Some(module) = pending.pop() {
         for other in &imports[&module] {
-            if needed.insert(other.clone()) {
-                open.push(other.clone());
+            if reachable.insert(other.clone()) {
+                pending.push(other.clone());
             }
         }
     }
-    needed
+    reachable
 }
 
-/// Sets of modules each of which needs every other one of its set.
-fn circles(imports: &Imports) -> Vec<BTreeSet<String>> {
-    let needed: BTreeMap<&String, BTreeSet<String>> =
-        imports.keys().map(|module| (module, needed(imports, module))).collect();
-    let circle = |module: &String| -> BTreeSet<String> {
-        let needs_back = |other: &&String| needed[*other].contains(module);
-        needed[module].iter().filter(needs_back).cloned().collect()
+/// Sets of modules in which each imports every other one, directly or indirectly.
+fn cycles(imports: &Imports) -> Vec<BTreeSet<String>> {
+    let reachable: BTreeMap<&String, BTreeSet<String>> =
+        imports.keys().map(|module| (module, reachable(imports, module))).collect();
+    let cycle = |module: &String| -> BTreeSet<String> {
+        let reaches_back = |other: &&String| reachable[*other].contains(module);
+        reachable[module].iter().filter(reaches_back).cloned().collect()
     };
-    let distinct: BTreeSet<BTreeSet<String>> = imports.keys().map(circle).collect();
-    let mut circles: Vec<_> = distinct.into_iter().filter(|circle| circle.len() > 1).collect();
-    circles.sort_by_key(|circle| std::cmp::Reverse(circle.len()));
-    circles
+    let distinct: BTreeSet<BTreeSet<String>> = imports.keys().map(cycle).collect();
+    let mut cycles: Vec<_> = distinct.into_iter().filter(|cycle| cycle.len() > 1).collect();
+    cycles.sort_by_key(|cycle| std::cmp::Reverse(cycle.len()));
+    cycles
 }
 
 #[test]
-fn no_more_files_import_each_other_in_circles() {
-    let circles = circles(&imports());
-    let sizes: Vec<usize> = circles.iter().map(BTreeSet::len).collect();
-    assert_eq!(sizes, KNOWN, "{circles:#?}");
+fn import_cycles_do_not_grow() {
+    let cycles = cycles(&imports());
+    let sizes: Vec<usize> = cycles.iter().map(BTreeSet::len).collect();
+    assert_eq!(sizes, CYCLE_SIZES, "{cycles:#?}");
 }
 
 #[test]
-fn a_circle_is_found_and_a_chain_is_none() {
+fn a_cycle_is_found_and_a_chain_is_not() {
     let imports = |pairs: &[(&str, &[&str])]| -> Imports {
         let set = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
         pairs.iter().map(|(name, names)| ((*name).to_owned(), set(names))).collect()
     };
     let chain = imports(&[("a", &["b"]), ("b", &["c"]), ("c", &[])]);
-    assert_eq!(circles(&chain), Vec::<BTreeSet<String>>::new());
-    let circle = imports(&[("a", &["b"]), ("b", &["c"]), ("c", &["b"])]);
-    let sizes: Vec<usize> = circles(&circle).iter().map(BTreeSet::len).collect();
+    assert_eq!(cycles(&chain), Vec::<BTreeSet<String>>::new());
+    let cycle = imports(&[("a", &["b"]), ("b", &["c"]), ("c", &["b"])]);
+    let sizes: Vec<usize> = cycles(&cycle).iter().map(BTreeSet::len).collect();
     assert_eq!(sizes, [2]);
 }
--- a/lib/tests/test_names.rs
+++ b/lib/tests/test_names.rs
@@ -1,10 +1,11 @@
-//! The platform's names on the wire stand in `platform/` and in its stand-in, and nowhere else.
+//! Names of the platform's wire format are used in `platform/` and in the test double of the
+//! platform only.
 
 use std::fs;
 use std::path::Path;
 use std::path::PathBuf;
 
-/// Names of fields, calls and headers of the platform.
+/// Fields, paths and headers of the platform's wire format.
 const NAMES: [&str; 18] = [
     "apiKeys",
     "pathPrefix",
@@ -26,11 +27,11 @@
     "mayMiss",
 ];
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            sources(&path, found);
+            collect_sources(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
@@ -38,11 +39,11 @@
 }
 
 #[test]
-fn names_of_the_platform_stand_in_its_folder_only() {
+fn wire_names_of_the_platform_are_used_in_its_crate_only() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
     let mut files = Vec::new();
     for folder in ["lib/src", "cli/src", "transport/src"] {
-        sources(&root.join(folder), &mut files);
+        collect_sources(&root.join(folder), &mut files);
     }
     assert!(files.len() > 50, "only {} files were found", files.len());
     let mut leaks = Vec::new();
@@ -52,7 +53,7 @@
         leaks.extend(names.map(|name| format!("{name} in {}", file.display())));
     }
     assert_eq!(leaks, Vec::<String>::new());
-    // The check itself finds such names where they belong.
+    // The check finds such names where they belong.
     let decoded = fs::read_to_string(root.join("platform/src/worker.rs")).unwrap();
     assert!(decoded.contains("fencingToken"));
 }
