--- a/lib/src/latency.rs
+++ b/lib/src/latency.rs
@@ -31,7 +31,8 @@
     /// assert!(latencies.render().contains("client_get_ms{quantile=\"0.99\"} 7\n"));
     /// ```
     pub fn record(&self, name: &str, elapsed: Duration) {
-        let mut by_name = self.by_name.lock().expect("no holder of the histograms panics");
+        let mut by_name =
+            self.by_name.lock().expect("no thread panics while it holds the histograms lock");
         if !by_name.contains_key(name) {
             let histogram = Histogram::new_with_bounds(1, MAX_TRACKED_MS, SIGNIFICANT_DIGITS);
             by_name.insert(name.to_owned(), histogram.expect("the bounds are constants"));
@@ -44,7 +45,8 @@
     /// Renders all histograms in the Prometheus text format: for each, the quantiles in
     /// milliseconds and the count.
     pub fn render(&self) -> String {
-        let by_name = self.by_name.lock().expect("no holder of the histograms panics");
+        let by_name =
+            self.by_name.lock().expect("no thread panics while it holds the histograms lock");
         let mut text = String::new();
         for (name, histogram) in by_name.iter() {
             let name = name.replace(['.', '-'], "_");
--- a/lib/src/log_limit.rs
+++ b/lib/src/log_limit.rs
@@ -96,7 +96,8 @@
         if !self.inner.enabled(record.metadata()) {
             return;
         }
-        let mut budget = self.budget.lock().expect("no holder of the budget panics");
+        let mut budget =
+            self.budget.lock().expect("no thread panics while it holds the budget lock");
         let dropped = budget.try_take_line(record.level(), clock::now());
         drop(budget);
         match dropped {
--- a/lib/src/metrics.rs
+++ b/lib/src/metrics.rs
@@ -41,7 +41,8 @@
 impl MetricSink for Sink {
     fn emit(&self, metric: &str) -> io::Result<usize> {
         if let Some((name, value)) = parse_metric(metric) {
-            let mut totals = self.totals.lock().expect("no holder of the totals panics");
+            let mut totals =
+                self.totals.lock().expect("no thread panics while it holds the totals lock");
             match totals.get_mut(name) {
                 Some(total) => *total += value,
                 None => {
@@ -101,7 +102,7 @@
 
     /// The totals so far.
     pub fn totals(&self) -> Totals {
-        let totals = self.totals.lock().expect("no holder of the totals panics");
+        let totals = self.totals.lock().expect("no thread panics while it holds the totals lock");
         totals.clone()
     }
 }
--- a/transport/src/dial/exchange.rs
+++ b/transport/src/dial/exchange.rs
@@ -111,7 +111,7 @@
 
     /// Sends a request that may safely be received twice. If its response is overdue, by the recent
     /// response times of this address or of all, or if its connection is cut, a second copy is sent
-    /// on a new connection: the first connection may be dead, which cannot be told from a slow
+    /// on a new connection: the first connection may be dead, which looks the same as a slow
     /// server. The first response counts. If it is that of the second copy, all connections to the
     /// address that have had no response since the first copy was sent are closed.
     ///
--- a/transport/src/dial/pool.rs
+++ b/transport/src/dial/pool.rs
@@ -59,7 +59,7 @@
 
 impl ConnectionPool {
     fn remotes(&self) -> MutexGuard<'_, HashMap<SocketAddr, Remote>> {
-        self.remotes.lock().expect("no holder of the addresses panics")
+        self.remotes.lock().expect("no thread panics while it holds the addresses lock")
     }
 
     /// Takes the idle connection with the latest response, if that came within `within`.
@@ -100,7 +100,8 @@
         let mut remotes = self.remotes();
         let remote = remotes.entry(addr).or_default();
         remote.recent_latency = elapsed.max(remote.recent_latency - remote.recent_latency / 8);
-        let mut latency = self.recent_latency.lock().expect("no holder of the time panics");
+        let mut latency =
+            self.recent_latency.lock().expect("no thread panics while it holds the latency lock");
         *latency = elapsed.max(*latency - *latency / 32);
     }
 
@@ -109,7 +110,9 @@
     pub(super) fn recent_latency(&self, addr: SocketAddr) -> Duration {
         let of_addr =
             self.remotes().get(&addr).map_or(Duration::ZERO, |remote| remote.recent_latency);
-        of_addr.max(*self.recent_latency.lock().expect("no holder of the time panics"))
+        of_addr.max(
+            *self.recent_latency.lock().expect("no thread panics while it holds the latency lock"),
+        )
     }
 
     /// Semaphore that limits concurrent connection attempts to an address.
--- a/transport/src/serve/phase.rs
+++ b/transport/src/serve/phase.rs
@@ -57,12 +57,12 @@
     }
 
     fn set(&self, activity: Activity) {
-        *self.0.lock().expect("no holder of the phase panics") = activity;
+        *self.0.lock().expect("no thread panics while it holds the phase lock") = activity;
     }
 
     /// Records that bytes were received.
     fn on_bytes(&self) {
-        let mut activity = self.0.lock().expect("no holder of the phase panics");
+        let mut activity = self.0.lock().expect("no thread panics while it holds the phase lock");
         if matches!(*activity, Activity::Idle(_)) {
             *activity = Activity::ReadingHead(clock::now());
         }
@@ -80,7 +80,7 @@
 
     /// What is to be done now.
     pub(super) fn due(&self) -> Due {
-        let activity = *self.0.lock().expect("no holder of the phase panics");
+        let activity = *self.0.lock().expect("no thread panics while it holds the phase lock");
         match activity {
             Activity::Idle(since) if clock::since(since) >= IDLE_TIMEOUT => Due::Close,
             Activity::ReadingHead(since) if clock::since(since) >= HEAD_TIMEOUT => Due::Abort,
