--- a/lib/src/coordination.rs
+++ b/lib/src/coordination.rs
@@ -1,9 +1,10 @@
-//! Coordination layer: what makes the daemons of a site act as one.
+//! Coordination of the daemons of a site.
 //!
-//! Each daemon holds a [`replica`] of the fleet that it [`follow`]s from the log and changes only
-//! by [`append`]ing. [`member`]s know of each other by heartbeats and [`catch_up`] from
-//! each other when the log is away; [`snapshot`]s let a new daemon start without the whole log; [`fresh`] says when a daemon
-//! may serve; [`drive`] carries out confirmed plans; [`tend`] keeps boxes at their jobs.
+//! Each daemon holds a [`replica`] of the fleet, which it updates by [`follow`]ing the log and
+//! changes only by [`append`]ing to it. [`member`]s detect each other's failure by heartbeats and
+//! [`catch_up`] from each other when the log is unavailable; [`snapshot`]s let a new daemon start
+//! without reading the whole log; [`freshness`] decides when a daemon may serve; [`drive`] executes
+//! confirmed plans; [`reconcile`] polls the boxes and corrects the jobs that run on them.
 
 pub mod append;
 pub mod box_list;
--- a/lib/src/coordination/append.rs
+++ b/lib/src/coordination/append.rs
@@ -1,8 +1,8 @@
-//! Writes records to the log and learns their verdicts by reading them back.
+//! Appends records to the log, and gets their verdicts by reading them back from it.
 //!
-//! One append is under way at a time, and it is sent again, under the same sequence, until its
-//! answer or its records come back; readers drop the copies. A limiter keeps each daemon's share
-//! of the log's rate, and records that wait meanwhile go together in one append.
+//! One append is under way at a time. It is retried with the same sequence number until it is
+//! answered or its records are read back; readers drop duplicates. A rate limiter keeps each daemon
+//! within its part of the log's rate; records that queue up meanwhile go into one append.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -39,11 +39,11 @@
 use crate::transport::dial::Limits;
 use crate::transport::dial::full;
 
-/// Most records that wait for the log.
+/// Most records that may be queued.
 const MAX_QUEUED_RECORDS: usize = 4096;
 /// Most records in one append.
 const MAX_RECORDS: usize = 512;
-/// How long the log may take to answer an append.
+/// How long an append may take.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
 /// First pause after a failed append.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
@@ -51,39 +51,42 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
 /// How long an operator's request waits for its verdict.
 pub const VERDICT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Appends that may go out at once after a pause.
+/// Most appends that may be sent in a burst.
 const BURST: u32 = 8;
 
-/// Why a record has no accepted offset.
+/// Why a submitted record has no offset.
 #[derive(Debug, Error)]
 pub enum AppendError {
-    /// It was judged, and changed nothing.
+    /// It was rejected by its verdict, and changed nothing.
     #[error(transparent)]
     Refused(#[from] Refusal),
-    /// It may yet take effect.
+    /// Its verdict is not known: it may still take effect.
     #[error("not yet known")]
     Unknown(RecordId),
-    /// It was not sent: too many records wait.
+    /// It was not queued, and takes no effect: too many records wait.
     #[error("too many records wait for the log")]
     QueueFull,
 }
 
-/// Hands records to the queue.
+/// A handle for submitting records.
 #[derive(Clone, Debug)]
 pub struct Appender {
     queue: Address<Queue>,
     wake: Arc<Notify>,
 }
 
-/// The records that wait, and those who wait for verdicts.
+/// The records to append, and the channels on which submitters wait for verdicts.
 #[derive(Default, xtra::Actor)]
 struct Queue {
     records: VecDeque<Record>,
     verdict_senders: HashMap<RecordId, oneshot::Sender<Verdict>>,
 }
 
+/// Queues a record; the answer is `None` if the queue is full.
 struct Submit(Record);
+/// Removes as many records from the queue as fit into one batch.
 struct TakeRecords;
+/// Sends verdicts to those submitters that still wait.
 struct DeliverVerdicts(Vec<(RecordId, Verdict)>);
 
 impl Handler<Submit> for Queue {
@@ -125,7 +128,7 @@
     async fn handle(&mut self, message: DeliverVerdicts, _: &mut Context<Self>) {
         for (id, verdict) in message.0 {
             if let Some(sender) = self.verdict_senders.remove(&id) {
-                // Whoever asked may have gone.
+                // The submitter may have timed out.
                 let _ = sender.send(verdict);
             }
         }
@@ -139,7 +142,8 @@
         Appender { queue, wake: Arc::default() }
     }
 
-    /// Submits a change and waits up to [`VERDICT_TIMEOUT`] for its verdict.
+    /// Submits a change and waits for its verdict up to [`VERDICT_TIMEOUT`]. Returns the offset at
+    /// which it was accepted.
     pub async fn submit(&self, id: RecordId, body: Body) -> Result<Offset, AppendError> {
         let verdict = self.enqueue(id, body).await?;
         match timeout(VERDICT_TIMEOUT, verdict).await {
@@ -148,7 +152,8 @@
         }
     }
 
-    /// Submits a change and waits for its verdict however long the log is away.
+    /// Submits a change and waits for its verdict, however long the log is unavailable. Returns the
+    /// offset at which it was accepted.
     pub async fn submit_without_timeout(&self, body: Body) -> Result<Offset, AppendError> {
         let id = new_record_id();
         let verdict = self.enqueue(id, body).await?;
@@ -169,18 +174,18 @@
         Ok(receiver)
     }
 
-    /// Passes on verdicts that were read back.
+    /// Sends verdicts that were read back from the log to the submitters.
     pub async fn deliver_verdicts(&self, verdicts: Vec<(RecordId, Verdict)>) {
         let _ = self.queue.send(DeliverVerdicts(verdicts)).await;
     }
 }
 
-/// A new record id.
+/// A random record id.
 pub fn new_record_id() -> RecordId {
     rand::rng().random()
 }
 
-/// Appends what is submitted, for as long as the daemon runs.
+/// Appends submitted records for as long as the daemon runs.
 pub async fn run(node: Arc<Node>) {
     let limiter = limiter(node.settings.appends_per_s);
     let incarnation = writer_incarnation(&node).await;
@@ -195,8 +200,8 @@
     }
 }
 
-/// The life under which this daemon writes: its own, or one more than the last on the log if its
-/// clock has gone back since. Known once the log's end was reached.
+/// The incarnation in which this daemon writes: its own, or the last one on the log plus one if the
+/// daemon's clock has gone back since. Waits until a read has reached the log's end.
 async fn writer_incarnation(node: &Node) -> Incarnation {
     let mut changes = node.replica.changes();
     while node.replica.log_age(clock::now()).is_none() {
@@ -219,12 +224,12 @@
     (!taken.is_empty()).then_some(taken)
 }
 
-/// Sends a batch until it is known to be on the log.
+/// Retries sending a batch until it is known to be on the log.
 async fn append_batch(node: &Node, limiter: &DefaultDirectRateLimiter, batch: &Batch) {
     let bytes = match batch.encode() {
         Ok(bytes) => bytes,
         Err(_) => {
-            // Only a single record that is too large on its own comes here.
+            // Only a batch of one record can be too large.
             node.counters.count("log.append.too-large");
             return;
         }
@@ -256,6 +261,7 @@
     }
 }
 
+/// Whether the batch, or a later one of this writer, was read from the log.
 fn is_read_back(node: &Node, batch: &Batch) -> bool {
     let fleet = node.replica.fleet();
     let writer = fleet.writers.get(&batch.writer);
@@ -265,7 +271,7 @@
 }
 
 async fn send_append(node: &Node, bytes: Vec<u8>) -> Result<Appended, ExchangeError> {
-    // A batch that is on the log twice counts once, by its writer's number.
+    // Hedging is safe: readers drop a duplicate by the writer's sequence number.
     let request = || Request::post(APPEND).body(full(bytes.clone()));
     let limits = Limits { max_bytes: 4096, timeout: APPEND_TIMEOUT, long_poll: Duration::ZERO };
     let answer =
--- a/lib/src/coordination/box_list.rs
+++ b/lib/src/coordination/box_list.rs
@@ -19,12 +19,12 @@
 use crate::transport::dial::Limits;
 use crate::transport::dial::full;
 
-/// How long the box list may take to answer.
+/// How long a read of the box list may take.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 /// Largest box list, in bytes.
 const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
 
-/// The box list as last read; it lags, and is kept when it cannot be read.
+/// The box list as last read. It lags behind the platform's, and is kept while reads fail.
 #[derive(Debug, Default)]
 pub struct BoxList {
     inner: Mutex<Inner>,
@@ -39,7 +39,7 @@
 
 impl BoxList {
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no holder of the listing panics")
+        self.inner.lock().expect("the box list lock is not poisoned")
     }
 
     /// Boxes that are not leaving.
@@ -47,7 +47,7 @@
         self.inner().shapes.clone()
     }
 
-    /// Boxes that are on their way out.
+    /// Boxes that are leaving.
     pub fn leaving(&self) -> Arc<BTreeSet<BoxId>> {
         self.inner().leaving.clone()
     }
@@ -56,7 +56,7 @@
         self.inner().version
     }
 
-    /// Takes in what changed. Returns whether anything did.
+    /// Applies a whole list or a list of changes. Returns whether anything changed.
     fn apply_update(&self, list: List) -> bool {
         let mut inner = self.inner();
         let changed = list.whole || !list.boxes.is_empty() || !list.gone.is_empty();
--- a/lib/src/coordination/catch_up.rs
+++ b/lib/src/coordination/catch_up.rs
@@ -1,4 +1,4 @@
-//! Catches up from a peer when the log cannot be read, and serves peers that do.
+//! Catches up from a peer while the log cannot be read, and serves peers that do so.
 
 use std::io;
 use std::net::SocketAddr;
@@ -33,17 +33,17 @@
 use crate::state::snapshot;
 use crate::transport::clock;
 
-/// How often a daemon looks whether it should catch up.
+/// How often a daemon checks whether it should catch up.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Age of the last good read of the log from which on a daemon asks its peers.
+/// Age of the last successful read of the log at which a daemon starts to catch up from peers.
 const MAX_LOG_AGE: Duration = Duration::from_millis(1300);
 /// How long one exchange may take.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after a failed exchange or accept.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Peers served at a time.
+/// Most peers served at a time.
 const MAX_CLIENTS: usize = 8;
-/// Bytes of state in one piece.
+/// Most bytes of state in one piece.
 const STATE_PIECE_BYTES: usize = 1024 * 1024;
 /// Largest state taken from a peer, in bytes.
 const MAX_STATE_BYTES: usize = 64 * 1024 * 1024;
@@ -54,23 +54,23 @@
     /// The connection failed.
     #[error("the connection failed")]
     Connection(#[from] io::Error),
-    /// The peer ended the connection too early.
-    #[error("the peer ended the connection")]
+    /// The peer closed the connection before the answer was complete.
+    #[error("the peer closed the connection")]
     ConnectionClosed,
-    /// A piece was refused.
+    /// A message has a wrong seal, or does not decode.
     #[error(transparent)]
     Piece(#[from] PieceError),
-    /// A piece belongs to another answer, or is out of order.
-    #[error("a piece of another answer")]
+    /// A piece or request belongs to another exchange, or a piece is out of order.
+    #[error("a message of another exchange, or out of order")]
     Mismatch,
-    /// The state is larger than a state may be.
+    /// The state is larger than the limit.
     #[error("the state is too large")]
     TooLarge,
     /// The state does not decode.
     #[error("the state does not decode")]
     State(#[from] snapshot::SnapshotError),
-    /// No whole answer in time.
-    #[error("no answer in time")]
+    /// The exchange took too long.
+    #[error("the exchange timed out")]
     Timeout,
 }
 
@@ -96,7 +96,7 @@
     Framed::new(stream, codec)
 }
 
-/// Catches up from peers while the log gives trouble, for as long as the daemon runs.
+/// Catches up from peers while the log cannot be read, for as long as the daemon runs.
 pub async fn run(node: Arc<Node>) {
     loop {
         sleep(CHECK_INTERVAL).await;
@@ -116,7 +116,8 @@
     }
 }
 
-/// Takes what a peer has applied beyond this daemon, or its whole state.
+/// Fetches and applies the batches that a peer has applied beyond this daemon. If `whole`, or if
+/// the peer no longer has all of them, installs its state instead.
 pub async fn from_peer(
     node: &Arc<Node>,
     peer: SocketAddr,
@@ -148,16 +149,16 @@
     from: Offset,
     whole: bool,
 ) -> Result<Answer, CatchUpError> {
-    let mut link = peer_stream(TcpStream::connect(peer).await?);
+    let mut stream = peer_stream(TcpStream::connect(peer).await?);
     let key = &node.settings.peer_key;
-    let greeting: Greeting = open(key, &receive_frame(&mut link).await?)?;
+    let greeting: Greeting = open(key, &receive_frame(&mut stream).await?)?;
     let client: Nonce = rand::random();
     let request = Request { server: greeting.server, client, from, whole };
-    link.send(Bytes::from(seal(key, &request))).await?;
+    stream.send(Bytes::from(seal(key, &request))).await?;
     let mut batches = Vec::new();
     let mut state = Vec::new();
     for index in 0.. {
-        let piece: Piece = open(key, &receive_frame(&mut link).await?)?;
+        let piece: Piece = open(key, &receive_frame(&mut stream).await?)?;
         if piece.client != client || piece.index != index {
             return Err(CatchUpError::Mismatch);
         }
@@ -177,14 +178,15 @@
     if state.is_empty() {
         return Ok(Answer::Batches(batches));
     }
-    // The pieces are sealed and in order, so the hash is the state's own.
+    // The pieces are authenticated and in order, so the digest need not be sent: it is that of the
+    // received bytes.
     let digest = snapshot::digest(&state);
     let fleet = snapshot::decode(&state, from, digest)?;
     Ok(Answer::State(Box::new(fleet)))
 }
 
-async fn receive_frame(link: &mut PeerStream) -> Result<Bytes, CatchUpError> {
-    let frame = link.next().await.ok_or(CatchUpError::ConnectionClosed)??;
+async fn receive_frame(stream: &mut PeerStream) -> Result<Bytes, CatchUpError> {
+    let frame = stream.next().await.ok_or(CatchUpError::ConnectionClosed)??;
     Ok(frame.freeze())
 }
 
@@ -219,26 +221,26 @@
 }
 
 async fn serve_peer(node: &Node, stream: TcpStream) -> Result<(), CatchUpError> {
-    let mut link = peer_stream(stream);
+    let mut stream = peer_stream(stream);
     let key = &node.settings.peer_key;
     let server: Nonce = rand::random();
-    link.send(Bytes::from(seal(key, &Greeting { server }))).await?;
-    let request: Request = open(key, &receive_frame(&mut link).await?)?;
+    stream.send(Bytes::from(seal(key, &Greeting { server }))).await?;
+    let request: Request = open(key, &receive_frame(&mut stream).await?)?;
     if request.server != server {
         return Err(CatchUpError::Mismatch);
     }
-    let loads = build_loads(node, &request);
-    let count = loads.len();
-    for (index, load) in loads.into_iter().enumerate() {
+    let payloads = build_payloads(node, &request);
+    let count = payloads.len();
+    for (index, payload) in payloads.into_iter().enumerate() {
         let last = index + 1 == count;
-        let piece = Piece { client: request.client, index: index as u32, last, payload: load };
-        link.send(Bytes::from(seal(key, &piece))).await?;
+        let piece = Piece { client: request.client, index: index as u32, last, payload };
+        stream.send(Bytes::from(seal(key, &piece))).await?;
     }
     Ok(())
 }
 
-/// The batches asked for if all of them are still at hand, else the whole state.
-fn build_loads(node: &Node, request: &Request) -> Vec<Payload> {
+/// The requested batches if all of them are still kept, else the whole state.
+fn build_payloads(node: &Node, request: &Request) -> Vec<Payload> {
     if !request.whole
         && let Some(batches) = node.history.batches_from(request.from)
     {
--- a/lib/src/coordination/drive.rs
+++ b/lib/src/coordination/drive.rs
@@ -1,8 +1,9 @@
-//! Drives confirmed plans: takes the duty for a plan, and starts its steps as budgets allow.
+//! Drives confirmed plans: takes over plans that have no driver, and starts their steps as budgets
+//! allow.
 //!
-//! One daemon drives a plan at a time, by an epoch that a record on the log gave it. A driver that
-//! was paused and followed by another can do no harm: its records carry the old epoch and are
-//! refused, and its commands to boxes carry a lower fence than its follower's.
+//! One daemon drives a plan at a time, in an epoch that a record on the log assigns to it. A paused
+//! driver that resumes after another has taken over has no effect: its records carry the old epoch
+//! and are rejected, and its commands to boxes carry a lower fence than those of its successor.
 
 mod step;
 
@@ -31,34 +32,35 @@
 use crate::state::wave;
 use crate::transport::clock;
 
-/// How often the plans are looked at when nothing changes.
+/// How often the plans are examined when the fleet does not change.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// An epoch of a plan that this daemon drives.
+/// The task that drives a plan in one epoch.
 struct DriverTask {
     epoch: u32,
     task: JoinHandle<()>,
 }
 
-/// Looks for plans to drive, for as long as the daemon runs.
+/// Takes over plans that need a driver, for as long as the daemon runs.
 pub async fn run(node: Arc<Node>) {
-    let mut driving: BTreeMap<PlanId, DriverTask> = BTreeMap::new();
+    let mut tasks: BTreeMap<PlanId, DriverTask> = BTreeMap::new();
     let mut changes = node.replica.changes();
     loop {
         let _ = timeout(POLL_INTERVAL, changes.changed()).await;
-        driving.retain(|_, driving| !driving.task.is_finished());
+        tasks.retain(|_, driver| !driver.task.is_finished());
         if node.basis() != Basis::Log {
             continue;
         }
-        for plan in plans_to_drive(&node, &driving) {
-            take_over_plan(&node, plan, &mut driving).await;
+        for plan in plans_to_drive(&node, &tasks) {
+            take_over_plan(&node, plan, &mut tasks).await;
         }
     }
 }
 
-/// Plans that this daemon should drive and does not: those whose holder is gone or was an earlier
-/// life of this daemon, and that fall to it by rendezvous hash.
-fn plans_to_drive(node: &Node, driving: &BTreeMap<PlanId, DriverTask>) -> Vec<(PlanId, u32)> {
+/// Plans that this daemon should take over, each with the epoch to take it over with: those without
+/// a driver or whose driver is not live, if the rendezvous hash assigns them to this daemon, and
+/// those that an earlier incarnation of this daemon drove.
+fn plans_to_drive(node: &Node, tasks: &BTreeMap<PlanId, DriverTask>) -> Vec<(PlanId, u32)> {
     let now = clock::now();
     let live = node.serving_daemons();
     let own = node.settings.id;
@@ -67,37 +69,38 @@
     let orphaned = driven.filter(|plan| match plan.driver.holder {
         None => hash::owner(&plan.id.to_le_bytes(), &live) == Some(own),
         Some(holder) if holder == own => {
-            let held = driving.get(&plan.id);
-            held.is_none_or(|held| held.epoch != plan.driver.epoch)
+            let own_task = tasks.get(&plan.id);
+            own_task.is_none_or(|own_task| own_task.epoch != plan.driver.epoch)
         }
         Some(holder) => {
-            let gone = !node.members.is_live(holder, now);
-            gone && hash::owner(&plan.id.to_le_bytes(), &live) == Some(own)
+            let is_unresponsive = !node.members.is_live(holder, now);
+            is_unresponsive && hash::owner(&plan.id.to_le_bytes(), &live) == Some(own)
         }
     });
     orphaned.map(|plan| (plan.id, plan.driver.epoch + 1)).collect()
 }
 
+/// Becomes the driver of a plan, unless another daemon does so first.
 async fn take_over_plan(
     node: &Arc<Node>,
     (plan, epoch): (PlanId, u32),
-    driving: &mut BTreeMap<PlanId, DriverTask>,
+    tasks: &mut BTreeMap<PlanId, DriverTask>,
 ) {
     let body = Body::Drive { plan, holder: node.settings.id, epoch };
     match node.appender.submit(new_record_id(), body).await {
         Ok(_) => {
             node.counters.count("drive.taken-over");
-            log::info!(plan = format_plan(plan).as_str(), epoch; "drives plan");
+            log::info!(plan = format_plan(plan).as_str(), epoch; "driving plan");
             let driver = Driver { node: node.clone(), plan, epoch };
             let task = tokio::spawn(driver.run());
-            driving.insert(plan, DriverTask { epoch, task });
+            tasks.insert(plan, DriverTask { epoch, task });
         }
         Err(AppendError::Refused(_)) => node.counters.count("drive.lost-race"),
         Err(_) => node.counters.count("drive.not-known"),
     }
 }
 
-/// One epoch of one plan.
+/// Drives one plan in one epoch.
 #[derive(Clone)]
 struct Driver {
     node: Arc<Node>,
@@ -105,7 +108,7 @@
     epoch: u32,
 }
 
-/// What a look at the plan found to do.
+/// What is to be done for a plan: steps to start and to abandon, by index.
 #[derive(Default)]
 struct Decision {
     is_over: bool,
@@ -114,45 +117,46 @@
 }
 
 impl Driver {
+    /// Runs the plan's steps until the plan is over or another driver takes over.
     async fn run(self) {
         let mut changes = self.node.replica.changes();
         let mut steps = JoinSet::new();
-        let mut begun = BTreeSet::new();
+        let mut running = BTreeSet::new();
         let mut only_down_since = None;
         loop {
-            while let Some(ended) = steps.try_join_next() {
-                let index = ended.expect("a step's task does not panic");
-                begun.remove(&index);
+            while let Some(finished) = steps.try_join_next() {
+                let index = finished.expect("a step's task does not panic");
+                running.remove(&index);
             }
-            let look = self.decide(&begun, &mut only_down_since);
-            if look.is_over {
+            let decision = self.decide(&running, &mut only_down_since);
+            if decision.is_over {
                 return;
             }
-            for index in look.start {
-                begun.insert(index);
+            for index in decision.start {
+                running.insert(index);
                 let driver = self.clone();
                 steps.spawn(async move {
                     driver.run_step(index).await;
                     index
                 });
             }
-            for index in look.abandon {
+            for index in decision.abandon {
                 self.abandon_step(index).await;
             }
-            let ended = tokio::time::sleep(POLL_INTERVAL);
+            let interval = tokio::time::sleep(POLL_INTERVAL);
             tokio::select! {
-                () = ended => {}
+                () = interval => {}
                 _ = changes.changed() => {}
             }
         }
     }
 
-    fn claim(&self, step: u32) -> StepRef {
+    fn step_ref(&self, step: u32) -> StepRef {
         StepRef { plan: self.plan, epoch: self.epoch, step }
     }
 
-    /// Decides which steps to begin and which to give up, as the fleet stands.
-    fn decide(&self, begun: &BTreeSet<u32>, only_down_since: &mut Option<Instant>) -> Decision {
+    /// Decides which steps to start and which to abandon in the current state of the fleet.
+    fn decide(&self, running: &BTreeSet<u32>, only_down_since: &mut Option<Instant>) -> Decision {
         let fleet = self.node.replica.fleet();
         let Some(plan) = fleet.plans.get(&self.plan) else {
             return Decision { is_over: true, ..Decision::default() };
@@ -160,33 +164,34 @@
         if !plan.phase.needs_driver() || plan.driver.epoch != self.epoch {
             return Decision { is_over: true, ..Decision::default() };
         }
-        let mut look = Decision::default();
-        self.resume_started(plan, begun, &mut look);
+        let mut decision = Decision::default();
+        self.resume_started(plan, running, &mut decision);
         if plan.phase == Phase::Running {
-            let choice = wave::choose_steps(&fleet, plan, begun);
-            look.start.extend(choice.ready);
-            let idle = begun.is_empty() && look.start.is_empty();
-            self.abandon_blocked(choice.blocked, idle, only_down_since, &mut look);
+            let choice = wave::choose_steps(&fleet, plan, running);
+            decision.start.extend(choice.ready);
+            let idle = running.is_empty() && decision.start.is_empty();
+            self.abandon_blocked(choice.blocked, idle, only_down_since, &mut decision);
         }
-        look
+        decision
     }
 
-    /// Steps that an earlier epoch began.
-    fn resume_started(&self, plan: &Plan, begun: &BTreeSet<u32>, look: &mut Decision) {
+    /// Starts the steps that an earlier epoch left unfinished.
+    fn resume_started(&self, plan: &Plan, running: &BTreeSet<u32>, decision: &mut Decision) {
         for (index, step) in wave::indexed_steps(plan) {
-            if step.progress.is_under_way() && !begun.contains(&index) {
-                look.start.push(index);
+            if step.progress.is_under_way() && !running.contains(&index) {
+                decision.start.push(index);
             }
         }
     }
 
-    /// A box that is down when all else is done gets some time, then its step is given up.
+    /// Abandons the steps whose boxes are down, once nothing else has been left to do for
+    /// `down_grace`.
     fn abandon_blocked(
         &self,
         blocked: Vec<u32>,
         idle: bool,
         only_down_since: &mut Option<Instant>,
-        look: &mut Decision,
+        decision: &mut Decision,
     ) {
         if blocked.is_empty() || !idle {
             *only_down_since = None;
@@ -194,12 +199,13 @@
         }
         let since = *only_down_since.get_or_insert_with(clock::now);
         if clock::since(since) >= self.node.settings.down_grace {
-            look.abandon = blocked;
+            decision.abandon = blocked;
         }
     }
 
+    /// Finishes a step whose box is down without running it.
     async fn abandon_step(&self, step: u32) {
-        let finish = Body::Finish(self.claim(step), Outcome::Down);
+        let finish = Body::Finish(self.step_ref(step), Outcome::Down);
         if self.node.appender.submit(new_record_id(), finish).await.is_ok() {
             self.node.counters.count("drive.step.given-up");
         }
--- a/lib/src/coordination/drive/step.rs
+++ b/lib/src/coordination/drive/step.rs
@@ -1,4 +1,4 @@
-//! Carries out one step of a plan, from wherever an earlier driver left it.
+//! Runs one step of a plan, resuming where an earlier driver left it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,26 +25,26 @@
 use crate::transport::clock;
 use crate::transport::dial::ExchangeError;
 
-/// Pause between two looks at a box.
+/// Pause between two polls of a box.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Looks in a row that must find a box idle.
+/// Consecutive polls that must find a box idle before it counts as drained.
 const MIN_IDLE_POLLS: u32 = 2;
-/// Time beyond the freshness limit that a silent daemon is given.
+/// Time beyond `max_age` after which an unresponsive daemon is taken not to serve.
 const UNRESPONSIVE_MARGIN: Duration = Duration::from_millis(500);
-/// Time a job may take to run after it was ordered.
+/// How long a job may take to start after it was ordered.
 const JOB_START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a step stopped before its end.
+/// Why a step stopped without an outcome.
 #[derive(Debug, Error)]
 enum StepError {
-    /// Another driver has taken over, or the plan is over.
+    /// Another driver has taken over, or the plan no longer exists.
     #[error("another driver has taken over")]
     Superseded,
-    /// The log's rule does not let the step go on now.
+    /// The record was rejected in the current state of the fleet.
     #[error(transparent)]
     Refused(Refusal),
-    /// The record could not be handed in.
-    #[error("the record could not be handed in")]
+    /// The record was not submitted, or its verdict is not known.
+    #[error("the record was not submitted or its verdict is not known")]
     AppendFailed,
 }
 
@@ -60,17 +60,18 @@
     }
 }
 
-/// The box a step acts on, as it was when the step began.
+/// The box of a step, as it was when the step was started.
 #[derive(Clone)]
 struct Target {
     id: BoxId,
     addr: SocketAddr,
     drain_limit: Duration,
+    /// Time without success after which the step ends with [`Outcome::Lost`].
     lost_after: Duration,
 }
 
 impl Driver {
-    /// Runs step `index`; counts how it went.
+    /// Runs step `index` and counts its outcome.
     pub(super) async fn run_step(&self, index: u32) {
         let counter = match self.try_or_abandon(index).await {
             Ok(Outcome::Done) => "drive.step.done",
@@ -87,22 +88,25 @@
         self.node.counters.count(counter);
     }
 
-    /// A step that takes no box out waits for no budget: what refuses it now refuses it later, so it
-    /// ends rather than asking the log again and again.
+    /// Runs a step, and finishes it as refused if it takes no box out of service and was rejected.
+    ///
+    /// Such a step needs no budget, so a retry would be rejected again. A step that is already
+    /// under way, or whose plan is paused, is not finished.
     async fn try_or_abandon(&self, index: u32) -> Result<Outcome, StepError> {
         let result = self.try_step(index).await;
         let Err(StepError::Refused(refusal)) = &result else {
             return result;
         };
         let step = self.step(index)?;
-        let paused = matches!(refusal, Refusal::Phase { .. });
-        if step.action.is_disruptive() || paused || step.progress != Progress::Waiting {
+        let is_paused = matches!(refusal, Refusal::Phase { .. });
+        if step.action.is_disruptive() || is_paused || step.progress != Progress::Waiting {
             return result;
         }
-        self.append(Body::Finish(self.claim(index), Outcome::Refused)).await?;
+        self.append(Body::Finish(self.step_ref(index), Outcome::Refused)).await?;
         Ok(Outcome::Refused)
     }
 
+    /// Runs a step by its action and records its outcome.
     async fn try_step(&self, index: u32) -> Result<Outcome, StepError> {
         let step = self.step(index)?;
         let outcome = match &step.action {
@@ -113,7 +117,7 @@
             Action::Start { job } => self.start_job(index, &step, job).await?,
             Action::Stop { .. } => self.stop_job(index, &step).await?,
         };
-        self.append(Body::Finish(self.claim(index), outcome)).await?;
+        self.append(Body::Finish(self.step_ref(index), outcome)).await?;
         Ok(outcome)
     }
 
@@ -126,8 +130,8 @@
         if !self.send_until_accepted(&target, Order::Reboot { operation: permit }).await? {
             return Ok(Outcome::Lost);
         }
-        let back = |status: &Status| status.rebooted_for == Some(permit);
-        if !self.wait_for_status(&target, back).await? {
+        let has_rebooted = |status: &Status| status.rebooted_for == Some(permit);
+        if !self.wait_for_status(&target, has_rebooted).await? {
             return Ok(Outcome::Lost);
         }
         self.return_to_service(&target).await
@@ -143,7 +147,7 @@
             if !self.send_until_accepted(&target, Order::Jobs { jobs: Vec::new() }).await? {
                 return Ok(Outcome::Lost);
             }
-            self.append(Body::Assign(self.claim(index))).await?;
+            self.append(Body::Assign(self.step_ref(index))).await?;
         }
         self.return_to_service(&target).await
     }
@@ -158,13 +162,13 @@
             return Ok(outcome);
         }
         self.send_until_accepted(&target, Order::Jobs { jobs: Vec::new() }).await?;
-        self.append(Body::Assign(self.claim(index))).await?;
+        self.append(Body::Assign(self.step_ref(index))).await?;
         Ok(Outcome::Done)
     }
 
     async fn claim_box(&self, index: u32, step: &Step) -> Result<Outcome, StepError> {
         if step.progress == Progress::Waiting {
-            self.append(Body::Assign(self.claim(index))).await?;
+            self.append(Body::Assign(self.step_ref(index))).await?;
         }
         Ok(Outcome::Done)
     }
@@ -176,15 +180,15 @@
         job: &ServiceKey,
     ) -> Result<Outcome, StepError> {
         if step.progress == Progress::Waiting {
-            self.append(Body::Assign(self.claim(index))).await?;
+            self.append(Body::Assign(self.step_ref(index))).await?;
         }
         let target = Target { lost_after: JOB_START_TIMEOUT, ..self.target(step)? };
-        // A box that is out under another plan gets its jobs from that plan's driver.
+        // A box that is out of service under another plan gets its jobs from that plan's driver.
         if !self.is_out_of_service(&target) {
             self.send_until_accepted(&target, self.jobs_order(&target)).await?;
         }
-        let running = |status: &Status| status.jobs.contains(job);
-        let started = self.wait_for_status(&target, running).await?;
+        let is_running = |status: &Status| status.jobs.contains(job);
+        let started = self.wait_for_status(&target, is_running).await?;
         Ok(if started { Outcome::Done } else { Outcome::Lost })
     }
 
@@ -195,12 +199,12 @@
             if let Some(outcome) = self.drain(&target, permit).await? {
                 return Ok(outcome);
             }
-            self.append(Body::Assign(self.claim(index))).await?;
+            self.append(Body::Assign(self.step_ref(index))).await?;
         }
         self.return_to_service(&target).await
     }
 
-    /// Starts the box's jobs and lets it serve.
+    /// Starts the box's jobs and then lets it serve.
     async fn return_to_service(&self, target: &Target) -> Result<Outcome, StepError> {
         let started = self.send_until_accepted(target, self.jobs_order(target)).await?;
         if started && self.send_until_accepted(target, Order::Resume).await? {
@@ -209,16 +213,17 @@
         Ok(Outcome::Lost)
     }
 
+    /// The order to run the jobs that the fleet has placed on the box.
     fn jobs_order(&self, target: &Target) -> Order {
         let fleet = self.node.replica.fleet();
         Order::Jobs { jobs: fleet.jobs_on(&target.id).cloned().collect() }
     }
 
-    /// Gets permission to take the box out, unless an earlier driver did.
+    /// The permit to take the box out of service: that of an earlier driver, or a new one.
     async fn acquire_permit(&self, index: u32, step: &Step) -> Result<Offset, StepError> {
         match step.progress.permit() {
             Some(permit) => Ok(permit),
-            None => self.append(Body::Permit(self.claim(index))).await,
+            None => self.append(Body::Permit(self.step_ref(index))).await,
         }
     }
 
@@ -226,36 +231,38 @@
         Ok(self.node.appender.submit_without_timeout(body).await?)
     }
 
-    /// Waits until no daemon sends the box anything and nothing runs on it.
+    /// Waits until no daemon sends requests to the box and none runs on it.
     ///
-    /// Returns an outcome if that was not to be had; the box then serves as before.
+    /// Returns `None` once the box is drained, or the outcome of the step if it cannot be: `Lost`
+    /// if the box does not accept the order, `DrainLimit` if the time ran out, after which the box
+    /// serves again.
     async fn drain(&self, target: &Target, permit: Offset) -> Result<Option<Outcome>, StepError> {
-        let begun = clock::now();
+        let started_at = clock::now();
         if !self.send_until_accepted(target, Order::Drain).await? {
             return Ok(Some(Outcome::Lost));
         }
-        let mut idle = 0;
-        while idle < MIN_IDLE_POLLS {
-            if clock::since(begun) > target.drain_limit {
+        let mut idle_polls = 0;
+        while idle_polls < MIN_IDLE_POLLS {
+            if clock::since(started_at) > target.drain_limit {
                 self.send_until_accepted(target, Order::Resume).await?;
                 return Ok(Some(Outcome::DrainLimit));
             }
             sleep(POLL_INTERVAL).await;
             self.check_epoch()?;
-            let released = self.is_released(target, permit, begun);
+            let released = self.is_released(target, permit, started_at);
             let status = reconcile::fetch_status(&self.node, target.addr).await;
-            let quiet = matches!(status, Ok(status) if status.inflight == 0);
-            idle = if released && quiet { idle + 1 } else { 0 };
+            let is_idle = matches!(status, Ok(status) if status.inflight == 0);
+            idle_polls = if released && is_idle { idle_polls + 1 } else { 0 };
         }
         Ok(None)
     }
 
     /// Whether every daemon that may serve has applied the permit and has no request on the box.
     ///
-    /// A daemon that is not heard of may still be serving for as long as the freshness rule lets
-    /// it. Its quorum case needs a majority that knows no more than it does, so a majority that
-    /// has applied the permit, the freshness limit ago, rules that out.
-    fn is_released(&self, target: &Target, permit: Offset, begun: Instant) -> bool {
+    /// An unresponsive daemon may still serve for as long as the freshness rule allows it. By a
+    /// quorum it may only do so with a majority of which none has applied more than itself, so once
+    /// a majority has applied the permit and `max_age` has passed, it does not serve.
+    fn is_released(&self, target: &Target, permit: Offset, started_at: Instant) -> bool {
         let releases = self.node.members.count_releases(&target.id, permit, clock::now());
         if releases.holding > 0 || self.node.routes.busy_boxes().contains(&target.id) {
             return false;
@@ -264,12 +271,12 @@
             return true;
         }
         let majority = 2 * (releases.released + 1) > self.node.members.configured_count();
-        majority && clock::since(begun) > self.node.settings.max_age + UNRESPONSIVE_MARGIN
+        majority && clock::since(started_at) > self.node.settings.max_age + UNRESPONSIVE_MARGIN
     }
 
-    /// Gives an order until the box takes it. Returns false when it has not for too long.
+    /// Sends an order until the box accepts it. Returns false if it has not within `lost_after`.
     async fn send_until_accepted(&self, target: &Target, order: Order) -> Result<bool, StepError> {
-        let begun = clock::now();
+        let started_at = clock::now();
         loop {
             self.check_epoch()?;
             let command = Command { fence: self.fence(target), action: order.clone() };
@@ -280,34 +287,35 @@
                 }
                 Err(_) => self.node.counters.count("drive.order.failed"),
             }
-            if clock::since(begun) > target.lost_after {
+            if clock::since(started_at) > target.lost_after {
                 return Ok(false);
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits for a status. Returns false when it has not come for too long.
+    /// Polls the box until its status is `reached`. Returns false if that takes longer than
+    /// `lost_after`.
     async fn wait_for_status(
         &self,
         target: &Target,
         reached: impl Fn(&Status) -> bool,
     ) -> Result<bool, StepError> {
-        let begun = clock::now();
+        let started_at = clock::now();
         loop {
             self.check_epoch()?;
             let status = reconcile::fetch_status(&self.node, target.addr).await;
             if matches!(&status, Ok(status) if reached(status)) {
                 return Ok(true);
             }
-            if clock::since(begun) > target.lost_after {
+            if clock::since(started_at) > target.lost_after {
                 return Ok(false);
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Fence of this epoch for the box: above that of every earlier epoch and change.
+    /// Fence for commands to the box: at least that of this epoch, and of the box's last change.
     fn fence(&self, target: &Target) -> Offset {
         let fleet = self.node.replica.fleet();
         let version = fleet.boxes.get(&target.id).map_or(0, |entry| entry.version);
@@ -320,6 +328,7 @@
         fleet.boxes.get(&target.id).is_some_and(|entry| entry.out.is_some())
     }
 
+    /// Fails if another driver has taken over the plan.
     fn check_epoch(&self) -> Result<(), StepError> {
         let fleet = self.node.replica.fleet();
         let plan = fleet.plans.get(&self.plan);
--- a/lib/src/coordination/follow.rs
+++ b/lib/src/coordination/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the log: applies each batch, and knows when the log's end was reached.
+//! Follows the log: applies each batch, and records when the log's end was reached.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,11 +24,11 @@
 use crate::transport::dial::Limits;
 use crate::transport::dial::full;
 
-/// Records asked for at a time.
+/// Most records in one read.
 const MAX_RECORDS: usize = 1000;
 /// Largest answer to a read, in bytes.
 const MAX_PAGE_BYTES: usize = 64 * 1024 * 1024;
-/// How long the log may hold a read that finds nothing new.
+/// How long the log may delay its answer to a read that finds nothing new.
 const LONG_POLL: Duration = Duration::from_millis(1000);
 /// How long a read may take.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
@@ -43,7 +43,7 @@
     /// The read failed.
     #[error(transparent)]
     Exchange(#[from] ExchangeError),
-    /// The log has let go of records that were not applied, and has no snapshot in their place.
+    /// The log has discarded records that were not applied, and holds no snapshot to replace them.
     #[error("the log has a gap and no snapshot")]
     NoSnapshot,
     /// The log's end is before what this daemon has applied.
@@ -59,9 +59,9 @@
 /// Follows the log for as long as the daemon runs.
 pub async fn run(node: Arc<Node>) {
     let mut backoff = MIN_BACKOFF;
-    let mut seek = SnapshotSearch::default();
+    let mut search = SnapshotSearch::default();
     loop {
-        match read_and_apply(&node, &mut seek).await {
+        match read_and_apply(&node, &mut search).await {
             Ok(()) => backoff = MIN_BACKOFF,
             Err(error) => {
                 node.counters.count(failure_counter(&error));
@@ -84,40 +84,41 @@
     }
 }
 
-/// The search for a snapshot, when the log no longer has the record that comes next.
+/// The search for a snapshot, when the log no longer has the next record to apply.
 #[derive(Default)]
 struct SnapshotSearch {
     next_offset: Offset,
     assembly: Assembly,
 }
 
-async fn read_and_apply(node: &Arc<Node>, seek: &mut SnapshotSearch) -> Result<(), FollowError> {
-    let begun = clock::now();
+/// Reads one page of the log and applies its batches.
+async fn read_and_apply(node: &Arc<Node>, search: &mut SnapshotSearch) -> Result<(), FollowError> {
+    let started_at = clock::now();
     let applied = node.replica.fleet().next;
-    let from = applied.max(seek.next_offset);
+    let from = applied.max(search.next_offset);
     let page = read_page(node, from).await?;
     if page.next < applied {
         return Err(FollowError::LogRegressed { end: page.next, applied });
     }
     if page.first > applied {
         node.counters.count("log.read.gap");
-        return search_snapshot(node, &page, seek).await;
+        return search_snapshot(node, &page, search).await;
     }
-    *seek = SnapshotSearch::default();
+    *search = SnapshotSearch::default();
     apply_batches(node, batches(&page)).await;
     if node.replica.next() == page.next {
-        node.replica.record_log_read(begun);
+        node.replica.record_log_read(started_at);
     }
     Ok(())
 }
 
 fn batches(page: &Page) -> Vec<(Offset, Bytes)> {
-    // Bytes that are not base64 are passed over like those that are not a batch.
+    // Bytes that are not base64 are skipped like those that are not a batch.
     let bytes = |item: &Item| item.bytes().unwrap_or_default().into();
     page.records.iter().map(|item| (item.offset, bytes(item))).collect()
 }
 
-/// Applies batches in order and puts what they change in force here.
+/// Applies batches in order, and publishes the resulting fleet.
 pub async fn apply_batches(node: &Arc<Node>, batches: Vec<(Offset, Bytes)>) {
     let _applying = node.apply_lock.lock().await;
     for (offset, bytes) in batches {
@@ -126,10 +127,10 @@
     publish_fleet(node);
 }
 
-/// Puts a whole fleet in place of this daemon's own: a later one, or any if its own is wrong.
-pub async fn install_fleet(node: &Node, fleet: Fleet, own_is_wrong: bool) {
+/// Replaces this daemon's fleet by a later one, or by any one if its own has diverged.
+pub async fn install_fleet(node: &Node, fleet: Fleet, has_diverged: bool) {
     let _applying = node.apply_lock.lock().await;
-    if own_is_wrong {
+    if has_diverged {
         node.replica.replace_fleet(fleet);
     } else if !node.replica.install_if_newer(fleet) {
         return;
@@ -138,7 +139,8 @@
     publish_fleet(node);
 }
 
-/// Routing follows first: whoever hears that an offset is applied may rely on it.
+/// Announces the applied offset once the routes are rebuilt: a receiver that is notified of an
+/// offset relies on the routes of that offset.
 fn publish_fleet(node: &Node) {
     node.routes.rebuild(&node.replica.fleet());
     node.replica.announce();
@@ -157,7 +159,7 @@
 }
 
 async fn apply_batch(node: &Arc<Node>, offset: Offset, bytes: Bytes) {
-    // A record that another program wrote, or a later version of this one, is passed over by all
+    // A record that another program wrote, or a later version of this one, is skipped by all
     // readers alike.
     let Ok(batch) = Batch::decode(&bytes) else {
         node.counters.count("log.read.not-a-batch");
@@ -176,7 +178,7 @@
     }
 }
 
-/// Hashes the state if the batch marked a snapshot, and notes chunks.
+/// Records the snapshot chunks of a batch, and hashes the state if the batch has a mark.
 fn record_snapshots(node: &Arc<Node>, offset: Offset, batch: &Batch) {
     for record in &batch.records {
         if let Body::Snapshot(chunk) = &record.body {
@@ -194,14 +196,14 @@
     }
 }
 
-/// Looks for a whole snapshot among records that follow a gap.
+/// Searches the records that follow a gap for a whole snapshot.
 async fn search_snapshot(
     node: &Arc<Node>,
     page: &Page,
-    seek: &mut SnapshotSearch,
+    search: &mut SnapshotSearch,
 ) -> Result<(), FollowError> {
     for (offset, bytes) in batches(page) {
-        seek.next_offset = offset + 1;
+        search.next_offset = offset + 1;
         let Ok(batch) = Batch::decode(&bytes) else {
             continue;
         };
@@ -210,22 +212,23 @@
                 continue;
             };
             node.history.record_chunk(&chunk);
-            match seek.assembly.add(chunk) {
+            match search.assembly.add(chunk) {
                 Ok(Some(fleet)) if fleet.next >= page.first => {
                     node.counters.count("snapshot.installed");
                     install_fleet(node, fleet, false).await;
-                    *seek = SnapshotSearch::default();
+                    *search = SnapshotSearch::default();
                     return Ok(());
                 }
-                // What follows on from an older one is no longer on the log.
+                // The records that follow an older snapshot are no longer on the log.
                 Ok(_) => {}
                 Err(_) => node.counters.count("snapshot.refused"),
             }
         }
     }
     if page.records.is_empty() {
-        // All that is left has no snapshot: one may still come, or a peer may help.
-        *seek = SnapshotSearch::default();
+        // The rest of the log has no snapshot: one may still be written, or a peer may have the
+        // state.
+        *search = SnapshotSearch::default();
         return Err(FollowError::NoSnapshot);
     }
     Ok(())
--- a/lib/src/coordination/freshness.rs
+++ b/lib/src/coordination/freshness.rs
@@ -1,62 +1,65 @@
-//! The freshness rule: when a daemon's state may be taken for the one in force.
+//! The freshness rule: when a daemon's state is recent enough to serve from.
 //!
 //! With `max_age` the setting of that name, a daemon may serve if one of these holds:
 //!
-//! 1. `log`: a read begun within `max_age` found the log's end, and all of it is applied.
-//! 2. `peer`: a live peer's own read is within `max_age`, counted from when that read began, and
+//! 1. `log`: a read started within `max_age` reached the log's end, and all of it is applied.
+//! 2. `peer`: a live peer's own read is within `max_age`, counted from when that read started, and
 //!    this daemon has applied at least as much as that peer had.
-//! 3. `quorum`: a majority of the configured daemons, this one included, were heard of within
-//!    `max_age` and are complete, none heard of has read the log within it, and none has applied
-//!    more than this one.
+//! 3. `quorum`: a majority of the configured daemons, this one included, are complete and have sent
+//!    a heartbeat within `max_age`; and of all peers that have sent one within it, none has read
+//!    the log within it and none has applied more than this daemon.
 //!
-//! A daemon is complete once it has, in its life, held all that was in force: by reaching the log's
-//! end, or the offset of a peer that did so after this one's start, or that of a majority of complete peers. One that
-//! has just started, with part of the log read, can neither serve by a quorum nor be counted in one.
+//! A daemon is complete once it has, since its start, applied everything accepted up to some moment
+//! of that time: by reaching the log's end, or the offset of a peer that did so after this daemon's
+//! start, or the offset of a majority of complete peers. A daemon that has just started and has
+//! read part of the log can neither serve by a quorum nor be counted in one.
 //!
-//! The first two bound how old the state can be by `max_age`. The third keeps routing alive while
-//! the log is away for everybody: then nothing can be accepted that this majority does not know.
+//! The first two conditions bound the age of the state by `max_age`. The third keeps routing
+//! available while no daemon can read the log: then nothing can be accepted that this majority has
+//! not applied.
 //!
-//! Ages are judged by each daemon's own monotonic clock; a beat counts from the earliest moment at
-//! which it can have been sent (see [`crate::coordination::member`]), so no delay makes it young.
+//! Ages are measured by each daemon's own monotonic clock. A heartbeat counts from the earliest
+//! time at which it can have been sent (see [`crate::coordination::member`]), so that a delayed one
+//! does not appear recent.
 //!
-//! A daemon cut off from both the log and the majority serves nobody.
+//! A daemon that reaches neither the log nor a majority does not serve.
 
 use std::time::Duration;
 
 use crate::state::id::Offset;
 
-/// What a daemon knows of itself.
+/// A daemon's own state, as the rule needs it.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnState {
     /// First offset not applied.
     pub next: Offset,
-    /// Age of the last read at the log's end.
+    /// Age of the last read that reached the log's end; `None` before the first one.
     pub log_age: Option<Duration>,
-    /// Whether it has held all that was in force.
+    /// Whether it is complete, as defined in the module's documentation.
     pub is_complete: bool,
-    /// Time since it was started.
+    /// Time since its start.
     pub uptime: Duration,
 }
 
-/// What a daemon knows of a peer whose last beat was sent within `max_age`.
+/// The state of a peer whose last heartbeat was sent within `max_age`.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerState {
     /// First offset the peer had not applied.
     pub next: Offset,
-    /// Age now of the peer's last read at the log's end.
+    /// Present age of the peer's last read that reached the log's end; `None` before the first one.
     pub log_age: Option<Duration>,
-    /// Whether the peer has held all that was in force.
+    /// Whether the peer is complete.
     pub is_complete: bool,
 }
 
-/// Why a daemon may serve, or that it may not.
+/// The condition by which a daemon may serve, or that none holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Basis {
-    /// Its own read of the log.
+    /// Its own read of the log is recent.
     Log,
-    /// A peer's read of the log.
+    /// A peer's read of the log is recent.
     Peer,
-    /// The log is away and a majority knows no more.
+    /// The log is unavailable and no daemon of a majority has applied more.
     Quorum,
     /// It may not serve.
     Stale,
@@ -68,7 +71,7 @@
         self != Basis::Stale
     }
 
-    /// The word operators see.
+    /// Name in the operator API.
     pub fn as_str(self) -> &'static str {
         match self {
             Basis::Log => "log",
@@ -79,59 +82,60 @@
     }
 }
 
-/// Applies the rule; `daemons` counts all that are configured, this one included.
+/// Applies the rule; `daemons` is the number of configured daemons, this one included.
 ///
 /// ```
 /// use std::time::Duration;
-/// use spokelift_lib::coordination::freshness::{Basis, PeerState, OwnState, evaluate};
+/// use spokelift_lib::coordination::freshness::{Basis, OwnState, PeerState, evaluate};
 /// let second = Duration::from_secs(1);
-/// let cut_off = OwnState { next: 7, log_age: Some(9 * second), is_complete: true, uptime: 60 * second };
+/// let log_age = Some(9 * second);
+/// let cut_off = OwnState { next: 7, log_age, is_complete: true, uptime: 60 * second };
 /// assert_eq!(evaluate(cut_off, &[], 3, 3 * second), Basis::Stale);
 /// let peer = PeerState { next: 7, log_age: Some(second), is_complete: true };
 /// assert_eq!(evaluate(cut_off, &[peer], 3, 3 * second), Basis::Peer);
 /// let ahead = PeerState { next: 8, ..peer };
 /// assert_eq!(evaluate(cut_off, &[ahead], 3, 3 * second), Basis::Stale);
 /// ```
-pub fn evaluate(own: OwnState, heard: &[PeerState], daemons: usize, max_age: Duration) -> Basis {
+pub fn evaluate(own: OwnState, peers: &[PeerState], daemons: usize, max_age: Duration) -> Basis {
     if is_recent(own.log_age, max_age) {
         return Basis::Log;
     }
-    if heard.iter().any(|peer| is_recent(peer.log_age, max_age)) {
-        let covered = has_recent_reader(own, heard, max_age);
+    if peers.iter().any(|peer| is_recent(peer.log_age, max_age)) {
+        let covered = has_recent_reader(own, peers, max_age);
         return if covered { Basis::Peer } else { Basis::Stale };
     }
-    let complete = heard.iter().filter(|peer| peer.is_complete).count();
+    let complete = peers.iter().filter(|peer| peer.is_complete).count();
     let majority = own.is_complete && 2 * (complete + 1) > daemons;
-    let latest = heard.iter().all(|peer| own.next >= peer.next);
+    let latest = peers.iter().all(|peer| own.next >= peer.next);
     if majority && latest { Basis::Quorum } else { Basis::Stale }
 }
 
-/// Whether a daemon that was not complete is so now, by what it has heard.
+/// Whether a daemon that was not complete is so now, by the state of its `peers`.
 ///
 /// ```
-/// use spokelift_lib::coordination::freshness::{PeerState, OwnState, becomes_complete};
+/// use spokelift_lib::coordination::freshness::{OwnState, PeerState, becomes_complete};
 /// let second = std::time::Duration::from_secs(1);
 /// let started = OwnState { next: 7, log_age: None, is_complete: false, uptime: second };
 /// let peer = PeerState { next: 7, log_age: None, is_complete: true };
-/// assert!(!becomes_complete(started, &[peer], 3, second), "one of three peers may have missed some");
+/// assert!(!becomes_complete(started, &[peer], 3, second), "one of three is no majority");
 /// assert!(becomes_complete(started, &[peer, peer], 3, second));
 /// ```
 pub fn becomes_complete(
     own: OwnState,
-    heard: &[PeerState],
+    peers: &[PeerState],
     daemons: usize,
     max_age: Duration,
 ) -> bool {
-    let complete = heard.iter().filter(|peer| peer.is_complete);
+    let complete = peers.iter().filter(|peer| peer.is_complete);
     let majority = 2 * complete.clone().count() > daemons;
     let latest = complete.clone().all(|peer| own.next >= peer.next);
-    // A read from before this daemon's start may miss what its earlier life knew.
-    (majority && latest) || has_recent_reader(own, heard, max_age.min(own.uptime))
+    // A read from before this daemon's start may miss what its earlier incarnation had applied.
+    (majority && latest) || has_recent_reader(own, peers, max_age.min(own.uptime))
 }
 
-/// Whether a peer has read the log lately, and had applied no more than this daemon.
-fn has_recent_reader(own: OwnState, heard: &[PeerState], max_age: Duration) -> bool {
-    let mut readers = heard.iter().filter(|peer| is_recent(peer.log_age, max_age));
+/// Whether a peer has read the log within `max_age`, and had applied no more than this daemon.
+fn has_recent_reader(own: OwnState, peers: &[PeerState], max_age: Duration) -> bool {
+    let mut readers = peers.iter().filter(|peer| is_recent(peer.log_age, max_age));
     readers.any(|peer| own.next >= peer.next)
 }
 
--- a/lib/src/coordination/member.rs
+++ b/lib/src/coordination/member.rs
@@ -1,12 +1,13 @@
-//! Which peers are alive, by heartbeats over UDP.
+//! Detects which peers are live, by heartbeats over UDP.
 //!
-//! A peer is live while it was heard of within [`Members::suspect_after`]. A daemon that finds its
-//! own loop late (it was paused, or starved) gives every peer a new chance before suspecting it,
-//! as Lifeguard (Dadgar et al., 2018) does for SWIM.
+//! A peer is live while its last heartbeat was received within [`Members::suspect_after`]. A daemon
+//! that finds its own loop late (it was paused, or starved of CPU) gives every peer a grace period
+//! before it suspects it, as Lifeguard (Dadgar et al., 2018) does for SWIM.
 //!
-//! Suspicion goes by when a beat was received. Freshness must not: a beat may have been on its way
-//! for long. Each beat names the last one its sender had received and for how long, so it was sent
-//! no earlier than that one plus that time, by the receiver's own clock.
+//! Failure detection uses the time at which a heartbeat was received. Freshness cannot: a heartbeat
+//! may have been delayed. So each heartbeat echoes the last one that its sender received, and how
+//! long ago that was. It was sent no earlier than the echoed one plus that time, by the clock of
+//! its receiver, which sent the echoed one.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -36,16 +37,17 @@
 use crate::state::id::Offset;
 use crate::transport::clock;
 
-/// Shortest pause between two beats to the same peer.
+/// Shortest time between two heartbeats to the same peer.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// A gap of this many intervals between two of its own ticks tells a daemon that it was paused.
+/// Number of heartbeat intervals between two of its own ticks after which a daemon takes itself to
+/// have been paused.
 const PAUSED_AFTER_INTERVALS: u32 = 3;
-/// Beats whose time is kept; an echo of an older one tells nothing.
+/// Number of heartbeats to a peer whose send times are kept; the echo of an older one is ignored.
 const MAX_SENT_TIMES: usize = 64;
 /// Pause after a socket error.
 const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What is known of the other daemons of the site.
+/// The other daemons of the site, as their heartbeats report them.
 #[derive(Debug)]
 pub struct Members {
     own: DaemonId,
@@ -60,25 +62,25 @@
     incarnation: Incarnation,
     last_received: u64,
     last_sent: u64,
-    /// When the latest beats went out.
+    /// Sequence numbers and send times of the latest heartbeats to it.
     sent_times: VecDeque<(u64, Instant)>,
     received_at: Option<Instant>,
-    /// The beat was sent no earlier than this.
+    /// Earliest time at which its last heartbeat can have been sent.
     earliest_sent_at: Option<Instant>,
-    /// Until when it is not suspected although it has not been heard of.
+    /// Until when it counts as live although no heartbeat was received.
     grace_until: Option<Instant>,
     heartbeat: Heartbeat,
 }
 
 impl Members {
-    /// Members of which none has been heard of yet.
+    /// Members from which no heartbeat was received yet.
     pub fn new(
         own: DaemonId,
         incarnation: Incarnation,
         suspect_after: Duration,
         peers: &[(DaemonId, SocketAddr)],
     ) -> Members {
-        let unheard = |addr| Peer {
+        let new_peer = |addr| Peer {
             addr,
             incarnation: 0,
             last_received: 0,
@@ -89,26 +91,26 @@
             grace_until: None,
             heartbeat: Heartbeat::default(),
         };
-        let peers = peers.iter().map(|(id, addr)| (*id, unheard(*addr)));
+        let peers = peers.iter().map(|(id, addr)| (*id, new_peer(*addr)));
         let peers = Mutex::new(peers.collect());
         Members { own, incarnation, suspect_after, peers }
     }
 
     fn peers(&self) -> MutexGuard<'_, BTreeMap<DaemonId, Peer>> {
-        self.peers.lock().expect("no holder of the peers panics")
+        self.peers.lock().expect("the peers lock is not poisoned")
     }
 
-    /// How long a peer may be silent.
+    /// Time without a heartbeat after which a peer is not live.
     pub fn suspect_after(&self) -> Duration {
         self.suspect_after
     }
 
-    /// How many daemons are configured, this one included.
+    /// Number of configured daemons, this one included.
     pub fn configured_count(&self) -> usize {
         self.peers().len() + 1
     }
 
-    /// Every configured daemon, this one included, in order.
+    /// Every configured daemon, this one included, in order of ids.
     pub fn configured_ids(&self) -> Vec<DaemonId> {
         let mut all: Vec<DaemonId> = self.peers().keys().copied().collect();
         all.push(self.own);
@@ -116,10 +118,11 @@
         all
     }
 
-    /// Takes in a frame heard at `now`.
+    /// Processes a frame received at `now`.
     ///
-    /// A frame that does not name this life of this daemon was recorded before it began, or comes
-    /// from a peer that has not yet heard of it: it teaches the peer's life and no more.
+    /// A frame that does not name this daemon's incarnation is a replay from before its start, or
+    /// comes from a peer that has not yet received a frame of it: only the peer's incarnation is
+    /// taken from it.
     pub fn accept_frame(&self, frame: Frame, now: Instant) -> Result<(), WireError> {
         let mut peers = self.peers();
         let peer = peers.get_mut(&frame.from).ok_or(WireError::UnknownPeer)?;
@@ -145,11 +148,11 @@
         Ok(())
     }
 
-    /// The next frame to a peer, sent at `now`, and where it goes.
+    /// The next frame to a peer, sent at `now`, and its address; `None` if there is no such peer.
     fn next_frame(
         &self,
         id: DaemonId,
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         now: Instant,
     ) -> Option<(SocketAddr, Frame)> {
         let mut peers = self.peers();
@@ -165,25 +168,25 @@
             sequence: peer.last_sent,
             receiver_incarnation: peer.incarnation,
             echo: peer.echo(now),
-            heartbeat: beat,
+            heartbeat,
         };
         Some((peer.addr, frame))
     }
 
-    /// The serving daemons, this one included if `own_serving`, in order.
-    pub fn serving_daemons(&self, now: Instant, own_serving: bool) -> Vec<DaemonId> {
+    /// The live daemons that serve, this one included if `is_self_serving`, in order of ids.
+    pub fn serving_daemons(&self, now: Instant, is_self_serving: bool) -> Vec<DaemonId> {
         let peers = self.peers();
-        let live = |peer: &Peer| peer.is_live(now, self.suspect_after) && peer.heartbeat.serving;
-        let live = peers.iter().filter(|(_, peer)| live(peer));
+        let serves = |peer: &Peer| peer.is_live(now, self.suspect_after) && peer.heartbeat.serving;
+        let live = peers.iter().filter(|(_, peer)| serves(peer));
         let mut live: Vec<DaemonId> = live.map(|(id, _)| *id).collect();
-        if own_serving {
+        if is_self_serving {
             live.push(self.own);
         }
         live.sort_unstable();
         live
     }
 
-    /// Whether a daemon was heard of lately.
+    /// Whether a daemon is live; this one always is.
     pub fn is_live(&self, id: DaemonId, now: Instant) -> bool {
         if id == self.own {
             return true;
@@ -192,11 +195,11 @@
         peers.get(&id).is_some_and(|peer| peer.is_live(now, self.suspect_after))
     }
 
-    /// Peers heard of within `max_age`, for the freshness rule.
+    /// State of the peers whose last heartbeat was sent within `max_age`, for the freshness rule.
     pub fn recent_peers(&self, now: Instant, max_age: Duration) -> Vec<PeerState> {
         let peers = self.peers();
-        let heard = peers.values().filter_map(|peer| peer.recent_state(now, max_age));
-        heard.collect()
+        let recent = peers.values().filter_map(|peer| peer.recent_state(now, max_age));
+        recent.collect()
     }
 
     /// Live peers with the first offset each has not applied.
@@ -218,14 +221,14 @@
         ahead.into_iter().map(|(_, addr)| addr).collect()
     }
 
-    /// What live peers say their states hashed to at the last mark, and where to reach them.
+    /// The address of each live peer and the hash of its state at the last mark.
     pub fn live_hashes(&self, now: Instant) -> Vec<(SocketAddr, StateHash)> {
         let peers = self.peers();
         let live = peers.values().filter(|peer| peer.is_live(now, self.suspect_after));
         live.filter_map(|peer| Some((peer.addr, peer.heartbeat.mark?))).collect()
     }
 
-    /// What peers have said about a box taken out at `permit`.
+    /// Counts the peers that have released a box which was taken out of service at `permit`.
     pub fn count_releases(&self, target: &str, permit: Offset, now: Instant) -> Releases {
         let short = short_box_hash(target);
         let mut releases = Releases::default();
@@ -241,9 +244,10 @@
         releases
     }
 
-    /// Spares every peer heard of before, after this daemon was late itself.
+    /// Counts every peer that has sent a heartbeat as live for another `suspect_after`, since this
+    /// daemon was late itself.
     ///
-    /// This is for suspicion only: what a peer said before the pause is no fresher for it.
+    /// This affects failure detection only, not the freshness of what a peer reported.
     fn grant_grace(&self, now: Instant) {
         for peer in self.peers().values_mut() {
             if peer.received_at.is_some() {
@@ -253,38 +257,41 @@
     }
 }
 
-/// How many peers have let go of a box.
+/// How many peers have released a box.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Releases {
-    /// Have applied the permit and have no request there.
+    /// Have applied the permit and have no request on the box.
     pub released: usize,
-    /// Have not applied the permit or still have requests there.
+    /// Have not applied the permit, or still have requests on the box.
     pub holding: usize,
-    /// Have not been heard of lately.
+    /// Are not live.
     pub unresponsive: usize,
 }
 
 impl Peer {
     fn is_live(&self, now: Instant, within: Duration) -> bool {
-        let heard =
-            self.received_at.is_some_and(|heard| now.saturating_duration_since(heard) < within);
-        heard || self.grace_until.is_some_and(|until| now < until)
+        let is_recent =
+            self.received_at.is_some_and(|at| now.saturating_duration_since(at) < within);
+        is_recent || self.grace_until.is_some_and(|until| now < until)
     }
 
+    /// The echo of its last heartbeat, for a frame sent at `now`.
     fn echo(&self, now: Instant) -> Option<Echo> {
-        let held = now.saturating_duration_since(self.received_at?);
-        let held_ms = held.as_millis().min(u128::from(u32::MAX)) as u32;
+        let age = now.saturating_duration_since(self.received_at?);
+        let held_ms = age.as_millis().min(u128::from(u32::MAX)) as u32;
         let sequence = self.last_received;
         Some(Echo { sequence, held_ms })
     }
 
-    /// The earliest moment at which a beat with this echo was sent.
+    /// The earliest time at which a heartbeat with this echo can have been sent; `None` if it has
+    /// no echo or the echoed send time is no longer kept.
     fn earliest_sent_at(&self, echo: Option<Echo>) -> Option<Instant> {
         let echo = echo?;
         let (_, at) = self.sent_times.iter().find(|(sequence, _)| *sequence == echo.sequence)?;
         Some(*at + Duration::from_millis(echo.held_ms.into()))
     }
 
+    /// Its state by its last heartbeat; `None` if that was sent `max_age` ago or longer.
     fn recent_state(&self, now: Instant, max_age: Duration) -> Option<PeerState> {
         let age = now.saturating_duration_since(self.earliest_sent_at?);
         if age >= max_age {
@@ -295,20 +302,20 @@
     }
 }
 
-/// Short name of a box in a heartbeat. Two boxes that share one only make a drain wait longer.
+/// Hash that stands for a box in heartbeats. A collision only makes a drain take longer.
 pub fn short_box_hash(target: &str) -> u32 {
     hash::stable_hash(&[target.as_bytes()]) as u32
 }
 
-/// Sends heartbeats to one peer: at the set interval, and soon after each change applied.
+/// Sends heartbeats to one peer, at the configured interval and soon after each applied change.
 pub async fn send_heartbeats(node: Arc<Node>, socket: Arc<UdpSocket>, peer: DaemonId) {
     let mut changes = node.replica.changes();
     loop {
-        let beat = own_heartbeat(&node);
-        if let Some((addr, frame)) = node.members.next_frame(peer, beat, clock::now()) {
+        let heartbeat = own_heartbeat(&node);
+        if let Some((addr, frame)) = node.members.next_frame(peer, heartbeat, clock::now()) {
             let bytes = frame.seal(&node.settings.peer_key);
             node.counters.add("peer.sent.bytes", bytes.len() as u64);
-            // A datagram that cannot be sent is one that is lost.
+            // A send error is treated like a lost datagram.
             let _ = socket.send_to(&bytes, addr).await;
         }
         sleep(MIN_HEARTBEAT_INTERVAL).await;
@@ -336,14 +343,14 @@
 fn busy_hashes(node: &Node) -> Vec<u32> {
     let busy: Vec<BoxId> = node.routes.busy_boxes();
     if busy.len() > MAX_BUSY_BOXES {
-        // More than fit: name the first ones now, the others once these are idle. Drains wait for
-        // a named box only, so the driver also asks the worker itself before it acts.
+        // Only the first ones fit; the others are reported once these are idle. Since a drain waits
+        // for reported boxes only, the driver also polls the worker itself before it acts.
         node.counters.count("peer.busy-overflow");
     }
     busy.iter().take(MAX_BUSY_BOXES).map(|id| short_box_hash(id)).collect()
 }
 
-/// Takes in heartbeats.
+/// Receives heartbeats for as long as the daemon runs.
 pub async fn receive_heartbeats(node: Arc<Node>, socket: Arc<UdpSocket>) {
     let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
@@ -352,15 +359,15 @@
             continue;
         };
         let frame = Frame::open(&node.settings.peer_key, &bytes[..size]);
-        let taken = frame.and_then(|frame| node.members.accept_frame(frame, clock::now()));
-        match taken {
+        let result = frame.and_then(|frame| node.members.accept_frame(frame, clock::now()));
+        match result {
             Ok(()) => node.counters.count("peer.received"),
             Err(error) => node.counters.count(error.counter()),
         }
     }
 }
 
-/// Watches this daemon's own clock, and forgives the peers when it was late.
+/// Detects pauses of this daemon by its own clock, and grants the peers a grace period after one.
 pub async fn detect_pauses(node: Arc<Node>) {
     let interval = node.settings.heartbeat_interval;
     let mut last = clock::now();
--- a/lib/src/coordination/node.rs
+++ b/lib/src/coordination/node.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one daemon share.
+//! State shared by the tasks of one daemon.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -27,28 +27,28 @@
 use crate::transport::clock;
 use crate::transport::dial::Dialer;
 
-/// How long a connection to a target or to the platform may take to be made.
+/// How long connecting to a target or to the platform may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The shared parts of a daemon.
+/// State shared by the tasks of one daemon.
 pub struct Node {
-    /// What it was started with.
+    /// The settings it was started with.
     pub settings: Settings,
     /// Its counters.
     pub counters: Counters,
-    /// Its life.
+    /// Its incarnation: the start time in microseconds since the Unix epoch.
     pub incarnation: Incarnation,
     /// Its copy of the fleet.
     pub replica: Replica,
     /// Its peers.
     pub members: Members,
-    /// Its way to the log.
+    /// Appends records to the log.
     pub appender: Appender,
-    /// The states this daemon hashed, and the batches it can hand on.
+    /// The hash of its last marked state, and the latest batches, for peers that catch up.
     pub history: History,
-    /// The box list.
+    /// The platform's box list.
     pub box_list: BoxList,
-    /// Where requests go.
+    /// The routing table.
     pub routes: Routes,
     /// Its outgoing connections.
     pub dialer: Dialer,
@@ -56,12 +56,12 @@
     suspects: Mutex<BTreeSet<BoxId>>,
     stopping: AtomicBool,
     diverged: AtomicBool,
-    /// Held by whoever applies, so that routing follows the fleet in order.
+    /// Held while batches or a fleet are applied, so that the routes are rebuilt in their order.
     pub(crate) apply_lock: tokio::sync::Mutex<()>,
 }
 
 impl Node {
-    /// The parts of a daemon that starts now; must be called on its runtime.
+    /// Creates the state of a daemon. Must be called within a Tokio runtime.
     pub fn new(settings: Settings, counters: Counters) -> Arc<Node> {
         let incarnation = new_incarnation();
         let suspect_after = settings.heartbeat_interval * 4;
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Why this daemon may serve now, or that it may not.
+    /// The condition by which this daemon may serve now, or that none holds.
     pub fn basis(&self) -> Basis {
         if self.diverged.load(Ordering::SeqCst) {
             return Basis::Stale;
@@ -102,35 +102,35 @@
         if own.log_age.is_some_and(|age| age < max_age) {
             return Basis::Log;
         }
-        let heard = self.members.recent_peers(now, max_age);
+        let peers = self.members.recent_peers(now, max_age);
         let daemons = self.members.configured_count();
-        if !own.is_complete && freshness::becomes_complete(own, &heard, daemons, max_age) {
+        if !own.is_complete && freshness::becomes_complete(own, &peers, daemons, max_age) {
             self.replica.set_complete();
         }
-        freshness::evaluate(own, &heard, daemons, max_age)
+        freshness::evaluate(own, &peers, daemons, max_age)
     }
 
-    /// Whether this daemon takes callers' requests.
+    /// Whether this daemon accepts callers' requests.
     pub fn is_serving(&self) -> bool {
         !self.is_stopping() && self.basis().is_fresh()
     }
 
-    /// Casts doubt on a box, since a request to it failed.
+    /// Marks a box as suspect, since a request to it failed: it is polled soon.
     pub fn add_suspect(&self, target: &BoxId) {
-        let mut suspects = self.suspects.lock().expect("no holder panics");
+        let mut suspects = self.suspects.lock().expect("the lock is not poisoned");
         if !suspects.contains(target) {
             suspects.insert(target.clone());
         }
     }
 
-    /// The boxes that doubt was cast on since the last time.
+    /// Removes and returns the boxes that were marked as suspect.
     pub fn take_suspects(&self) -> BTreeSet<BoxId> {
-        std::mem::take(&mut *self.suspects.lock().expect("no holder panics"))
+        std::mem::take(&mut *self.suspects.lock().expect("the lock is not poisoned"))
     }
 
-    /// Says whether this daemon's state was found to be wrong.
-    pub fn set_diverged(&self, deviant: bool) {
-        self.diverged.store(deviant, Ordering::SeqCst);
+    /// Sets whether this daemon's state differs from that of a majority; it does not serve then.
+    pub fn set_diverged(&self, diverged: bool) {
+        self.diverged.store(diverged, Ordering::SeqCst);
     }
 
     /// Whether this daemon is stopping.
@@ -138,12 +138,12 @@
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Tells the balancer and the peers that this daemon is stopping.
+    /// Makes the health check fail and the heartbeats say that this daemon does not serve.
     pub fn set_stopping(&self) {
         self.stopping.store(true, Ordering::SeqCst);
     }
 
-    /// The daemons that share the duties now.
+    /// The serving daemons, among which the tasks of the site are divided.
     pub fn serving_daemons(&self) -> Vec<DaemonId> {
         self.members.serving_daemons(clock::now(), self.is_serving())
     }
--- a/lib/src/coordination/reconcile.rs
+++ b/lib/src/coordination/reconcile.rs
@@ -1,9 +1,9 @@
-//! Tends the boxes this daemon has the duty for: sees whether they answer, and keeps the jobs
-//! running on them that the fleet has placed there.
+//! Polls the boxes that this daemon owns: detects which of them are down, and corrects the jobs
+//! that run on them to those that the fleet has placed there.
 //!
-//! The duty for a box goes by rendezvous hash among the live daemons. Two daemons that differ
-//! about it do no harm: commands carry the box's version as fence, and the worker refuses a lower
-//! one than it has seen.
+//! The owner of a box is chosen by rendezvous hash among the serving daemons. Two daemons that both
+//! take themselves for the owner do not conflict: commands carry the box's version as fence, and
+//! the worker rejects one that is lower than the highest it has seen.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -44,14 +44,14 @@
 const DOWN_AFTER_POLLS: u32 = 3;
 /// Polls with an answer after which a box that was down is up.
 const UP_AFTER_POLLS: u32 = 3;
-/// Bytes that one poll takes both ways, as `spokelift bench state` measures it.
+/// Bytes that one poll takes on the network, request and response together.
 const POLL_BYTES: usize = 230;
 /// Boxes polled at the same time.
 const MAX_CONCURRENT_POLLS: usize = 32;
 
-/// One box to look at, as the fleet has it.
+/// A box to poll, with the state that the fleet wants it in.
 struct PollTarget {
-    target: BoxId,
+    id: BoxId,
     addr: SocketAddr,
     fence: Offset,
     is_down: bool,
@@ -59,7 +59,7 @@
     is_leaving: bool,
 }
 
-/// Polls in a row that had, or had not, an answer.
+/// Number of consecutive polls that were, or were not, answered.
 #[derive(Clone, Copy, Default)]
 struct Streak {
     answered: u32,
@@ -67,7 +67,7 @@
 }
 
 impl Streak {
-    /// Whether the last poll had no answer.
+    /// Whether the last poll was not answered.
     fn is_unresponsive(&self) -> bool {
         self.missed > 0
     }
@@ -81,7 +81,7 @@
     }
 }
 
-/// A box in this daemon's care, or one that a request to it has cast doubt on.
+/// The polls of a box that this daemon owns, or to which one of its requests failed.
 #[derive(Clone, Copy)]
 struct PollState {
     streak: Streak,
@@ -90,9 +90,9 @@
 
 /// Which boxes to poll, and when.
 ///
-/// A box that is well is polled seldom, so that polls keep within their share of the network at
-/// any number of boxes. One that missed a poll, is down, or failed a request is polled at every
-/// turn.
+/// Responsive boxes are polled at an interval that grows with their number, so that polls keep
+/// within `poll_bytes_per_s`. A box that missed a poll, is down, or failed a request is polled in
+/// every round.
 #[derive(Default)]
 struct PollSchedule {
     live_daemons: Vec<DaemonId>,
@@ -102,7 +102,8 @@
 }
 
 impl PollSchedule {
-    /// Works out the duty anew when the daemons or the boxes have changed.
+    /// Determines the owned boxes again when the serving daemons or the number of boxes have
+    /// changed.
     fn refresh_owned(&mut self, node: &Node) {
         let live = node.serving_daemons();
         let fleet = node.replica.fleet();
@@ -115,59 +116,58 @@
         self.live_daemons = live;
     }
 
-    /// Time between two polls of a box that is well.
+    /// Time between two polls of a responsive box.
     fn interval(&self, node: &Node) -> Duration {
         let bytes = (self.owned.len() * POLL_BYTES) as u32;
         let spread = Duration::from_secs(1) * bytes / node.settings.poll_bytes_per_s;
         spread.max(node.settings.poll_interval)
     }
 
-    /// The boxes to poll now.
+    /// The boxes to poll now; also makes the suspected boxes due.
     fn take_due(&mut self, node: &Node, now: Instant) -> Vec<PollTarget> {
         let interval = self.interval(node);
         let suspects = node.take_suspects();
         let leaving = node.box_list.leaving();
         let fleet = node.replica.fleet();
-        let own = &self.owned;
-        self.polled.retain(|id, watched| own.contains(id) || watched.streak.is_unresponsive());
-        for id in own {
+        let owned = &self.owned;
+        self.polled.retain(|id, state| owned.contains(id) || state.streak.is_unresponsive());
+        for id in owned {
             self.polled.entry(id.clone()).or_insert_with(|| initial_poll_state(now, interval));
         }
         for id in suspects {
-            let watched =
-                self.polled.entry(id).or_insert_with(|| initial_poll_state(now, interval));
-            watched.due_at = now;
+            let state = self.polled.entry(id).or_insert_with(|| initial_poll_state(now, interval));
+            state.due_at = now;
         }
-        let due = self.polled.iter().filter(|(_, watched)| watched.due_at <= now);
-        let tended = due.filter_map(|(id, _)| PollTarget::new(&fleet, &leaving, id));
-        tended.collect()
+        let due = self.polled.iter().filter(|(_, state)| state.due_at <= now);
+        let targets = due.filter_map(|(id, _)| PollTarget::new(&fleet, &leaving, id));
+        targets.collect()
     }
 
-    /// Notes a poll's result. Returns whether the box should be called down, or up, from now on.
+    /// Records the result of a poll. Returns whether the box is to be marked as down or up.
     fn record_poll(
         &mut self,
         node: &Node,
-        tended: &PollTarget,
+        target: &PollTarget,
         answered: bool,
         now: Instant,
     ) -> Transition {
         let interval = self.interval(node);
-        let watched = self.polled.entry(tended.target.clone());
-        let watched = watched.or_insert_with(|| initial_poll_state(now, interval));
-        watched.streak.add(answered);
-        let in_doubt = watched.streak.is_unresponsive() || tended.is_down;
-        watched.due_at = if in_doubt { now } else { now + interval };
-        if !tended.is_down && watched.streak.missed >= DOWN_AFTER_POLLS {
+        let state = self.polled.entry(target.id.clone());
+        let state = state.or_insert_with(|| initial_poll_state(now, interval));
+        state.streak.add(answered);
+        let needs_poll = state.streak.is_unresponsive() || target.is_down;
+        state.due_at = if needs_poll { now } else { now + interval };
+        if !target.is_down && state.streak.missed >= DOWN_AFTER_POLLS {
             return Transition::Down;
         }
-        if tended.is_down && watched.streak.answered >= UP_AFTER_POLLS {
+        if target.is_down && state.streak.answered >= UP_AFTER_POLLS {
             return Transition::Up;
         }
         Transition::None
     }
 }
 
-/// First polls are spread over the interval.
+/// State of a box before its first poll, which is due at a random time within the interval.
 fn initial_poll_state(now: Instant, interval: Duration) -> PollState {
     let due = now + interval.mul_f64(rand::random());
     PollState { streak: Streak::default(), due_at: due }
@@ -180,25 +180,25 @@
     Up,
 }
 
-/// Tends boxes for as long as the daemon runs.
+/// Polls boxes for as long as the daemon runs.
 pub async fn run(node: Arc<Node>) {
-    let mut rounds = PollSchedule::default();
+    let mut schedule = PollSchedule::default();
     loop {
         sleep(node.settings.poll_interval).await;
-        // Only a daemon that reads the log itself knows well enough what should run where.
+        // Only a daemon that reads the log itself has a placement recent enough to enforce.
         if node.basis() != Basis::Log {
             continue;
         }
-        rounds.refresh_owned(&node);
-        let tended = rounds.take_due(&node, clock::now());
-        let answers = poll_all(&node, &tended).await;
+        schedule.refresh_owned(&node);
+        let targets = schedule.take_due(&node, clock::now());
+        let answers = poll_all(&node, &targets).await;
         let now = clock::now();
         let mut down = Vec::new();
         let mut up = Vec::new();
-        for (tended, answered) in tended.into_iter().zip(answers) {
-            match rounds.record_poll(&node, &tended, answered, now) {
-                Transition::Down => down.push(tended.target),
-                Transition::Up => up.push(tended.target),
+        for (target, answered) in targets.into_iter().zip(answers) {
+            match schedule.record_poll(&node, &target, answered, now) {
+                Transition::Down => down.push(target.id),
+                Transition::Up => up.push(target.id),
                 Transition::None => {}
             }
         }
@@ -207,6 +207,7 @@
     }
 }
 
+/// Appends a record that marks boxes as down or up.
 async fn append_transitions(
     node: &Node,
     counter: &str,
@@ -224,15 +225,15 @@
 }
 
 impl PollTarget {
-    /// What there is to do on a box; nothing if a plan has taken it out, since its driver sees to
-    /// it, or if it is in no pool.
+    /// The poll of a box; `None` if it is in no pool, or if a plan has taken it out of service:
+    /// then that plan's driver controls it.
     fn new(fleet: &Fleet, leaving: &BTreeSet<BoxId>, id: &BoxId) -> Option<PollTarget> {
         let entry = fleet.boxes.get(id)?;
         if entry.out.is_some() {
             return None;
         }
         Some(PollTarget {
-            target: id.clone(),
+            id: id.clone(),
             addr: entry.shape.addr,
             fence: entry.version,
             is_down: entry.down,
@@ -242,22 +243,23 @@
     }
 }
 
-async fn poll_all(node: &Arc<Node>, tended: &[PollTarget]) -> Vec<bool> {
+/// Polls boxes concurrently. Returns for each, in their order, whether it answered.
+async fn poll_all(node: &Arc<Node>, targets: &[PollTarget]) -> Vec<bool> {
     let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_POLLS));
     let mut polls = JoinSet::new();
-    for (index, tended) in tended.iter().enumerate() {
+    for (index, target) in targets.iter().enumerate() {
         let node = node.clone();
         let permits = permits.clone();
-        let addr = tended.addr;
-        let fence = tended.fence;
-        let leaving = tended.is_leaving;
-        let jobs = tended.jobs.clone();
+        let addr = target.addr;
+        let fence = target.fence;
+        let leaving = target.is_leaving;
+        let jobs = target.jobs.clone();
         polls.spawn(async move {
             let _permit = permits.acquire().await;
             (index, poll_box(&node, addr, fence, leaving, jobs).await)
         });
     }
-    let mut answered = vec![false; tended.len()];
+    let mut answered = vec![false; targets.len()];
     while let Some(polled) = polls.join_next().await {
         if let Ok((index, ok)) = polled {
             answered[index] = ok;
@@ -266,7 +268,7 @@
     answered
 }
 
-/// Looks at one box and corrects what it runs. Returns whether it answered.
+/// Polls one box and corrects its jobs. Returns whether it answered.
 async fn poll_box(
     node: &Node,
     addr: SocketAddr,
@@ -279,7 +281,7 @@
         return false;
     };
     if status.fence > fence {
-        // Someone knows of a later change; what this daemon knows will catch up.
+        // A daemon that has applied more of the log has commanded the worker already.
         return true;
     }
     let mut running = status.jobs.clone();
@@ -294,13 +296,13 @@
     true
 }
 
-/// Asks a worker for its status.
+/// Requests a worker's status.
 pub async fn fetch_status(node: &Node, addr: SocketAddr) -> Result<Status, ExchangeError> {
     let request = Request::get(STATUS).body(full(""))?;
     exchange(node, addr, request).await
 }
 
-/// Gives a worker a command.
+/// Sends a worker a command. A fence that is too low fails with status 409.
 pub async fn send_command(
     node: &Node,
     addr: SocketAddr,
--- a/lib/src/coordination/replica.rs
+++ b/lib/src/coordination/replica.rs
@@ -1,4 +1,4 @@
-//! A daemon's copy of the fleet, and how recently it was known to be at the log's end.
+//! A daemon's copy of the fleet, and the time of the last read that reached the log's end.
 
 use std::sync::Mutex;
 use std::sync::RwLock;
@@ -38,34 +38,34 @@
 }
 
 impl Replica {
-    /// The fleet as of now; hold it briefly.
+    /// Locks the fleet for reading. Hold the guard briefly, since it blocks applying.
     pub fn fleet(&self) -> RwLockReadGuard<'_, Fleet> {
-        self.fleet.read().expect("no writer of the fleet panics")
+        self.fleet.read().expect("the fleet lock is not poisoned")
     }
 
-    /// Applies the batch at `offset` if it is the next one; [`Replica::announce`] follows once
-    /// routing knows of it.
+    /// Applies the batch at `offset`; `None` if it is not the next one. The caller rebuilds the
+    /// routes and then calls [`Replica::announce`].
     pub fn apply(&self, offset: Offset, batch: &Batch) -> Option<Vec<(RecordId, Verdict)>> {
-        let mut fleet = self.fleet.write().expect("no writer of the fleet panics");
+        let mut fleet = self.fleet.write().expect("the fleet lock is not poisoned");
         (fleet.next == offset).then(|| fleet.apply(offset, batch))
     }
 
-    /// Passes over an offset that holds no batch, if it is the next one.
+    /// Skips an offset that holds no batch, if it is the next one.
     pub fn skip(&self, offset: Offset) {
-        let mut fleet = self.fleet.write().expect("no writer of the fleet panics");
+        let mut fleet = self.fleet.write().expect("the fleet lock is not poisoned");
         if fleet.next == offset {
             fleet.next = offset + 1;
         }
     }
 
-    /// Puts a whole fleet in place of one that was found to be wrong.
-    pub fn replace_fleet(&self, right: Fleet) {
-        *self.fleet.write().expect("no writer of the fleet panics") = right;
+    /// Replaces a fleet that has diverged.
+    pub fn replace_fleet(&self, fleet: Fleet) {
+        *self.fleet.write().expect("the fleet lock is not poisoned") = fleet;
     }
 
-    /// Puts a whole fleet in place of the current one, unless that is as recent.
+    /// Replaces the fleet if `newer` is later. Returns whether it was.
     pub fn install_if_newer(&self, newer: Fleet) -> bool {
-        let mut fleet = self.fleet.write().expect("no writer of the fleet panics");
+        let mut fleet = self.fleet.write().expect("the fleet lock is not poisoned");
         if newer.next <= fleet.next {
             return false;
         }
@@ -73,7 +73,8 @@
         true
     }
 
-    /// Tells those who wait that everything below the fleet's offset is in force here.
+    /// Notifies the receivers of [`Replica::changes`] that everything below the fleet's offset is
+    /// applied and routed by this daemon.
     pub fn announce(&self) {
         let next = self.fleet().next;
         self.next.send_if_modified(|announced| {
@@ -83,36 +84,36 @@
         });
     }
 
-    /// Offset of the first batch that is not in force here.
+    /// The announced offset: that of the first batch not yet applied and routed by this daemon.
     pub fn next(&self) -> Offset {
         *self.next.borrow()
     }
 
-    /// Waits for changes.
+    /// A receiver that is notified when the announced offset changes.
     pub fn changes(&self) -> watch::Receiver<Offset> {
         self.next.subscribe()
     }
 
-    /// Notes that a read begun at `begun` found the log's end.
-    pub fn record_log_read(&self, begun: Instant) {
-        let mut log_read = self.log_read_at.lock().expect("no holder panics");
-        *log_read = Some(begun);
+    /// Records that a read started at `started_at` reached the log's end.
+    pub fn record_log_read(&self, started_at: Instant) {
+        let mut log_read = self.log_read_at.lock().expect("the lock is not poisoned");
+        *log_read = Some(started_at);
         self.set_complete();
     }
 
-    /// Whether this copy has, in this life, been known to hold all that was in force.
+    /// Whether this copy is complete (see [`crate::coordination::freshness`]).
     pub fn is_complete(&self) -> bool {
         self.complete.load(Ordering::SeqCst)
     }
 
-    /// Notes that this copy holds all that is in force.
+    /// Records that this copy is complete.
     pub fn set_complete(&self) {
         self.complete.store(true, Ordering::SeqCst);
     }
 
-    /// Age of the last read that found the log's end.
+    /// Age of the last read that reached the log's end; `None` before the first one.
     pub fn log_age(&self, now: Instant) -> Option<Duration> {
-        let log_read = self.log_read_at.lock().expect("no holder panics");
-        log_read.map(|begun| now.saturating_duration_since(begun))
+        let log_read = self.log_read_at.lock().expect("the lock is not poisoned");
+        log_read.map(|started_at| now.saturating_duration_since(started_at))
     }
 }
--- a/lib/src/coordination/route.rs
+++ b/lib/src/coordination/route.rs
@@ -1,7 +1,8 @@
-//! Where requests go: the boxes that run each service, and this daemon's share of their slots.
+//! The routing table: the endpoints of each service, and this daemon's part of their slots.
 //!
-//! The slots of a job on a box are divided among the configured daemons once and for all, so a
-//! target never gets more than its slots, whichever daemons are alive.
+//! An endpoint is a service on one box; its slots bound the requests that run there at a time. They
+//! are divided statically among the configured daemons, so a target never gets more requests than
+//! it has slots, whichever daemons are live.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -32,11 +33,12 @@
 use crate::state::id::ServiceKey;
 use crate::transport::clock;
 
-/// How long a box that could not be reached, or turned a request away, is avoided.
+/// How long an endpoint is avoided after a failed attempt.
 const AVOID_DURATION: Duration = Duration::from_secs(1);
-/// How long a box that said it is leaving gets nothing; the box list says so by then.
+/// How long an endpoint gets no requests after its box said that it is leaving; the box list says
+/// so by then.
 const LEAVING_DURATION: Duration = Duration::from_secs(5);
-/// How long a waiting request sleeps at most before it looks again.
+/// Longest time after which a waiting request checks again for a free slot.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The routing table. Follows the fleet and the box list.
@@ -56,28 +58,31 @@
     leaving: Arc<BTreeSet<BoxId>>,
 }
 
-/// The lanes of one service, and the requests that wait for one.
+/// The endpoints of one service, and the number of requests that wait for a slot.
 pub struct Route {
     endpoints: RwLock<Arc<[Arc<Endpoint>]>>,
     slot_freed: Notify,
     waiting_requests: AtomicU32,
 }
 
-/// One service on one box, as far as this daemon may use it.
+/// One service on one box, with the slots that this daemon may use.
 pub struct Endpoint {
     /// The box.
     pub target: BoxId,
-    /// Where it serves.
+    /// Its address.
     pub addr: SocketAddr,
     hall: HallId,
     slots: u32,
     own_slots: u32,
     used_slots: Arc<AtomicU32>,
+    /// Whether it is in the current table.
     is_routed: AtomicBool,
+    /// Whether the box list says that its box is leaving.
     is_listed_leaving: AtomicBool,
     restrictions: Mutex<Restrictions>,
 }
 
+/// Until when an endpoint is avoided, and until when it gets no requests.
 #[derive(Default)]
 struct Restrictions {
     avoid_until: Option<Instant>,
@@ -92,7 +97,7 @@
 }
 
 impl Slot {
-    /// The lane the slot is on.
+    /// The endpoint that the slot belongs to.
     pub fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
@@ -107,13 +112,13 @@
 }
 
 impl Endpoint {
-    /// Takes a slot, if there is one and the lane is open.
+    /// Takes a slot, if one is free and the endpoint is available. Returns whether it did.
     ///
-    /// The slot is counted before the lane is seen to be open. Whoever closes the lane looks at
-    /// the count afterwards, so it sees every request that was let through.
+    /// The slot is counted before the availability is checked. Whoever makes the endpoint
+    /// unavailable reads the count afterwards, so it sees every request that passed the check.
     fn try_take_slot(&self) -> bool {
-        let more = |used: u32| (used < self.own_slots).then_some(used + 1);
-        if self.used_slots.try_update(Ordering::SeqCst, Ordering::SeqCst, more).is_err() {
+        let add_one = |used: u32| (used < self.own_slots).then_some(used + 1);
+        if self.used_slots.try_update(Ordering::SeqCst, Ordering::SeqCst, add_one).is_err() {
             return false;
         }
         if self.is_available() {
@@ -123,15 +128,17 @@
         false
     }
 
+    /// Whether this is still the endpoint of a box and its number of slots.
     fn matches_entry(&self, entry: &Entry, slots: u32) -> bool {
         self.addr == entry.shape.addr && self.slots == slots
     }
 
-    /// What speaks against this lane, most weighty first.
+    /// Sort key of the choice of an endpoint, lowest first: avoided, in another hall, used slots.
     fn cost(&self, hall: &str) -> (bool, bool, u32) {
         (self.is_avoided(), self.hall.as_ref() != hall, self.used_slots.load(Ordering::SeqCst))
     }
 
+    /// Whether new requests may be sent to it.
     fn is_available(&self) -> bool {
         self.is_routed.load(Ordering::SeqCst)
             && !self.is_listed_leaving.load(Ordering::SeqCst)
@@ -139,44 +146,44 @@
     }
 
     fn is_leaving(&self) -> bool {
-        let shut = self.restrictions.lock().expect("no holder panics");
-        shut.leaving_until.is_some_and(|until| clock::now() < until)
+        let restrictions = self.restrictions.lock().expect("the lock is not poisoned");
+        restrictions.leaving_until.is_some_and(|until| clock::now() < until)
     }
 
     fn is_avoided(&self) -> bool {
-        let shut = self.restrictions.lock().expect("no holder panics");
-        shut.avoid_until.is_some_and(|until| clock::now() < until)
+        let restrictions = self.restrictions.lock().expect("the lock is not poisoned");
+        restrictions.avoid_until.is_some_and(|until| clock::now() < until)
     }
 
-    /// Prefers other lanes for a while.
+    /// Prefers other endpoints for [`AVOID_DURATION`].
     pub fn mark_avoided(&self) {
-        let mut shut = self.restrictions.lock().expect("no holder panics");
-        shut.avoid_until = Some(clock::now() + AVOID_DURATION);
+        let mut restrictions = self.restrictions.lock().expect("the lock is not poisoned");
+        restrictions.avoid_until = Some(clock::now() + AVOID_DURATION);
     }
 
-    /// Sends nothing more here: the box itself said that it is leaving.
+    /// Sends no more requests here for [`LEAVING_DURATION`], since the box said that it is leaving.
     pub fn mark_leaving(&self) {
-        let mut shut = self.restrictions.lock().expect("no holder panics");
-        shut.leaving_until = Some(clock::now() + LEAVING_DURATION);
+        let mut restrictions = self.restrictions.lock().expect("the lock is not poisoned");
+        restrictions.leaving_until = Some(clock::now() + LEAVING_DURATION);
     }
 }
 
 impl Route {
     fn new() -> Route {
-        let none: Arc<[Arc<Endpoint>]> = Arc::new([]);
+        let empty: Arc<[Arc<Endpoint>]> = Arc::new([]);
         Route {
-            endpoints: RwLock::new(none),
+            endpoints: RwLock::new(empty),
             slot_freed: Notify::new(),
             waiting_requests: AtomicU32::new(0),
         }
     }
 
     fn endpoints(&self) -> Arc<[Arc<Endpoint>]> {
-        self.endpoints.read().expect("no writer panics").clone()
+        self.endpoints.read().expect("the lock is not poisoned").clone()
     }
 }
 
-/// Counts a request that waits; dropping it counts it out.
+/// Counts a request as waiting until dropped.
 struct WaitGuard<'a>(&'a Route);
 
 impl Drop for WaitGuard<'_> {
@@ -186,15 +193,9 @@
 }
 
 impl Routes {
-    /// An empty table for daemon `own` of `daemons`.
-    pub fn new(own: DaemonId, daemons: Vec<DaemonId>, queue_limit: u32) -> Routes {
-        Routes {
-            own_id: own,
-            daemons,
-            queue_limit,
-            table: RwLock::default(),
-            inflight: Arc::default(),
-        }
+    /// An empty table for daemon `own_id` of `daemons`.
+    pub fn new(own_id: DaemonId, daemons: Vec<DaemonId>, queue_limit: u32) -> Routes {
+        Routes { own_id, daemons, queue_limit, table: RwLock::default(), inflight: Arc::default() }
     }
 
     /// Requests in flight to targets.
@@ -202,38 +203,38 @@
         self.inflight.load(Ordering::SeqCst)
     }
 
-    /// The route of a service.
+    /// The route of a service; `None` if the account has no such service.
     pub fn find_route(&self, account: &str, service: &str) -> Option<Arc<Route>> {
-        let table = self.table.read().expect("no writer of the table panics");
+        let table = self.table.read().expect("the table lock is not poisoned");
         table.routes.get(account)?.get(service).cloned()
     }
 
-    /// Boxes that are out of service and still have requests of this daemon.
+    /// Boxes that are out of service and still run requests of this daemon.
     pub fn busy_boxes(&self) -> Vec<BoxId> {
-        let table = self.table.read().expect("no writer of the table panics");
+        let table = self.table.read().expect("the table lock is not poisoned");
         if table.out_of_service.is_empty() {
             return Vec::new();
         }
-        let busy = |lane: &&Arc<Endpoint>| {
-            lane.used_slots.load(Ordering::SeqCst) > 0
-                && table.out_of_service.contains(&lane.target)
+        let busy = |endpoint: &&Arc<Endpoint>| {
+            endpoint.used_slots.load(Ordering::SeqCst) > 0
+                && table.out_of_service.contains(&endpoint.target)
         };
-        let busy = table.endpoints.values().filter(busy).map(|lane| lane.target.clone());
+        let busy = table.endpoints.values().filter(busy).map(|endpoint| endpoint.target.clone());
         let distinct: BTreeSet<BoxId> = busy.collect();
         distinct.into_iter().collect()
     }
 
-    /// Makes the table follow the fleet. Lanes that go on keep their slots in use.
+    /// Rebuilds the table from the fleet. Endpoints that remain keep their used slots.
     pub fn rebuild(&self, fleet: &Fleet) {
-        let mut table = self.table.write().expect("no writer of the table panics");
+        let mut table = self.table.write().expect("the table lock is not poisoned");
         let mut next = Table { leaving: table.leaving.clone(), ..Table::default() };
         for (key, service) in &fleet.services {
-            let lanes = self.endpoints_of(&table, fleet, key, service);
-            for lane in &lanes {
-                next.endpoints.insert((lane.target.clone(), key.clone()), lane.clone());
+            let endpoints = self.endpoints_of(&table, fleet, key, service);
+            for endpoint in &endpoints {
+                next.endpoints.insert((endpoint.target.clone(), key.clone()), endpoint.clone());
             }
             let route = table.route_for(key);
-            *route.endpoints.write().expect("no writer panics") = lanes.into();
+            *route.endpoints.write().expect("the lock is not poisoned") = endpoints.into();
             route.slot_freed.notify_waiters();
             next.routes.entry(key.0.clone()).or_default().insert(key.1.clone(), route);
         }
@@ -243,6 +244,7 @@
         *table = next;
     }
 
+    /// The endpoints of a service on boxes that serve, reusing those of the current table.
     fn endpoints_of(
         &self,
         table: &Table,
@@ -250,32 +252,33 @@
         key: &ServiceKey,
         service: &Service,
     ) -> Vec<Arc<Endpoint>> {
-        let mut lanes = Vec::with_capacity(service.placed.len());
+        let mut endpoints = Vec::with_capacity(service.placed.len());
         for target in &service.placed {
             let entry = fleet.boxes.get(target).filter(|entry| entry.is_serving());
             let Some(entry) = entry else {
                 continue;
             };
             let id = (target.clone(), key.clone());
-            let known = table.endpoints.get(&id);
-            let lane = match known.filter(|known| known.matches_entry(entry, service.slots)) {
-                Some(lane) => lane.clone(),
-                None => Arc::new(self.new_endpoint(&id, entry, service.slots, known)),
-            };
-            lane.is_listed_leaving.store(table.leaving.contains(target), Ordering::SeqCst);
-            lane.is_routed.store(true, Ordering::SeqCst);
-            lanes.push(lane);
+            let previous = table.endpoints.get(&id);
+            let endpoint =
+                match previous.filter(|previous| previous.matches_entry(entry, service.slots)) {
+                    Some(endpoint) => endpoint.clone(),
+                    None => Arc::new(self.new_endpoint(&id, entry, service.slots, previous)),
+                };
+            endpoint.is_listed_leaving.store(table.leaving.contains(target), Ordering::SeqCst);
+            endpoint.is_routed.store(true, Ordering::SeqCst);
+            endpoints.push(endpoint);
         }
-        lanes
+        endpoints
     }
 
-    /// A new lane; requests that the known one still has in flight count against its share.
+    /// A new endpoint. Requests still in flight to the one that it replaces count as used slots.
     fn new_endpoint(
         &self,
         id: &(BoxId, ServiceKey),
         entry: &Entry,
         slots: u32,
-        known: Option<&Arc<Endpoint>>,
+        previous: Option<&Arc<Endpoint>>,
     ) -> Endpoint {
         Endpoint {
             target: id.0.clone(),
@@ -283,15 +286,15 @@
             hall: entry.shape.hall.clone(),
             slots,
             own_slots: self.own_slots(id, slots),
-            used_slots: known.map(|known| known.used_slots.clone()).unwrap_or_default(),
+            used_slots: previous.map(|previous| previous.used_slots.clone()).unwrap_or_default(),
             is_routed: AtomicBool::new(true),
             is_listed_leaving: AtomicBool::new(false),
             restrictions: Mutex::default(),
         }
     }
 
-    /// This daemon's part of a job's slots on a box: an equal one, and what does not divide goes
-    /// to the daemons that rank first for the job and the box.
+    /// This daemon's part of a job's slots on a box. The slots are divided equally, and the
+    /// remainder goes to the daemons that rank first for the job and the box.
     fn own_slots(&self, id: &(BoxId, ServiceKey), slots: u32) -> u32 {
         let daemons = self.daemons.len() as u32;
         let key = format!("{}/{}/{}", id.0, id.1.0, id.1.1);
@@ -299,19 +302,20 @@
         slots / daemons + u32::from(rank < slots % daemons)
     }
 
-    /// Follows the box list: a box that is leaving gets nothing more.
+    /// Sets the boxes that are leaving by the box list; they get no more requests.
     pub fn set_leaving(&self, leaving: &Arc<BTreeSet<BoxId>>) {
-        let mut table = self.table.write().expect("no writer of the table panics");
+        let mut table = self.table.write().expect("the table lock is not poisoned");
         table.leaving = leaving.clone();
-        for lane in table.endpoints.values() {
-            lane.is_listed_leaving.store(leaving.contains(&lane.target), Ordering::SeqCst);
+        for endpoint in table.endpoints.values() {
+            endpoint.is_listed_leaving.store(leaving.contains(&endpoint.target), Ordering::SeqCst);
         }
     }
 
     /// Takes a slot for a request, waiting for one until `deadline`.
     ///
-    /// Lanes on boxes of `tried` are passed over. A wait that cannot start, since too many wait
-    /// already, is refused at once.
+    /// Endpoints on boxes of `tried` are skipped. Fails with `NoTarget` if no endpoint is
+    /// available, with `QueueFull` if too many requests wait already, and with `Busy` at the
+    /// deadline.
     pub async fn acquire_slot(
         &self,
         route: &Arc<Route>,
@@ -323,7 +327,7 @@
             return Ok(slot);
         }
         let waiting = route.waiting_requests.fetch_add(1, Ordering::SeqCst);
-        let _counted = WaitGuard(route);
+        let _guard = WaitGuard(route);
         if waiting >= self.queue_limit {
             return Err(Reason::QueueFull);
         }
@@ -332,7 +336,7 @@
             if left.is_zero() {
                 return Err(Reason::Busy);
             }
-            // A wake-up may be lost to a request that came in between; looking again bounds that.
+            // Another request may take the slot of a notification, so the wait is bounded.
             let _ = timeout(left.min(RECHECK_INTERVAL), route.slot_freed.notified()).await;
             if let Some(slot) = self.try_acquire_slot(route, hall, tried)? {
                 return Ok(slot);
@@ -340,29 +344,31 @@
         }
     }
 
-    /// The best free lane: one that is not avoided, in this daemon's hall, least used; among equal
-    /// ones a random one.
+    /// Takes a slot of the best available endpoint: not avoided, then in this daemon's hall, then
+    /// with the fewest used slots; at random among equal ones. `None` if no slot is free.
     fn try_acquire_slot(
         &self,
         route: &Arc<Route>,
         hall: &str,
         tried: &[BoxId],
     ) -> Result<Option<Slot>, Reason> {
-        let lanes = route.endpoints();
-        let usable = |lane: &&Arc<Endpoint>| lane.is_available() && !tried.contains(&lane.target);
-        let mut choices: Vec<&Arc<Endpoint>> = lanes.iter().filter(usable).collect();
+        let endpoints = route.endpoints();
+        let usable = |endpoint: &&Arc<Endpoint>| {
+            endpoint.is_available() && !tried.contains(&endpoint.target)
+        };
+        let mut choices: Vec<&Arc<Endpoint>> = endpoints.iter().filter(usable).collect();
         if choices.is_empty() {
             return Err(Reason::NoTarget);
         }
         let start = rand::rng().random_range(0..choices.len());
         choices.rotate_left(start);
-        choices.sort_by_cached_key(|lane| lane.cost(hall));
-        for lane in choices {
-            if lane.try_take_slot() {
+        choices.sort_by_cached_key(|endpoint| endpoint.cost(hall));
+        for endpoint in choices {
+            if endpoint.try_take_slot() {
                 self.inflight.fetch_add(1, Ordering::SeqCst);
-                let lane = lane.clone();
+                let endpoint = endpoint.clone();
                 let inflight = self.inflight.clone();
-                return Ok(Some(Slot { endpoint: lane, route: route.clone(), inflight }));
+                return Ok(Some(Slot { endpoint, route: route.clone(), inflight }));
             }
         }
         Ok(None)
@@ -371,20 +377,21 @@
 
 impl Table {
     fn route_for(&self, key: &ServiceKey) -> Arc<Route> {
-        let known = self.routes.get(&key.0).and_then(|own| own.get(&key.1));
-        known.cloned().unwrap_or_else(|| Arc::new(Route::new()))
+        let existing = self.routes.get(&key.0).and_then(|own| own.get(&key.1));
+        existing.cloned().unwrap_or_else(|| Arc::new(Route::new()))
     }
 
-    /// Closes the lanes that `next` does not have; those still in use stay in it, closed.
+    /// Makes the endpoints unavailable that are not in `next`. Those with used slots are added to
+    /// it, unless it has another one in their place.
     fn close_missing(&self, next: &mut Table) {
-        for (id, lane) in &self.endpoints {
-            let goes_on = next.endpoints.get(id).is_some_and(|other| Arc::ptr_eq(other, lane));
-            if goes_on {
+        for (id, endpoint) in &self.endpoints {
+            let is_kept = next.endpoints.get(id).is_some_and(|other| Arc::ptr_eq(other, endpoint));
+            if is_kept {
                 continue;
             }
-            lane.is_routed.store(false, Ordering::SeqCst);
-            if lane.used_slots.load(Ordering::SeqCst) > 0 {
-                next.endpoints.entry(id.clone()).or_insert_with(|| lane.clone());
+            endpoint.is_routed.store(false, Ordering::SeqCst);
+            if endpoint.used_slots.load(Ordering::SeqCst) > 0 {
+                next.endpoints.entry(id.clone()).or_insert_with(|| endpoint.clone());
             }
         }
     }
