--- a/lib/src/call.rs
+++ b/lib/src/call.rs
@@ -1,8 +1,8 @@
-//! The caller path: from a caller's request to a target and back.
+//! Proxies callers' requests to targets, and the targets' answers back.
 //!
-//! What is answered never claims more than is known. A request is *not run* only if no byte of it
-//! reached a target, or a target said that it turned it away; in every other case without a whole
-//! answer the outcome is *unknown*.
+//! The reported outcome never claims more than is known. A request was *not run* only if no byte of
+//! it was sent to a target, or the target said that it rejected it; in every other case without a
+//! target's answer the outcome is *unknown*.
 
 mod attempt;
 mod forward;
@@ -45,11 +45,11 @@
 use crate::transport::dial::BodyError;
 use crate::transport::dial::full;
 
-/// Bodies up to this size are read whole before a target is chosen, so that a caller who sends
-/// half of one has run nothing, and so that a repeatable request can be sent again.
+/// Bodies up to this size are read whole before a target is chosen, so that a request whose body is
+/// incomplete does not run, and so that a repeatable request can be retried.
 const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 
-/// Answers one request of a caller or of the balancer.
+/// Answers one request of a caller or of the load balancer.
 pub async fn handle(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     if request.uri().path() == HEALTH {
         return health_response(&node);
@@ -87,18 +87,19 @@
         response = response.header(RETRY_AFTER, seconds);
     }
     if refused.reason == Reason::TooLarge {
-        // The rest of the body stays unread and the connection ends; a caller that is not told
-        // may send its next request into the end of it.
+        // The connection is closed with the rest of the body unread; without this header, a caller
+        // may send its next request on it.
         response = response.header(CONNECTION, "close");
     }
     response.body(full(body)).expect("the headers are constants")
 }
 
+/// Authenticates and validates a request, then runs it on a target.
 async fn run_call(node: &Arc<Node>, request: Request<Incoming>) -> Result<Response<Body>, Refused> {
-    let begun = clock::now();
+    let started_at = clock::now();
     let (head, body) = request.into_parts();
     let account = authenticate(node, &head)?;
-    // A request on a connection that was open when the stop began is still served.
+    // Whether the daemon is stopping is not checked: requests on open connections are still served.
     if !node.basis().is_fresh() {
         return Err(Refused::not_run(Reason::Stale));
     }
@@ -107,7 +108,7 @@
     let service = service.ok_or(Refused::not_run(Reason::Malformed))?;
     let route = node.routes.find_route(&account, service);
     let route = route.ok_or(Refused::not_run(Reason::UnknownService))?;
-    let repeatable = parse_repeatable(&head)?;
+    let is_repeatable = parse_repeatable(&head)?;
     let limit = time_limit(node, &head)?;
     let payload = read_payload(node, body, limit).await?;
     node.counters.count(&format!("account.{account}.calls"));
@@ -116,22 +117,23 @@
         route,
         account: &account,
         service,
-        is_repeatable: repeatable,
-        deadline: begun + limit,
+        is_repeatable,
+        deadline: started_at + limit,
         head: &head,
     };
     call.run(payload).await
 }
 
+/// The account whose caller credential the request carries.
 fn authenticate(node: &Node, head: &Parts) -> Result<AccountId, Refused> {
-    let found = bearer_credential(head).and_then(|credential| {
+    let account = bearer_credential(head).and_then(|credential| {
         let fleet = node.replica.fleet();
         credential.authenticate(&fleet, Role::Caller)
     });
-    found.map_err(|_| Refused::not_run(Reason::Credential))
+    account.map_err(|_| Refused::not_run(Reason::Credential))
 }
 
-/// The credential in a request's head.
+/// The bearer credential in a request's head.
 pub(crate) fn bearer_credential(head: &Parts) -> Result<Credential<'_>, CredentialError> {
     Credential::parse(bearer::token(&head.headers)?)
 }
@@ -144,19 +146,20 @@
     }
 }
 
-/// How long the request may take: what the caller says, at most the daemon's own limit.
+/// How long the request may take: the caller's deadline, at most the daemon's own limit.
 fn time_limit(node: &Node, head: &Parts) -> Result<Duration, Refused> {
-    let own = node.settings.call_limit;
+    let max_limit = node.settings.call_limit;
     let Some(value) = head.headers.get(DEADLINE) else {
-        return Ok(own);
+        return Ok(max_limit);
     };
     let text = value.to_str().ok();
     let millis: Option<u64> = text.and_then(|text| text.parse().ok());
     let millis = millis.ok_or(Refused::not_run(Reason::Malformed))?;
-    Ok(own.min(Duration::from_millis(millis)))
+    Ok(max_limit.min(Duration::from_millis(millis)))
 }
 
-/// Reads a small body whole; a large one is passed on as it comes.
+/// Reads a body of up to [`MAX_BUFFERED_BYTES`] whole; a larger one, or one of unknown size, is
+/// streamed.
 async fn read_payload(node: &Node, body: Incoming, limit: Duration) -> Result<Payload, Refused> {
     let hint = body.size_hint();
     if hint.lower() > node.settings.body_limit {
@@ -171,6 +174,7 @@
     }
 }
 
+/// A stream of the body that fails once it exceeds the daemon's limit.
 fn limited_stream(node: &Node, body: Incoming) -> Body {
     let limited = Limited::new(body, node.settings.body_limit as usize);
     limited.map_err(body_error).boxed_unsync()
@@ -187,7 +191,7 @@
 }
 
 impl Payload {
-    /// The body for one attempt; none if a stream was used up by an earlier one.
+    /// The body for one attempt; `None` if an earlier one has sent the stream.
     fn take_body(&mut self) -> Option<Body> {
         match std::mem::replace(self, Payload::Consumed) {
             Payload::Buffered(bytes) => {
@@ -199,7 +203,7 @@
         }
     }
 
-    /// Takes back a body that was not sent.
+    /// Returns a stream that was not sent, for the next attempt.
     fn restore_body(&mut self, body: Body) {
         if matches!(self, Payload::Consumed) {
             *self = Payload::Stream(body);
--- a/lib/src/call/attempt.rs
+++ b/lib/src/call/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts at targets, and when another one is safe.
+//! Attempts to run a request on a target, and the rule by which another attempt is safe.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -28,7 +28,7 @@
 use crate::transport::dial::ResponseBody;
 use crate::transport::dial::SendError;
 
-/// Most targets tried for one request.
+/// Most targets that are tried for one request.
 const MAX_ATTEMPTS: usize = 3;
 
 /// One request of a caller.
@@ -44,17 +44,17 @@
 
 /// The body of a caller's request.
 pub(super) enum Payload {
-    /// Read whole; can be sent any number of times.
+    /// Read whole; can be sent several times.
     Buffered(Bytes),
-    /// Passed on as it comes; can be sent once.
+    /// Streamed; can be sent once.
     Stream(Body),
-    /// A stream that was sent.
+    /// A stream that was sent already.
     Consumed,
 }
 
 /// How one attempt ended.
 enum Attempt {
-    /// The target's answer, whole so far.
+    /// The head of the target's answer was received.
     Answer(Box<Response<ResponseBody>>),
     /// The target has not run the request.
     NotRun(Reason),
@@ -63,6 +63,7 @@
 }
 
 impl Call<'_> {
+    /// Tries targets until one answers, or another attempt is not safe or not possible.
     pub(super) async fn run(&self, mut payload: Payload) -> Result<Response<Body>, Refused> {
         let mut tried: Vec<BoxId> = Vec::new();
         let mut last = Refused::not_run(Reason::Unreachable);
@@ -90,7 +91,8 @@
         Err(last)
     }
 
-    /// Another attempt is safe if this one has run nothing, or if running twice does no harm.
+    /// Whether another attempt is safe and possible: the failed one was not run, or the request is
+    /// repeatable; time is left; and the body can be sent again.
     fn may_retry(&self, failed: Refused, payload: &Payload) -> bool {
         let in_time = clock::now() < self.deadline;
         let sendable = !matches!(payload, Payload::Consumed);
@@ -106,8 +108,8 @@
     }
 
     async fn attempt_once(&self, slot: &Slot, id: u128, payload: &mut Payload) -> Attempt {
-        // The wait for a slot may have been long enough for the state to grow old, or for the
-        // daemon to have been paused.
+        // The state may have become stale during the wait for a slot, or while the daemon was
+        // paused.
         if !self.node.basis().is_fresh() {
             return Attempt::NotRun(Reason::Stale);
         }
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Whether the head of an answer belongs to the request, and whether it was run.
+    /// Checks that the head of an answer belongs to the request, and whether the request was run.
     fn classify_response(
         &self,
         slot: &Slot,
@@ -148,18 +150,20 @@
         Attempt::Answer(Box::new(response))
     }
 
+    /// The response to the caller. The slot stays in use until the body ends.
     fn forward_response(&self, response: Response<ResponseBody>, slot: Slot) -> Response<Body> {
         let (mut head, answer) = response.into_parts();
         forward::strip_hop_by_hop(&mut head.headers);
         head.headers.remove(REQUEST);
         let outcome = HeaderValue::from_static(Outcome::Answered.as_str());
         head.headers.insert(OUTCOME, outcome);
-        let whole = ForwardedBody::new(answer, slot, self.deadline, self.node.counters.clone());
-        Response::from_parts(head, whole.into_body())
+        let body = ForwardedBody::new(answer, slot, self.deadline, self.node.counters.clone());
+        Response::from_parts(head, body.into_body())
     }
 }
 
-/// What is known after two attempts: once one of them may have run, the request may have.
+/// The outcome of two failed attempts, with the later reason. If the earlier one may have run, the
+/// request may have.
 fn combine_failures(earlier: Refused, later: Refused) -> Refused {
     match earlier.outcome {
         Outcome::Unknown => Refused::unknown(later.reason),
--- a/lib/src/call/forward.rs
+++ b/lib/src/call/forward.rs
@@ -1,4 +1,4 @@
-//! What goes to the target and what comes back.
+//! Builds the request to a target and forwards the body of its answer.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -47,12 +47,12 @@
     headers.remove("keep-alive");
 }
 
-/// The id of an attempt as the target gets it.
+/// The id of an attempt as it is sent to the target.
 pub(super) fn format_request_id(id: u128) -> String {
     format!("{id:032x}")
 }
 
-/// The request to a target; the caller's credential stays here.
+/// The request to a target, without the caller's credential.
 pub(super) fn build_request(call: &Call<'_>, id: u128, body: Body) -> Request<Body> {
     let mut request = Request::new(body);
     *request.method_mut() = call.head.method.clone();
@@ -72,10 +72,11 @@
     request
 }
 
-/// An answer on its way to the caller. Holds the target's slot until its end.
+/// The body of a target's answer, forwarded to the caller. Holds the target's slot until it ends.
 ///
-/// An answer that is cut or does not end in time ends in an error, by which the server closes the
-/// caller's connection without its closing bytes: the caller sees that it is not whole.
+/// A body that is cut off or does not end by the deadline ends in an error, upon which the server
+/// closes the caller's connection without terminating the body: the caller sees that it is
+/// incomplete.
 pub(super) struct ForwardedBody {
     answer: ResponseBody,
     slot: Option<Slot>,
@@ -90,8 +91,8 @@
         deadline: Instant,
         counters: Counters,
     ) -> ForwardedBody {
-        let limit = Box::pin(sleep_until(clock::timer_instant(deadline)));
-        ForwardedBody { answer, slot: Some(slot), timeout: limit, counters }
+        let timeout = Box::pin(sleep_until(clock::timer_instant(deadline)));
+        ForwardedBody { answer, slot: Some(slot), timeout, counters }
     }
 
     pub(super) fn into_body(self) -> Body {
