--- a/cli/tests/test_ready.rs
+++ b/cli/tests/test_ready.rs
@@ -1,4 +1,4 @@
-//! A daemon that starts on a long log serves nobody before it has reached its end.
+//! A daemon that starts on a long log does not serve before it has read the log to its end.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use spokelift_testutils::log::Faults;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeliftd");
-/// More than a daemon reads at a time, several times over.
+/// Several times as many as a daemon reads at a time.
 const BATCHES: u64 = 6000;
 
 #[tokio::test]
@@ -28,18 +28,18 @@
     fixture.log.set_faults(Faults { delay: Duration::from_millis(150), ..Faults::default() });
     fixture.start_daemon(0).unwrap();
     fixture.start_daemon(1).unwrap();
-    let mut partial = 0;
+    let mut partial_reads = 0;
     let served = async || {
         for id in [0, 1] {
             let (_, status) = fixture.call_operator_api(id, "GET", "/v1/status", "").await;
             let next = status["next"].as_u64().unwrap_or(0);
-            partial += u64::from(next > 0 && next < end);
-            let early = status["serving"] == true && next < end;
-            assert!(!early, "daemon {id} serves at {next} of {end}");
+            partial_reads += u64::from(next > 0 && next < end);
+            let is_early = status["serving"] == true && next < end;
+            assert!(!is_early, "daemon {id} serves at {next} of {end}");
         }
         let (_, status) = fixture.call_operator_api(0, "GET", "/v1/status", "").await;
         status["serving"] == true
     };
     fixture.wait_until("daemon 0 serves", served).await;
-    assert!(partial > 0, "no daemon was seen with part of the log");
+    assert!(partial_reads > 0, "no daemon was observed with part of the log");
 }
--- a/cli/tests/test_stop.rs
+++ b/cli/tests/test_stop.rs
@@ -1,4 +1,5 @@
-//! Planned stops cut off nothing; a leaving box gets nothing more.
+//! Planned stops interrupt no request in flight, and a leaving box gets no new ones. A reboot waits
+//! for running requests up to the pool's drain limit.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeliftd");
 
 #[tokio::test]
-async fn sigterm_tells_the_balancer_first_and_cuts_off_nothing() {
+async fn sigterm_fails_the_health_check_and_completes_requests_in_flight() {
     let mut fixture = Fixture::start(PROGRAM, 1, &[]).await.unwrap();
     fixture.set_up().await;
     let calls: Vec<_> = (1..=4)
@@ -29,14 +30,14 @@
         };
         fixture.wait_until("all are in flight", busy).await;
         fixture.signal(0, Signal::SIGTERM).unwrap();
-        let refuses = async || {
+        let is_unhealthy = async || {
             let health = Request::get("/healthz").body(full("")).unwrap();
             let answer = fixture.send_raw(0, health).await;
             answer.is_some_and(|answer| answer.status() == 503)
         };
-        fixture.wait_until("the balancer is told", refuses).await;
+        fixture.wait_until("the health check fails", is_unhealthy).await;
     };
-    let (told, ()) = tokio::join!(
+    let (outcomes, ()) = tokio::join!(
         async {
             let (a, b, c, d) = tokio::join!(
                 fixture.call(0, &calls[0]),
@@ -48,7 +49,7 @@
         },
         stop
     );
-    assert_eq!(told, [Outcome::Answered; 4]);
+    assert_eq!(outcomes, [Outcome::Answered; 4]);
     let mut ended = None;
     for _ in 0..300 {
         ended = fixture.daemon(0).exit_success().unwrap();
@@ -67,7 +68,7 @@
     for worker in &fixture.workers[1..8] {
         fixture.boxes.set_leaving(&worker.listed.name, true);
     }
-    // The list is read every 200 ms; 2 s is what is promised.
+    // The list is read every 200 ms; a box gets no new work 2 s after it was listed as leaving.
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before: Vec<u64> =
         fixture.workers[1..8].iter().map(|worker| worker.started_requests()).collect();
@@ -99,11 +100,11 @@
         fixture.wait_until_plan_ended(0, &plan).await;
         plan
     };
-    let (told, plan) = tokio::join!(fixture.call(0, &long), wave);
-    assert_eq!(told, Outcome::Answered);
+    let (outcome, plan) = tokio::join!(fixture.call(0, &long), wave);
+    assert_eq!(outcome, Outcome::Answered);
     let plan = fixture.plan(0, &plan).await;
-    let outcomes = plan["steps"].as_array().unwrap().iter();
-    let limited = outcomes.filter(|step| step["progress"]["over"]["outcome"] == "drain-limit");
-    assert_eq!(limited.count(), 1, "{plan}");
+    let steps = plan["steps"].as_array().unwrap().iter();
+    let at_drain_limit = steps.filter(|step| step["progress"]["over"]["outcome"] == "drain-limit");
+    assert_eq!(at_drain_limit.count(), 1, "{plan}");
     assert!(fixture.ledger.counts().violations().is_empty(), "{:?}", fixture.ledger.counts());
 }
--- a/lib/tests/test_fresh.rs
+++ b/lib/tests/test_fresh.rs
@@ -1,7 +1,7 @@
-//! The freshness rule over random schedules: a daemon that serves by `log` or `peer` has applied
-//! everything that was on the log `max_age` ago, whatever was lost, late or doubled; one that
-//! serves by `quorum` has applied all that any majority had applied `max_age` ago, whoever was
-//! replaced by an empty daemon meanwhile.
+//! The freshness rule under random schedules. A daemon that serves by `log` or `peer` has applied
+//! everything that was on the log `max_age` ago, whichever messages were lost, delayed or
+//! duplicated. One that serves by `quorum` has applied all that any majority had applied `max_age`
+//! ago, even if daemons were replaced by empty ones meanwhile.
 
 use std::time::Duration;
 
@@ -19,14 +19,14 @@
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Append,
-    /// A read of the log that began some time ago ends now.
+    /// A read of the log that started `took` ago ends now.
     Read {
         daemon: usize,
         took: u64,
     },
-    /// A heartbeat sent some time ago arrives now; its receiver knows that it was sent no earlier
-    /// than some time before that.
-    Beat {
+    /// A heartbeat sent `took` ago arrives now; its receiver knows that it was sent no earlier than
+    /// `slack` before that.
+    Heartbeat {
         from: usize,
         to: usize,
         took: u64,
@@ -40,7 +40,7 @@
     Restart {
         daemon: usize,
     },
-    /// A daemon takes what a peer has applied, as catching up does.
+    /// A daemon catches up with what a peer has applied.
     CatchUp {
         daemon: usize,
         peer: usize,
@@ -49,7 +49,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Beat {
+struct Heartbeat {
     sent: u64,
     next: u64,
     log_age: Option<u64>,
@@ -62,62 +62,65 @@
     log_read: Option<u64>,
     complete: bool,
     started: u64,
-    heard: [Option<(u64, Beat)>; DAEMONS],
+    heartbeats: [Option<(u64, Heartbeat)>; DAEMONS],
 }
 
-/// What a daemon had applied, when its last read of the log began, whether it was complete.
-type Past = (u64, Option<u64>, bool);
+/// A past state of a daemon: its next offset, when its last read of the log started, whether it was
+/// complete.
+type PastState = (u64, Option<u64>, bool);
 
 #[derive(Clone, Debug, Default)]
-struct World {
+struct Simulation {
     now: u64,
     appended: Vec<u64>,
     daemons: [Daemon; DAEMONS],
-    /// Every past moment, so that late messages carry what was true when they were sent.
-    past: Vec<(u64, [Past; DAEMONS])>,
-    /// How much a majority had applied by when.
-    in_force: Vec<(u64, u64)>,
+    /// The states after every event, so that delayed messages carry the state at which they were
+    /// sent.
+    past: Vec<(u64, [PastState; DAEMONS])>,
+    /// After every event, the offset that a majority had applied.
+    majority_offsets: Vec<(u64, u64)>,
 }
 
-impl World {
-    fn remember(&mut self) {
+impl Simulation {
+    fn record_states(&mut self) {
         let state =
             self.daemons.each_ref().map(|daemon| (daemon.next, daemon.log_read, daemon.complete));
         self.past.push((self.now, state));
         let mut next = self.daemons.each_ref().map(|daemon| daemon.next);
         next.sort_unstable();
-        // The middle one: a majority has applied at least this much.
+        // A majority has applied at least the median.
         let majority = next[DAEMONS / 2];
-        let before = self.in_force.last().map_or(0, |(_, offset)| *offset);
-        self.in_force.push((self.now, majority.max(before)));
+        let before = self.majority_offsets.last().map_or(0, |(_, offset)| *offset);
+        self.majority_offsets.push((self.now, majority.max(before)));
     }
 
-    /// How much a majority had applied, at once, at or before a moment.
-    fn in_force_at(&self, moment: u64) -> u64 {
-        let known = self.in_force.iter().rev().find(|(time, _)| *time < moment);
-        known.map_or(0, |(_, offset)| *offset)
+    /// The highest offset that a majority had applied before `moment`.
+    fn majority_offset_at(&self, moment: u64) -> u64 {
+        let past = self.majority_offsets.iter().rev().find(|(time, _)| *time < moment);
+        past.map_or(0, |(_, offset)| *offset)
     }
 
-    /// What a daemon was at a moment.
-    fn at(&self, daemon: usize, moment: u64) -> Past {
+    /// The state of a daemon at `moment`.
+    fn state_at(&self, daemon: usize, moment: u64) -> PastState {
         let state = self.past.iter().rev().find(|(time, _)| *time <= moment);
         state.map_or((0, None, false), |(_, daemons)| daemons[daemon])
     }
 
+    /// Number of records on the log before `moment`.
     fn on_log_at(&self, moment: u64) -> u64 {
         self.appended.iter().filter(|time| **time < moment).count() as u64
     }
 
-    fn step(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         match event {
             Event::Append => self.appended.push(self.now),
             Event::Read { daemon, took } => {
-                let begun = self.now.saturating_sub(took).max(self.daemons[daemon].started);
-                // The log answers with at least what was there when the read began.
+                let started_at = self.now.saturating_sub(took).max(self.daemons[daemon].started);
+                // The log answers with at least the records that it held when the read started.
                 let own = &mut self.daemons[daemon];
                 own.next =
-                    own.next.max(self.appended.iter().filter(|t| **t <= begun).count() as u64);
-                own.log_read = Some(own.log_read.unwrap_or(0).max(begun));
+                    own.next.max(self.appended.iter().filter(|t| **t <= started_at).count() as u64);
+                own.log_read = Some(own.log_read.unwrap_or(0).max(started_at));
                 own.complete = true;
             }
             Event::ReadPart { daemon } => {
@@ -129,48 +132,50 @@
             Event::Restart { daemon } => {
                 self.daemons[daemon] = Daemon { started: self.now, ..Daemon::default() };
             }
-            Event::Beat { from, to, took, slack } if from != to => {
+            Event::Heartbeat { from, to, took, slack } if from != to => {
                 let sent = self.now.saturating_sub(took);
-                let (next, log_read, complete) = self.at(from, sent);
+                let (next, log_read, complete) = self.state_at(from, sent);
                 let log_age = log_read.map(|read| sent.saturating_sub(read));
-                // It echoes a beat of this life of the receiver, so it was sent in it.
-                let sent_after = sent.saturating_sub(slack);
-                let own_life = sent_after >= self.daemons[to].started;
-                let newer = self.daemons[to].heard[from].is_none_or(|(_, beat)| beat.sent < sent);
-                if newer && own_life {
-                    let beat = Beat { sent, next, log_age, complete };
-                    self.daemons[to].heard[from] = Some((sent_after, beat));
+                // It echoes a heartbeat of the receiver's incarnation, so it was sent after that
+                // started.
+                let earliest_sent_at = sent.saturating_sub(slack);
+                let same_incarnation = earliest_sent_at >= self.daemons[to].started;
+                let newer =
+                    self.daemons[to].heartbeats[from].is_none_or(|(_, last)| last.sent < sent);
+                if newer && same_incarnation {
+                    let heartbeat = Heartbeat { sent, next, log_age, complete };
+                    self.daemons[to].heartbeats[from] = Some((earliest_sent_at, heartbeat));
                 }
             }
-            Event::Beat { .. } => {}
+            Event::Heartbeat { .. } => {}
             Event::CatchUp { daemon, peer } => {
-                let theirs = self.daemons[peer].next;
+                let peer_next = self.daemons[peer].next;
                 let own = &mut self.daemons[daemon];
-                own.next = own.next.max(theirs);
+                own.next = own.next.max(peer_next);
             }
             Event::Wait(time) => self.now += time,
         }
-        self.remember();
+        self.record_states();
     }
 
     fn basis(&mut self, daemon: usize) -> Basis {
         let own = &self.daemons[daemon];
         let log_age = own.log_read.map(|read| millis(self.now - read));
-        let heard = own.heard.iter().flatten().filter_map(|(sent_after, beat)| {
-            let age = self.now - sent_after;
-            let log_age = beat.log_age.map(|own| millis(own + age));
+        let peers = own.heartbeats.iter().flatten().filter_map(|(earliest_sent_at, heartbeat)| {
+            let age = self.now - earliest_sent_at;
+            let log_age = heartbeat.log_age.map(|own| millis(own + age));
             (age < MAX_AGE).then_some(PeerState {
-                next: beat.next,
+                next: heartbeat.next,
                 log_age,
-                is_complete: beat.complete,
+                is_complete: heartbeat.complete,
             })
         });
-        let heard: Vec<PeerState> = heard.collect();
-        let alive = millis(self.now - own.started);
-        let own = OwnState { next: own.next, log_age, is_complete: own.complete, uptime: alive };
+        let peers: Vec<PeerState> = peers.collect();
+        let uptime = millis(self.now - own.started);
+        let own = OwnState { next: own.next, log_age, is_complete: own.complete, uptime };
         let max_age = millis(MAX_AGE);
-        self.daemons[daemon].complete |= becomes_complete(own, &heard, DAEMONS, max_age);
-        evaluate(own, &heard, DAEMONS, max_age)
+        self.daemons[daemon].complete |= becomes_complete(own, &peers, DAEMONS, max_age);
+        evaluate(own, &peers, DAEMONS, max_age)
     }
 }
 
@@ -183,7 +188,7 @@
     prop_oneof![
         2 => Just(Event::Append),
         4 => (daemon(), 0u64..8).prop_map(|(daemon, took)| Event::Read { daemon, took }),
-        8 => (daemon(), daemon(), 0u64..25, 0u64..4).prop_map(|(from, to, took, slack)| Event::Beat { from, to, took, slack }),
+        8 => (daemon(), daemon(), 0u64..25, 0u64..4).prop_map(|(from, to, took, slack)| Event::Heartbeat { from, to, took, slack }),
         3 => (daemon(), daemon()).prop_map(|(daemon, peer)| Event::CatchUp { daemon, peer }),
         2 => daemon().prop_map(|daemon| Event::ReadPart { daemon }),
         1 => daemon().prop_map(|daemon| Event::Restart { daemon }),
@@ -195,26 +200,26 @@
     #![proptest_config(ProptestConfig {
         cases: 6000,
         failure_persistence: None,
-        // The same runs each time: a verdict must not depend on luck.
+        // A fixed seed, so that the outcome does not depend on the run.
         rng_seed: RngSeed::Fixed(20_261_202),
         ..ProptestConfig::default()
     })]
 
     #[test]
-    fn who_serves_knows_what_was_in_force(schedule in prop::collection::vec(events(), 1..150)) {
-        let mut world = World { now: 1000, ..World::default() };
-        world.remember();
+    fn serving_daemon_has_applied_accepted_records(schedule in prop::collection::vec(events(), 1..150)) {
+        let mut simulation = Simulation { now: 1000, ..Simulation::default() };
+        simulation.record_states();
         for event in schedule {
-            world.step(event);
+            simulation.apply(event);
             for daemon in 0..DAEMONS {
-                let next = world.daemons[daemon].next;
-                let then = world.now.saturating_sub(MAX_AGE);
-                match world.basis(daemon) {
+                let next = simulation.daemons[daemon].next;
+                let max_age_ago = simulation.now.saturating_sub(MAX_AGE);
+                match simulation.basis(daemon) {
                     Basis::Log | Basis::Peer => {
-                        prop_assert!(next >= world.on_log_at(then), "{daemon} is behind: {world:?}");
+                        prop_assert!(next >= simulation.on_log_at(max_age_ago), "{daemon} is behind: {simulation:?}");
                     }
                     Basis::Quorum => {
-                        prop_assert!(next >= world.in_force_at(then), "{daemon} knows less than a majority: {world:?}");
+                        prop_assert!(next >= simulation.majority_offset_at(max_age_ago), "{daemon} has applied less than a majority: {simulation:?}");
                     }
                     Basis::Stale => {}
                 }
