--- a/testutils/src/platform.rs
+++ b/testutils/src/platform.rs
@@ -1,6 +1,6 @@
-//! Stand-in for the users' platform, written from its published protocol: a [`store`], [`worker`]s
-//! on [`machines`], and a [`site`] that puts them around real daemons. Small; it keeps just what
-//! spokelift relies on, and faults that can be set. [`soak`] sets them at random.
+//! Stand-ins for the users' platform, written from its published protocol: a [`store`], [`worker`]s
+//! on [`machines`], and a [`site`] that combines them with real daemons. They implement only what
+//! spokelift relies on, and faults that tests can set. [`soak`] sets the faults at random.
 
 pub mod advice;
 pub mod ledger;
@@ -17,13 +17,13 @@
 use spokelift_lib::transport::dial::Body;
 use spokelift_lib::transport::dial::full;
 
-/// An answer in JSON.
+/// A response with a JSON body.
 pub(crate) fn json_response(status: u16, body: &Value) -> Response<Body> {
     let response = Response::builder().status(status).header("content-type", "application/json");
-    response.body(full(body.to_string())).expect("a status makes an answer")
+    response.body(full(body.to_string())).expect("a status code makes a valid response")
 }
 
-/// Reads a request's body as JSON; null if it is none.
+/// Reads the body of a request as JSON; null if it is invalid.
 pub(crate) async fn read_json(body: Incoming) -> Value {
     use http_body_util::BodyExt;
     match body.collect().await {
@@ -32,7 +32,7 @@
     }
 }
 
-/// A number in a request's head.
+/// A number from a header of a request; 0 if it is missing or not a number.
 pub(crate) fn header_number(headers: &HeaderMap, name: &str) -> u64 {
     let text = headers.get(name).and_then(|value| value.to_str().ok());
     text.and_then(|text| text.parse().ok()).unwrap_or(0)
--- a/testutils/src/platform/advice.rs
+++ b/testutils/src/platform/advice.rs
@@ -1,4 +1,4 @@
-//! The advice service: it lets steps run on the workers of some machines only.
+//! Stand-in for the advice service, which approves the workers of one machine only.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,39 +19,41 @@
 
 /// The only machine whose workers may run steps of queues that need advice.
 pub const ADVISED_MACHINE: &str = "m-1";
-/// How long a ticket is said to hold, in milliseconds.
+/// Validity of a ticket, in milliseconds.
 const VALID_MS: u64 = 1_000;
 
-/// The ticket that a worker wants to see.
+/// The ticket that a worker requires.
 pub fn ticket(worker: &str) -> String {
     format!("ticket-{worker}")
 }
 
-/// A running service.
+/// A running advice service.
 pub struct Advice {
-    /// Where it answers.
+    /// The address on which it serves.
     pub addr: SocketAddr,
     _shutdown: Arc<watch::Sender<bool>>,
 }
 
 impl Advice {
-    /// Starts it on a port chosen by the system.
+    /// Starts the service on a port that the system chooses.
     pub async fn start(machines: &Machines) -> std::io::Result<Advice> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (open, closed) = watch::channel(false);
+        let (shutdown, shutdown_rx) = watch::channel(false);
         let addr = listener.local_addr()?;
         let machines = machines.clone();
-        tokio::spawn(serve(listener, closed, move |request| advise(machines.clone(), request)));
-        Ok(Advice { addr, _shutdown: Arc::new(open) })
+        tokio::spawn(serve(listener, shutdown_rx, move |request| {
+            advise(machines.clone(), request)
+        }));
+        Ok(Advice { addr, _shutdown: Arc::new(shutdown) })
     }
 }
 
 async fn advise(machines: Machines, request: Request<Incoming>) -> Response<Body> {
     let question = read_json(request.into_body()).await;
-    let named: Vec<&str> =
+    let requested: Vec<&str> =
         question["workers"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
-    let good = machines.worker(ADVISED_MACHINE).map(|worker| worker.id);
-    let good = good.filter(|id| named.contains(&id.as_str()));
-    let rows: Vec<Value> = good.iter().map(|id| json!([id, ticket(id)])).collect();
+    let approved = machines.worker(ADVISED_MACHINE).map(|worker| worker.id);
+    let approved = approved.filter(|id| requested.contains(&id.as_str()));
+    let rows: Vec<Value> = approved.iter().map(|id| json!([id, ticket(id)])).collect();
     json_response(200, &json!({ "good": rows, "valid_ms": VALID_MS }))
 }
--- a/testutils/src/platform/machines.rs
+++ b/testutils/src/platform/machines.rs
@@ -1,4 +1,5 @@
-//! The interface for machines: lists them, moves them between pools, takes them down for upkeep.
+//! Stand-in for the machines API: lists machines, moves them between pools, and takes them down for
+//! maintenance.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -31,10 +32,11 @@
 use crate::platform::worker::StartOptions;
 use crate::platform::worker::Worker;
 
-/// How long a machine is away for a move or for upkeep.
+/// How long a machine is down for a move or for maintenance.
 const AWAY_TIME: Duration = Duration::from_millis(600);
 
-/// By how much the clock of a life is ahead of the one before, where it is not behind, in milliseconds.
+/// How far the clock of an incarnation is ahead of its predecessor's, where it is not behind, in
+/// milliseconds.
 const CLOCK_ADVANCE_MS: u64 = 40_000;
 
 struct Machine {
@@ -46,7 +48,7 @@
 
 /// Status of a machine whose worker has crashed.
 const DOWN: &str = "down";
-/// The pool whose machines are switched off.
+/// The reserve: the pool whose machines are switched off.
 pub const RESERVE: &str = "spare";
 
 #[derive(Default)]
@@ -55,20 +57,20 @@
     maintained: HashMap<u64, HashSet<String>>,
     max_down: usize,
     moves: usize,
-    /// Orders that are still to be lost.
+    /// Number of further orders that are neither executed nor answered.
     orders_to_lose: usize,
-    /// Machines that refuse every order as busy, and how many they have refused.
+    /// Machines that refuse every order as busy, with the number of refusals.
     busy_refusals: HashMap<String, usize>,
-    /// Workers start again under the id that they had on their machine in their service.
+    /// Whether a worker keeps the id that it had on its machine in its service.
     reuses_ids: bool,
-    /// The last life on each machine in each service.
+    /// The latest incarnation on each machine in each service.
     last_incarnations: HashMap<(String, String), Worker>,
 }
 
-/// The machines of a site. Clones are the same machines.
+/// The machines of a site. Clones share the same machines.
 #[derive(Clone)]
 pub struct Machines {
-    /// Where they are managed.
+    /// The address of the API.
     pub addr: SocketAddr,
     store: Store,
     ledger: Ledger,
@@ -78,28 +80,28 @@
 }
 
 impl Machines {
-    /// Starts the interface, without machines.
+    /// Starts the API without machines.
     pub async fn start(store: &Store, ledger: &Ledger) -> std::io::Result<Machines> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (open, closed) = watch::channel(false);
-        let (downs, mut down) = mpsc::unbounded_channel();
+        let (shutdown, shutdown_rx) = watch::channel(false);
+        let (crash_sender, mut crash_receiver) = mpsc::unbounded_channel();
         let machines = Machines {
             addr: listener.local_addr()?,
             store: store.clone(),
             ledger: ledger.clone(),
             state: Arc::default(),
-            crash_sender: downs,
-            _shutdown: Arc::new(open),
+            crash_sender,
+            _shutdown: Arc::new(shutdown),
         };
-        let crashing = machines.clone();
+        let crash_machines = machines.clone();
         tokio::spawn(async move {
-            while let Some(worker_id) = down.recv().await {
-                let machines = crashing.clone();
-                tokio::spawn(async move { machines.crash(&worker_id).await });
+            while let Some(machine_id) = crash_receiver.recv().await {
+                let machines = crash_machines.clone();
+                tokio::spawn(async move { machines.crash(&machine_id).await });
             }
         });
         let shared = machines.clone();
-        tokio::spawn(serve(listener, closed, move |request| {
+        tokio::spawn(serve(listener, shutdown_rx, move |request| {
             let machines = shared.clone();
             async move { machines.handle(request).await }
         }));
@@ -107,7 +109,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("no thread panics while it holds the lock")
     }
 
     /// Adds a machine, with a worker unless it is in the reserve.
@@ -118,7 +120,7 @@
         Ok(())
     }
 
-    /// The worker on a machine.
+    /// The worker on a machine, if there is one.
     pub fn worker(&self, id: &str) -> Option<Worker> {
         self.state().machines.get(id)?.worker.clone()
     }
@@ -128,7 +130,7 @@
         self.state().machines.values().filter_map(|machine| machine.worker.clone()).collect()
     }
 
-    /// Machines in a pool.
+    /// Number of machines in a pool.
     pub fn count_in_pool(&self, pool: &str) -> usize {
         self.state().machines.values().filter(|machine| machine.shape.service == pool).count()
     }
@@ -144,14 +146,16 @@
         lines.collect::<Vec<String>>().join("\n")
     }
 
-    /// Machines of a wave whose upkeep has begun, and the most that were down at once.
+    /// The number of machines whose maintenance for a wave has started, and the highest number of
+    /// machines that were down at once.
     pub fn maintenance_counts(&self, wave: u64) -> (usize, usize) {
         let state = self.state();
         (state.maintained.get(&wave).map_or(0, HashSet::len), state.max_down)
     }
 
-    /// Crashes a machine's worker; another life begins a moment later. A machine that is away has none, and the one that is
-    /// about to begin there would get a second one beside it.
+    /// Crashes a machine's worker; another incarnation starts after `AWAY_TIME`. Without effect
+    /// if the machine is down: the incarnation that is about to start there would get a second one
+    /// beside it.
     pub async fn crash(&self, id: &str) {
         if self.worker(id).is_none() {
             return;
@@ -160,57 +164,59 @@
         self.bring_up(id.to_owned(), AWAY_TIME).await;
     }
 
-    /// Crashes a machine's worker; no other one begins there.
+    /// Crashes a machine's worker; no other one starts there.
     pub fn crash_for_good(&self, id: &str) {
         self.take_down(id, DOWN);
     }
 
-    /// From now on workers start again under the id that they had on their machine in their service, on clocks that
-    /// begin below and above those of the lives before, each second time at another address.
+    /// From now on a worker keeps the id that it had on its machine in its service. The clocks of
+    /// new incarnations start below or above that of their predecessor, and every second one has
+    /// another address.
     pub fn reuse_ids(&self) {
         self.state().reuses_ids = true;
     }
 
-    /// Crashes a machine's worker; another life with its id begins after a pause, in this way.
-    pub async fn restart(&self, id: &str, after: Duration, birth: StartOptions) {
-        let before = {
+    /// Crashes a machine's worker; another incarnation with its id starts after a pause, with these
+    /// options.
+    pub async fn restart(&self, id: &str, after: Duration, options: StartOptions) {
+        let predecessor = {
             let mut state = self.state();
-            let machine = state.machines.get_mut(id).expect("there is such a machine");
+            let machine = state.machines.get_mut(id).expect("the machine exists");
             machine.status = DOWN;
-            machine.worker.take().expect("a worker lives there")
+            machine.worker.take().expect("the machine has a worker")
         };
-        before.crash_before_successor();
+        predecessor.crash_before_successor();
         sleep(after).await;
-        let birth = StartOptions { predecessor: Some(before), ..birth };
-        self.bring_up_with(id, Some(birth)).await;
+        let options = StartOptions { predecessor: Some(predecessor), ..options };
+        self.bring_up_with(id, Some(options)).await;
     }
 
-    /// The upkeep of a machine for a wave has been done already.
+    /// Records that the maintenance of a machine for a wave has been done.
     pub fn record_maintained(&self, wave: u64, id: &str) {
         self.state().maintained.entry(wave).or_default().insert(id.to_owned());
     }
 
-    /// The next orders are neither carried out nor answered.
+    /// Makes the next `count` orders be neither executed nor answered.
     pub fn lose_orders(&self, count: usize) {
         self.state().orders_to_lose = count;
     }
 
-    /// A machine refuses every order as busy from now on, as one does that is about to leave.
+    /// Makes a machine refuse every order as busy, as one that is about to leave does.
     pub fn refuse_as_busy(&self, id: &str) {
         self.state().busy_refusals.insert(id.to_owned(), 0);
     }
 
-    /// How many orders a machine has refused as busy.
+    /// Number of orders that a machine has refused as busy.
     pub fn refused_orders(&self, id: &str) -> usize {
         self.state().busy_refusals.get(id).copied().unwrap_or(0)
     }
 
-    /// Whether an order that has just come is lost.
+    /// Whether an order that has just arrived is lost; counts it as lost if so.
     fn take_lost_order(&self) -> bool {
         let mut state = self.state();
-        let lost = state.orders_to_lose > 0;
+        let is_lost = state.orders_to_lose > 0;
         state.orders_to_lose = state.orders_to_lose.saturating_sub(1);
-        lost
+        is_lost
     }
 
     fn take_down(&self, id: &str, status: &'static str) {
@@ -226,8 +232,9 @@
                 }
             }
         }
-        let down = state.machines.values().filter(|machine| machine.status == "upkeep").count();
-        state.max_down = state.max_down.max(down);
+        let down_count =
+            state.machines.values().filter(|machine| machine.status == "upkeep").count();
+        state.max_down = state.max_down.max(down_count);
     }
 
     async fn bring_up(&self, id: String, after: Duration) {
@@ -235,19 +242,19 @@
         self.bring_up_with(&id, None).await;
     }
 
-    async fn bring_up_with(&self, id: &str, birth: Option<StartOptions>) {
+    async fn bring_up_with(&self, id: &str, options: Option<StartOptions>) {
         let Some(shape) = self.state().machines.get(id).map(|machine| machine.shape.clone()) else {
             return;
         };
-        let birth = birth.unwrap_or_else(|| self.next_start_options(id, &shape.service));
-        let worker = self.start_worker(id, &shape, birth).await;
+        let options = options.unwrap_or_else(|| self.next_start_options(id, &shape.service));
+        let worker = self.start_worker(id, &shape, options).await;
         if let (Ok(worker), Some(machine)) = (worker, self.state().machines.get_mut(id)) {
             machine.worker = worker;
             machine.status = "up";
         }
     }
 
-    /// How the next life on a machine in a service begins, if nothing else is said.
+    /// The options with which the next incarnation on a machine in a service starts by default.
     fn next_start_options(&self, id: &str, service: &str) -> StartOptions {
         let state = self.state();
         let last = state.last_incarnations.get(&(id.to_owned(), service.to_owned()));
@@ -263,21 +270,21 @@
         }
     }
 
-    /// Machines of the reserve are switched off.
+    /// Starts a worker on a machine; `None` in the reserve, whose machines are switched off.
     async fn start_worker(
         &self,
         id: &str,
         shape: &Shape,
-        birth: StartOptions,
+        options: StartOptions,
     ) -> std::io::Result<Option<Worker>> {
         if shape.service == RESERVE {
             return Ok(None);
         }
         let started =
-            Worker::start(&self.store, &self.ledger, id, shape, &self.crash_sender, birth);
+            Worker::start(&self.store, &self.ledger, id, shape, &self.crash_sender, options);
         let worker = started.await?;
-        let place = (id.to_owned(), shape.service.clone());
-        self.state().last_incarnations.insert(place, worker.clone());
+        let position = (id.to_owned(), shape.service.clone());
+        self.state().last_incarnations.insert(position, worker.clone());
         Ok(Some(worker))
     }
 
@@ -322,7 +329,7 @@
         let status = {
             let mut state = self.state();
             if let Some(wave) = wave
-                && state.maintained.get(&wave).is_some_and(|upkept| upkept.contains(&id))
+                && state.maintained.get(&wave).is_some_and(|maintained| maintained.contains(&id))
             {
                 return json_response(200, &json!({}));
             }
--- a/testutils/src/platform/site.rs
+++ b/testutils/src/platform/site.rs
@@ -1,4 +1,4 @@
-//! A site: the platform's stand-ins around real daemons.
+//! A site: the stand-ins for the platform around real daemons.
 
 pub mod config;
 pub mod node;
@@ -40,11 +40,11 @@
 
 /// How long a client waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause between looks at something awaited.
+/// Pause between checks of an awaited condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// Share of a core that the settings give a node.
+/// The `cpuShare` setting of a node by default: the fraction of a core that it may use.
 const CPU_SHARE: f64 = 0.25;
-/// Least time between the turns of two schedulers, where nothing else is said.
+/// Default least time between the order windows of two schedulers.
 const HANDOVER_GAP: Duration = Duration::from_secs(1);
 
 /// A site.
@@ -53,9 +53,9 @@
     pub store: Store,
     /// The machines.
     pub machines: Machines,
-    /// What lies between daemons and the interface for machines.
+    /// The proxy between the daemons and the machines API.
     pub machines_proxy: Proxy,
-    /// What the workers saw.
+    /// What the workers observed.
     pub ledger: Ledger,
     /// The daemons.
     pub nodes: Vec<Node>,
@@ -63,15 +63,15 @@
     advice: Advice,
 }
 
-/// The key that an account has as long as it is there.
+/// The key that an account has in every version of the configuration.
 pub fn account_key(account: &str) -> String {
     format!("key-of-{account}")
 }
 
 impl Site {
-    /// Starts daemons of `program`, with `workers` machines in pool `work` and `reserve` in pool
-    /// `spare`, and waits until each of them answers clients: one that does not listen yet refuses
-    /// connections, which says nothing of the product.
+    /// Starts `nodes` daemons of `program`, with `workers` machines in pool `work` and `reserve` in
+    /// pool `spare`, and waits until each of them answers clients: a daemon that does not listen
+    /// yet refuses connections, which is no fault.
     pub async fn start(
         program: &str,
         nodes: usize,
@@ -81,31 +81,31 @@
         Site::start_with_cpu_shares(program, &vec![CPU_SHARE; nodes], workers, reserve).await
     }
 
-    /// The same with this least time between the turns of two schedulers.
+    /// Like [`Site::start`], with this least time between the order windows of two schedulers.
     pub async fn start_with_handover_gap(
         program: &str,
         nodes: usize,
         workers: usize,
         reserve: usize,
-        turn_gap: Duration,
+        handover_gap: Duration,
     ) -> io::Result<Site> {
         let cpu_shares = vec![CPU_SHARE; nodes];
-        Site::start_with(program, &cpu_shares, workers, reserve, (turn_gap, None)).await
+        Site::start_with(program, &cpu_shares, workers, reserve, (handover_gap, None)).await
     }
 
-    /// The same where one node looks after so many workers for the scheduler.
+    /// Like [`Site::start`], with shards of so many workers, which other nodes dispatch to.
     pub async fn start_sharded(
         program: &str,
         nodes: usize,
         workers: usize,
         reserve: usize,
-        workers_per_share: usize,
+        workers_per_shard: usize,
     ) -> io::Result<Site> {
-        let settings = (HANDOVER_GAP, Some(workers_per_share));
+        let settings = (HANDOVER_GAP, Some(workers_per_shard));
         Site::start_with(program, &vec![CPU_SHARE; nodes], workers, reserve, settings).await
     }
 
-    /// The same with nodes that have these shares of a core.
+    /// Like [`Site::start`], with one node for each of these fractions of a core.
     pub async fn start_with_cpu_shares(
         program: &str,
         cpu_shares: &[f64],
@@ -120,7 +120,7 @@
         cpu_shares: &[f64],
         workers: usize,
         reserve: usize,
-        (turn_gap, workers_per_share): (Duration, Option<usize>),
+        (handover_gap, workers_per_shard): (Duration, Option<usize>),
     ) -> io::Result<Site> {
         let (store, ledger) = (Store::default(), Ledger::default());
         let machines = Machines::start(&store, &ledger).await?;
@@ -132,22 +132,21 @@
         }
         store.put(OPERATOR_TOPIC, Record::set("config", config().to_string()));
         let advice = Advice::start(&machines).await?;
-        let machines_line = Proxy::start(machines.addr).await?;
+        let machines_proxy = Proxy::start(machines.addr).await?;
         let dialer = Dialer::new(ANSWER_TIMEOUT);
         let nodes = Vec::new();
-        let mut site =
-            Site { store, machines, machines_proxy: machines_line, ledger, nodes, dialer, advice };
+        let mut site = Site { store, machines, machines_proxy, ledger, nodes, dialer, advice };
         for (number, cpu_share) in cpu_shares.iter().copied().enumerate() {
             let (machines, advice) = (site.machines_proxy.addr, site.advice.addr);
-            let place = NodeOptions {
+            let options = NodeOptions {
                 number,
                 cpu_share,
-                handover_gap: turn_gap,
-                workers_per_shard: workers_per_share,
+                handover_gap,
+                workers_per_shard,
                 machines,
                 advice,
             };
-            let node = Node::prepare(program, &site.store, &place).await?;
+            let node = Node::prepare(program, &site.store, &options).await?;
             node.start()?;
             site.nodes.push(node);
         }
@@ -160,7 +159,7 @@
         Ok(site)
     }
 
-    /// Ends every fault, and starts the daemons that do not run.
+    /// Ends every fault and starts the daemons that do not run.
     pub fn end_faults(&self) -> io::Result<()> {
         for node in &self.nodes {
             node.store_endpoint.set_fault(store::Fault::None);
@@ -183,8 +182,8 @@
         self.store.put(OPERATOR_TOPIC, Record::set("config", config));
     }
 
-    /// Calls a node as the client whose job the path names, without a key if it is nobody's; status 0 if there is no
-    /// answer.
+    /// Calls a node with the key of the account that owns the job that the path ends in, without a
+    /// key if it has no account; status 0 if there is no answer.
     async fn call(&self, node: usize, method: Method, path: &str, body: Value) -> (u16, Value) {
         let job = path.rsplit('/').next().unwrap_or_default();
         match self.ledger.owner(job) {
@@ -193,7 +192,7 @@
         }
     }
 
-    /// Calls a node as a client with these headers; status 0 if there is no answer.
+    /// Calls a node with these headers; status 0 if there is no answer.
     pub async fn call_with(
         &self,
         headers: &[(&str, &[u8])],
@@ -208,7 +207,7 @@
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        let request = request.body(full(body)).expect("the tests make sound requests");
+        let request = request.body(full(body)).expect("the tests make valid requests");
         match self.dialer.exchange(addr, request, 65_536, ANSWER_TIMEOUT).await {
             Ok(response) => {
                 let status = response.status().as_u16();
@@ -218,21 +217,21 @@
         }
     }
 
-    /// The metrics of a node.
+    /// The metrics of a node; `None` if there is no answer.
     pub async fn metrics(&self, node: usize) -> Option<String> {
         let addr = self.nodes[node].operator_addr;
         let request = Request::builder().uri("/metrics").header("host", HOST).body(full(""));
-        let request = request.expect("the tests make sound requests");
+        let request = request.expect("the tests make valid requests");
         let response = self.dialer.exchange(addr, request, 65_536, ANSWER_TIMEOUT).await.ok()?;
         String::from_utf8(response.body().to_vec()).ok()
     }
 
-    /// What operators see under a path of the views, by whichever node answers.
+    /// The operator's view under a path, from any running node; `None` if none answers with 200.
     pub async fn operator_view(&self, path: &str) -> Option<String> {
         for node in self.nodes.iter().filter(|node| node.is_running()) {
             let uri = format!("{}{path}", view::PATH);
             let request = Request::builder().uri(uri).header("host", HOST).body(full(""));
-            let request = request.expect("the tests make sound requests");
+            let request = request.expect("the tests make valid requests");
             let answer =
                 self.dialer.exchange(node.operator_addr, request, 65_536, ANSWER_TIMEOUT).await;
             if let Ok(answer) = answer
@@ -244,17 +243,17 @@
         None
     }
 
-    /// Hands in a job; 0 if there is no answer.
+    /// Submits a job to queue `q`; returns the status, or 0 if there is no answer.
     pub async fn submit(&self, node: usize, id: &str, job: Value) -> u16 {
         self.submit_to("q", node, id, job).await
     }
 
-    /// Hands in a job at a queue; 0 if there is no answer.
+    /// Submits a job to a queue; returns the status, or 0 if there is no answer.
     pub async fn submit_to(&self, queue: &str, node: usize, id: &str, job: Value) -> u16 {
         self.call(node, Method::POST, &format!("/{queue}/{id}"), job).await.0
     }
 
-    /// Calls a node with a key of an account; status 0 if there is no answer.
+    /// Calls a node with a key; status 0 if there is no answer.
     pub async fn call_as(
         &self,
         key: &str,
@@ -267,7 +266,7 @@
         self.call_with(&[("authorization", bearer.as_bytes())], node, method, path, body).await
     }
 
-    /// Hands in a job again and again, at one node after another, as clients do.
+    /// Submits a job to one node after another until it is accepted.
     pub async fn submit_until_accepted(&self, id: &str, job: Value) {
         for attempt in 0..200 {
             if self.submit(attempt % self.nodes.len(), id, job.clone()).await == 200 {
@@ -275,7 +274,7 @@
             }
             sleep(CHECK_INTERVAL).await;
         }
-        panic!("no daemon takes {id}");
+        panic!("no daemon accepts {id}");
     }
 
     /// A job's state, or the status of the answer.
@@ -287,38 +286,40 @@
         }
     }
 
-    /// Cancels a job.
+    /// Cancels a job; returns the status, or 0 if there is no answer.
     pub async fn cancel(&self, node: usize, id: &str) -> u16 {
         self.call(node, Method::DELETE, &format!("/q/{id}"), Value::Null).await.0
     }
 
-    /// Jobs that have not begun.
+    /// Number of pending jobs in queue `q`; `None` if the node does not answer.
     pub async fn pending_jobs(&self, node: usize) -> Option<u64> {
         let (status, body) = self.call(node, Method::GET, "/q/", Value::Null).await;
         if status == 200 { body["pending"].as_u64() } else { None }
     }
 
-    /// Asks for a wave.
+    /// Requests a maintenance wave of at most `max_down` machines at once.
     pub fn request_wave(&self, number: u64, machines: &[String], max_down: usize) {
         let wave =
             json!({ "wave": number, "machines": machines, "durationS": 20, "maximum": max_down });
         self.store.put(OPERATOR_TOPIC, Record::set(format!("wave/{number}"), wave.to_string()));
     }
 
-    /// Whether the operator was told that a wave has succeeded.
+    /// Whether the status of a wave in the store says that it succeeded.
     pub fn has_wave_succeeded(&self, number: u64) -> bool {
         let status = self.store.get(STATUS_TOPIC, &format!("wave/{number}"));
         status.is_some_and(|status| status.ends_with(b"\"succeeded\"}"))
     }
 
-    /// The node that schedules, by the store's record.
+    /// The index of the leader, by its lease in the store.
     pub fn leader(&self) -> Option<usize> {
         let record = self.store.get("keyed.lead", "lead")?;
-        let lead: spokelift_lib::batch::leader::LeaderLease = postcard::from_bytes(&record).ok()?;
-        lead.node.strip_prefix("node-")?.parse().ok()
+        let lease: spokelift_lib::batch::leader::LeaderLease =
+            postcard::from_bytes(&record).ok()?;
+        lease.node.strip_prefix("node-")?.parse().ok()
     }
 
-    /// Keeps what all daemons have written, and what operators see now, in a folder.
+    /// Saves the logs of all daemons and the current operator views, including those of `jobs`, in
+    /// a folder.
     pub async fn save_diagnostics(&self, folder: &Path, jobs: &[String]) -> io::Result<()> {
         std::fs::create_dir_all(folder)?;
         for node in &self.nodes {
@@ -327,13 +328,13 @@
         let jobs = jobs.iter().map(|job| format!("jobs/{job}"));
         let views = ["workers", "services", "waves", "queues", "shares"].map(str::to_owned);
         for view in views.into_iter().chain(jobs) {
-            let shown = self.operator_view(&view).await.unwrap_or_default();
-            std::fs::write(folder.join(format!("{}.json", view.replace('/', "-"))), shown)?;
+            let content = self.operator_view(&view).await.unwrap_or_default();
+            std::fs::write(folder.join(format!("{}.json", view.replace('/', "-"))), content)?;
         }
         Ok(())
     }
 
-    /// Waits until something holds.
+    /// Waits until a condition holds.
     ///
     /// # Panics
     ///
@@ -349,13 +350,14 @@
         panic!("not within a minute: {what}\n{}", self.diagnostics());
     }
 
-    /// What the machines are and what the daemons have written, for the message of a check.
+    /// The state of the machines and the last log lines of the daemons, for the message of a failed
+    /// check.
     pub fn diagnostics(&self) -> String {
         let nodes: Vec<String> = self.nodes.iter().map(Node::diagnostics).collect();
         format!("{}\n{}", self.machines.describe(), nodes.join("\n"))
     }
 
-    /// Waits until a job has succeeded, by whichever node answers.
+    /// Waits until any node shows a job as succeeded.
     pub async fn wait_until_succeeded(&self, id: &str) {
         let succeeded = async |site: &Site| {
             for node in 0..site.nodes.len() {
--- a/testutils/src/platform/site/config.rs
+++ b/testutils/src/platform/site/config.rs
@@ -1,11 +1,11 @@
-//! What the operator of the users' platform has configured: two queues and two services.
+//! The configuration that the platform's operator publishes: two queues and two services.
 
 use serde_json::Value;
 use serde_json::json;
 
 use crate::platform::machines::RESERVE;
 
-/// Host under which clients call.
+/// The host of the queues.
 pub(super) const HOST: &str = "site.example";
 
 fn queue(name: &str, advice: &Value) -> Value {
@@ -20,7 +20,7 @@
     queue
 }
 
-/// Two queues, whose tasks run in service `work`, one of them with advice; service `spare` is a
+/// Two queues of service `work`, `q` and `advised`, the latter with advice; service `spare` is the
 /// reserve.
 pub(super) fn config() -> Value {
     json!({
@@ -34,33 +34,33 @@
     })
 }
 
-/// An account that the operator has configured.
+/// An account in the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
     /// Its name.
     pub name: String,
     /// Its keys.
     pub keys: Vec<String>,
-    /// What it may have running: processor in thousandths of a core, and memory in megabytes; 0 for no bound.
+    /// Its quota: processor in thousandths of a core, and memory in megabytes; 0 for no limit.
     pub maximum: (u64, u64),
 }
 
 impl Account {
-    /// An account with one key and no bound.
+    /// An account with one key and no quota.
     pub fn new(name: &str, key: &str) -> Account {
         Account { name: name.to_owned(), keys: vec![key.to_owned()], maximum: (0, 0) }
     }
 }
 
-/// The same with accounts, whose jobs queue `q` takes; queue `open` is public.
+/// Like [`config`], with accounts, which may submit to queue `q`; queue `open` is public.
 pub(super) fn config_with_accounts(version: u64, accounts: &[Account]) -> Value {
     let mut config = config();
-    let mut own = queue("q", &Value::Null);
-    own["public"] = json!(false);
+    let mut restricted = queue("q", &Value::Null);
+    restricted["public"] = json!(false);
     let mut open = queue("open", &Value::Null);
     open["public"] = json!(true);
     config["version"] = json!(version);
-    config["routes"] = json!([own, open]);
+    config["routes"] = json!([restricted, open]);
     let accounts = accounts.iter().map(|account| {
         let (cpu, memory) = account.maximum;
         json!({
--- a/testutils/src/platform/site/node.rs
+++ b/testutils/src/platform/site/node.rs
@@ -1,4 +1,4 @@
-//! A daemon on the users' platform, as a real process.
+//! Daemons on the stand-in platform, as separate processes.
 
 use std::fs::OpenOptions;
 use std::io;
@@ -29,42 +29,42 @@
 use crate::ports;
 use crate::proxy::Proxy;
 
-/// Credential of the site's operator.
+/// The credential of the site's operator.
 pub const SITE_KEY: &str = "site:a-secret-of-the-site";
-/// Lines of a daemon's log that are shown when something awaited did not come.
+/// Largest number of log lines in a daemon's diagnostics.
 const MAX_SHOWN_LINES: usize = 20;
-/// Loopback addresses that a process of tests gives out before it begins anew.
+/// Number of loopback addresses of a test process, after which they are used again.
 const ADDRESSES_PER_PROCESS: u32 = 250;
-/// Loopback addresses given out in this process.
+/// Number of loopback addresses used by this process.
 static ADDRESSES_USED: AtomicU32 = AtomicU32::new(0);
 
-/// What tells a daemon from the others, and what it has around it.
+/// The settings of a daemon, and the services around it.
 pub(super) struct NodeOptions {
     pub(super) number: usize,
-    /// Share of a core that its settings give it.
+    /// Its `cpuShare` setting: the fraction of a core that it may use.
     pub(super) cpu_share: f64,
-    /// Least time between the turns of two schedulers.
+    /// Least time between the order windows of two schedulers.
     pub(super) handover_gap: Duration,
-    /// Workers that one node looks after for the scheduler; none for the daemon's default.
+    /// Number of workers in a shard; `None` for the daemon's default.
     pub(super) workers_per_shard: Option<usize>,
-    /// Where the platform's machines are listed and ordered.
+    /// The address of the machines API.
     pub(super) machines: SocketAddr,
-    /// Where the advice service answers.
+    /// The address of the advice service.
     pub(super) advice: SocketAddr,
 }
 
-/// A daemon as a real process.
+/// A daemon as a separate process.
 pub struct Node {
-    /// Its way into the store.
+    /// Its own endpoint of the store.
     pub store_endpoint: Endpoint,
-    /// What lies between it and the store.
+    /// The proxy between it and the store.
     pub store_proxy: Proxy,
-    /// What lies between clients and it.
+    /// The proxy between clients and it.
     pub client_proxy: Proxy,
-    /// Where operators call it.
+    /// The address for operators.
     pub operator_addr: SocketAddr,
     settings_file: PathBuf,
-    /// Where the process writes its log, unless it writes to the test's own output.
+    /// The file to which the process logs, unless it logs to the test's own output.
     log_file: PathBuf,
     program: String,
     workers_per_shard: Option<usize>,
@@ -72,21 +72,21 @@
 }
 
 impl Node {
-    /// Writes the settings of a daemon, which is not started yet.
+    /// Writes the settings of a daemon without starting it.
     pub(super) async fn prepare(
         program: &str,
         store: &Store,
-        place: &NodeOptions,
+        options: &NodeOptions,
     ) -> io::Result<Node> {
         let ip = unused_loopback_addr();
-        let door = store.open_endpoint().await?;
-        let store_line = Proxy::start(door.addr).await?;
+        let store_endpoint = store.open_endpoint().await?;
+        let store_proxy = Proxy::start(store_endpoint.addr).await?;
         let ([front, readiness], peers) = ports::free_and_pair(ip)?;
-        let client_line = Proxy::start(front).await?;
+        let client_proxy = Proxy::start(front).await?;
         let peers = peers.port();
-        let file = std::env::temp_dir().join(format!("spokelift-{ip}.toml"));
+        let settings_file = std::env::temp_dir().join(format!("spokelift-{ip}.toml"));
         let NodeOptions { number, cpu_share, handover_gap, workers_per_shard, machines, advice } =
-            place;
+            options;
         let text = format!(
             "node = \"node-{number}\"\nip = \"{ip}\"\nzone = \"hall-1\"\n\
              portRange = [{peers}, {operate}]\nheartbeatMs = 500\nadvice = \"{advice}\"\n\
@@ -97,26 +97,26 @@
              [bounds]\nleaseMs = {gap}\nupkeep_s = 0.6\nmove_s = 0.6\n",
             gap = handover_gap.as_millis(),
             operate = peers + 1,
-            store = store_line.addr,
+            store = store_proxy.addr,
         );
-        std::fs::write(&file, text)?;
-        let output = file.with_extension("log");
+        std::fs::write(&settings_file, text)?;
+        let log_file = settings_file.with_extension("log");
         let program = program.to_owned();
         let operate_addr = SocketAddr::new(ip, peers + 1);
         Ok(Node {
-            store_endpoint: door,
-            store_proxy: store_line,
-            client_proxy: client_line,
+            store_endpoint,
+            store_proxy,
+            client_proxy,
             operator_addr: operate_addr,
-            settings_file: file,
-            log_file: output,
+            settings_file,
+            log_file,
             program,
             workers_per_shard: *workers_per_shard,
             child: Mutex::default(),
         })
     }
 
-    /// Starts the process; one that still runs is killed first.
+    /// Starts the process; kills one that is still running first.
     pub fn start(&self) -> io::Result<()> {
         self.kill();
         let secret = SITE_KEY.split_once(':').expect("a credential has two parts").1;
@@ -129,14 +129,14 @@
             command.env("SPOKELIFT_WORKERS_PER_SHARE", workers.to_string());
         }
         if std::env::var_os("SPOKELIFT_TEST_LOG").is_none() {
-            let output = OpenOptions::new().create(true).append(true).open(&self.log_file)?;
-            command.stdout(output.try_clone()?).stderr(output);
+            let log_file = OpenOptions::new().create(true).append(true).open(&self.log_file)?;
+            command.stdout(log_file.try_clone()?).stderr(log_file);
         }
         *self.child() = Some(ports::spawn(&mut command)?);
         Ok(())
     }
 
-    /// Whether the process runs, and the last lines that it wrote.
+    /// Whether the process runs, and the last lines of its log.
     pub(super) fn diagnostics(&self) -> String {
         let running = if self.is_running() { "runs" } else { "does not run" };
         let text = match std::fs::read_to_string(&self.log_file) {
@@ -144,30 +144,30 @@
             Err(error) => format!("(no output: {error})"),
         };
         let lines: Vec<&str> = text.lines().collect();
-        let last = lines.len().saturating_sub(MAX_SHOWN_LINES);
-        format!("{} {running}\n{}", self.settings_file.display(), lines[last..].join("\n"))
+        let first_shown = lines.len().saturating_sub(MAX_SHOWN_LINES);
+        format!("{} {running}\n{}", self.settings_file.display(), lines[first_shown..].join("\n"))
     }
 
-    /// Copies all that the process has written to a folder.
+    /// Copies the log of the process to a folder.
     pub(super) fn copy_log(&self, folder: &Path) -> io::Result<()> {
         let name = self.log_file.file_name().unwrap_or(self.log_file.as_os_str());
         std::fs::copy(&self.log_file, folder.join(name)).map(drop)
     }
 
     fn child(&self) -> MutexGuard<'_, Option<Child>> {
-        self.child.lock().expect("no holder panics")
+        self.child.lock().expect("no thread panics while it holds the lock")
     }
 
     /// Kills the process.
     pub fn kill(&self) {
         if let Some(mut child) = self.child().take() {
-            // It may have ended by itself.
+            // The process may have exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Number of the process, if it was started.
+    /// The id of the process, if it was started.
     pub fn pid(&self) -> Option<u32> {
         self.child().as_ref().map(Child::id)
     }
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Sends the process a signal.
+    /// Sends a signal to the process; without effect if it was not started.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         match self.child().as_ref() {
             Some(child) => kill(Pid::from_raw(child.id() as i32), signal).map_err(io::Error::from),
@@ -188,12 +188,13 @@
         }
     }
 
-    /// Waits for the process to end; whether it ended well.
+    /// Waits for the process to exit; returns whether it exited successfully, or `None` if it did
+    /// not within the time or was not started.
     pub async fn wait_for_exit(&self, within: Duration) -> Option<bool> {
         let until = Instant::now() + within;
         while Instant::now() < until {
-            let ended = self.child().as_mut()?.try_wait();
-            if let Ok(Some(status)) = ended {
+            let exit_status = self.child().as_mut()?.try_wait();
+            if let Ok(Some(status)) = exit_status {
                 *self.child() = None;
                 return Some(status.success());
             }
@@ -206,14 +207,14 @@
 impl Drop for Node {
     fn drop(&mut self) {
         self.kill();
-        // The files lie in the directory for temporary files.
+        // Files that remain are in the directory for temporary files.
         let _ = std::fs::remove_file(&self.settings_file);
         let _ = std::fs::remove_file(&self.log_file);
     }
 }
 
-/// A loopback address that no other test process uses, so that a port that was found free on it
-/// stays free; the daemons of long ago, whose addresses come again, are gone.
+/// A loopback address that no other running test process uses, so that a port that was found free
+/// on it stays free. Addresses repeat after a while, when the daemons that had them have exited.
 fn unused_loopback_addr() -> IpAddr {
     let number = ADDRESSES_USED.fetch_add(1, Ordering::Relaxed);
     let [.., high, low] = std::process::id().to_be_bytes();
--- a/testutils/src/platform/soak/checks.rs
+++ b/testutils/src/platform/soak/checks.rs
@@ -1,4 +1,4 @@
-//! Whether what became of the jobs agrees with what clients were told.
+//! Checks whether the results of jobs agree with what clients were told.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,86 +10,91 @@
 use crate::platform::soak::client::ClientJob;
 use crate::platform::soak::client::may_be_abandoned;
 
-/// How long everything accepted may take to end after the last fault: a takeover, a lease, and the
-/// work that is left.
+/// How long accepted jobs may take to end after the last fault: a takeover, the lease of a worker,
+/// and the remaining work.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a task may still run after its job was cancelled and all faults are over.
+/// How long a task of a cancelled job may keep running after all faults have ended.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(12);
-/// Pause between looks at something awaited.
+/// Pause between checks of an awaited condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Promises that were broken, once all faults are over.
-pub(super) async fn find_violations(site: &Site, told: &[ClientJob], waves: &[u64]) -> Vec<String> {
-    let mut broken = check_outcomes(site, told).await;
-    broken.extend(check_cancelled(site, told).await);
-    broken.extend(check_waves(site, waves).await);
-    broken.extend(site.ledger.violations());
-    broken
+/// Finds violated guarantees once all faults have ended.
+pub(super) async fn find_violations(site: &Site, jobs: &[ClientJob], waves: &[u64]) -> Vec<String> {
+    let mut violations = check_outcomes(site, jobs).await;
+    violations.extend(check_cancelled(site, jobs).await);
+    violations.extend(check_waves(site, waves).await);
+    violations.extend(site.ledger.violations());
+    violations
 }
 
-/// What was refused never ran; what was accepted is known, and has succeeded if it ends by itself.
-async fn check_outcomes(site: &Site, told: &[ClientJob]) -> Vec<String> {
-    let mut broken = Vec::new();
+/// Checks that refused jobs never ran, that accepted jobs are known, and that accepted finite jobs
+/// succeed. A job with a poison task must be abandoned instead.
+async fn check_outcomes(site: &Site, jobs: &[ClientJob]) -> Vec<String> {
+    let mut violations = Vec::new();
     let until = Instant::now() + SETTLE_TIMEOUT;
-    for told in told {
-        let id = &told.id;
-        broken.extend(told.violations.iter().cloned());
-        if told.refused && site.ledger.starts_of(id) > 0 {
-            broken.push(format!("{id} was refused and ran"));
+    for job in jobs {
+        let id = &job.id;
+        violations.extend(job.violations.iter().cloned());
+        if job.refused && site.ledger.starts_of(id) > 0 {
+            violations.push(format!("{id} was refused and ran"));
         }
-        let ends_well = |state: &str| {
-            let given_up = state == "failed" && may_be_abandoned(site, told);
-            given_up || state == "succeeded" && !told.is_poison
+        let is_expected_end = |state: &str| {
+            let abandoned = state == "failed" && may_be_abandoned(site, job);
+            abandoned || state == "succeeded" && !job.is_poison
         };
-        if told.accepted
-            && !told.is_long_running
-            && !reaches_state(site, id, until, ends_well).await
+        if job.accepted
+            && !job.is_long_running
+            && !reaches_state(site, id, until, is_expected_end).await
         {
-            broken.push(format!("{id} was accepted and has not succeeded"));
+            violations.push(format!("{id} was accepted and has not succeeded"));
         }
-        if told.accepted && told.is_long_running && !reaches_state(site, id, until, |_| true).await
-        {
-            broken.push(format!("{id} was accepted and is unknown"));
+        if job.accepted && job.is_long_running && !reaches_state(site, id, until, |_| true).await {
+            violations.push(format!("{id} was accepted and is unknown"));
         }
     }
-    broken
+    violations
 }
 
-/// Nothing of a cancelled job runs.
-async fn check_cancelled(site: &Site, told: &[ClientJob]) -> Vec<String> {
-    let mut broken = Vec::new();
+/// Checks that no task of a cancelled job keeps running.
+async fn check_cancelled(site: &Site, jobs: &[ClientJob]) -> Vec<String> {
+    let mut violations = Vec::new();
     let until = Instant::now() + CANCEL_TIMEOUT;
-    for told in told.iter().filter(|told| told.cancelled) {
-        while site.ledger.running_tasks(&told.id) > 0 && Instant::now() < until {
+    for job in jobs.iter().filter(|job| job.cancelled) {
+        while site.ledger.running_tasks(&job.id) > 0 && Instant::now() < until {
             sleep(CHECK_INTERVAL).await;
         }
-        if site.ledger.running_tasks(&told.id) > 0 {
-            broken.push(format!("{} was cancelled and still runs", told.id));
+        if site.ledger.running_tasks(&job.id) > 0 {
+            violations.push(format!("{} was cancelled and still runs", job.id));
         }
     }
-    broken
+    violations
 }
 
-/// Waves that have not ended.
+/// Checks that all waves end.
 async fn check_waves(site: &Site, waves: &[u64]) -> Vec<String> {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let until = Instant::now() + SETTLE_TIMEOUT;
     for wave in waves {
         while !site.has_wave_succeeded(*wave) && Instant::now() < until {
             sleep(CHECK_INTERVAL).await;
         }
         if !site.has_wave_succeeded(*wave) {
-            broken.push(format!("wave {wave} has not ended"));
+            violations.push(format!("wave {wave} has not ended"));
         }
     }
-    broken
+    violations
 }
 
-/// Whether a job is shown in a state that fits, by whichever node answers, before time is up.
-async fn reaches_state(site: &Site, id: &str, until: Instant, fits: impl Fn(&str) -> bool) -> bool {
+/// Whether any node shows a job in an expected state before the deadline.
+async fn reaches_state(
+    site: &Site,
+    id: &str,
+    until: Instant,
+    is_expected: impl Fn(&str) -> bool,
+) -> bool {
     let mut node = 0;
     loop {
-        if site.job_state(node, id).await.is_ok_and(|state| fits(&state)) {
+        if site.job_state(node, id).await.is_ok_and(|state| is_expected(&state)) {
             return true;
         }
         if Instant::now() > until {
--- a/testutils/src/platform/soak/schedule.rs
+++ b/testutils/src/platform/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! The faults of a soak and when they come.
+//! The faults of a soak test and their schedule.
 
 use std::io;
 use std::time::Duration;
@@ -16,53 +16,54 @@
 use crate::proxy::Direction;
 use crate::proxy::Flow;
 
-/// Time between the beginnings of two faults, in milliseconds. Most last longer, so they overlap.
+/// Time between the starts of two faults, in milliseconds. Most last longer, so they overlap.
 const FAULT_INTERVAL_MS: std::ops::RangeInclusive<u64> = 100..=1_200;
-/// Time between two times that connections go silent, in milliseconds.
+/// Time between two black holes, in milliseconds.
 const BLACK_HOLE_INTERVAL_MS: std::ops::RangeInclusive<u64> = 300..=3_000;
-/// How long a fault lasts, in milliseconds.
+/// Duration of a fault, in milliseconds.
 const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 200..=4_000;
-/// A daemon that was told to stop is started again after this; it takes 2.6 s for the platform to
-/// notice, and a little more for the last requests.
+/// Time after which a daemon that was told to stop is started again: the platform takes 2.6 s to
+/// notice the stop, and the last requests a little more.
 const RESTART_DELAY: Duration = Duration::from_millis(4_500);
 
-/// When the first fault comes: by then clients have jobs under way.
+/// Time of the first fault; by then clients have jobs in progress.
 const FIRST_FAULT_AT: Duration = Duration::from_millis(500);
-/// Kinds of faults in [`fault`], some of which count twice so that they come twice as often.
+/// Number of kinds in [`draw_fault`], some of which count twice to be twice as frequent.
 const FAULT_KINDS: u32 = 14;
 
-/// Something done to the site.
+/// An action on the site.
 #[derive(Clone, Debug)]
 pub(super) enum Action {
-    /// A daemon is killed.
+    /// Kills a daemon.
     Kill(usize),
-    /// All daemons are killed.
+    /// Kills all daemons.
     KillAll,
-    /// A daemon is started, if it does not run.
+    /// Starts a daemon, unless it runs.
     Start(usize),
-    /// All daemons that do not run are started.
+    /// Starts all daemons that do not run.
     StartAll,
-    /// A daemon gets a signal.
+    /// Sends a signal to a daemon.
     Signal(usize, Signal),
-    /// A daemon's way into the store.
+    /// Sets the fault of a daemon's endpoint of the store.
     StoreFault(usize, store::Fault),
-    /// The connections between a daemon and the store.
+    /// Sets the fault of the connections between a daemon and the store.
     StoreProxy(usize, proxy::Fault),
-    /// The connections between clients and a daemon.
+    /// Sets the fault of the connections between clients and a daemon.
     ClientProxy(usize, proxy::Fault),
-    /// A machine's worker.
+    /// Sets the fault of a machine's worker.
     WorkerFault(usize, worker::Fault),
-    /// A machine's worker crashes, and another life begins.
+    /// Crashes a machine's worker; another incarnation starts later.
     CrashWorker(usize),
-    /// The store forgets what is not the newest of a key.
+    /// Drops all records of the store but the latest of each key.
     CompactStore,
-    /// Two machines are due for upkeep, one at a time.
+    /// Requests maintenance of two machines, one at a time.
     MaintenanceWave(u64),
-    /// The open connections of a daemon to the store go silent for good.
+    /// Turns the open connections of a daemon to the store into black holes.
     BlackHoleStoreConnections(usize, Direction),
-    /// The open connections of all daemons to the interface for machines go silent for good.
+    /// Turns the open connections of all daemons to the machines API into black holes.
     BlackHoleMachinesConnections(Direction),
-    /// Both, of all daemons.
+    /// Turns the open connections of all daemons to the store and the machines API into black
+    /// holes.
     BlackHoleAllConnections(Direction),
 }
 
@@ -91,13 +92,15 @@
                 tokio::spawn(async move { machines.crash(&id).await });
             }
             Action::CompactStore => site.store.compact(),
-            Action::BlackHoleStoreConnections(node, way) => {
-                site.nodes[*node].store_proxy.black_hole_open(*way)
+            Action::BlackHoleStoreConnections(node, direction) => {
+                site.nodes[*node].store_proxy.black_hole_open(*direction)
             }
-            Action::BlackHoleMachinesConnections(way) => site.machines_proxy.black_hole_open(*way),
-            Action::BlackHoleAllConnections(way) => {
-                site.machines_proxy.black_hole_open(*way);
-                site.nodes.iter().for_each(|node| node.store_proxy.black_hole_open(*way));
+            Action::BlackHoleMachinesConnections(direction) => {
+                site.machines_proxy.black_hole_open(*direction)
+            }
+            Action::BlackHoleAllConnections(direction) => {
+                site.machines_proxy.black_hole_open(*direction);
+                site.nodes.iter().for_each(|node| node.store_proxy.black_hole_open(*direction));
             }
             Action::MaintenanceWave(number) => {
                 let first = *number as usize % WORKERS;
@@ -125,53 +128,55 @@
     node.start()
 }
 
-/// Draws faults for `time`, in the order of their times. Connections that go silent are drawn by a
-/// generator of their own, so that the other faults of a seed stay what they were.
+/// Draws the faults for `time`, sorted by their times. Black holes have their own random generator,
+/// so that they leave the other faults of a seed unchanged.
 pub(super) fn draw_schedule(
     rng: &mut StdRng,
-    silent_rng: &mut StdRng,
+    black_hole_rng: &mut StdRng,
     time: Duration,
 ) -> Vec<(Duration, Action)> {
     let mut schedule = Vec::new();
     let mut at = FIRST_FAULT_AT;
     let mut waves = 0;
     while at < time {
-        let (begin, end) = draw_fault(rng, &mut waves);
-        schedule.push((at, begin));
+        let (start, end) = draw_fault(rng, &mut waves);
+        schedule.push((at, start));
         schedule.extend(end.map(|(after, end)| (at + after, end)));
         at += Duration::from_millis(rng.random_range(FAULT_INTERVAL_MS));
     }
     let mut at = FIRST_FAULT_AT;
     while at < time {
-        schedule.push((at, draw_black_hole(silent_rng)));
-        at += Duration::from_millis(silent_rng.random_range(BLACK_HOLE_INTERVAL_MS));
+        schedule.push((at, draw_black_hole(black_hole_rng)));
+        at += Duration::from_millis(black_hole_rng.random_range(BLACK_HOLE_INTERVAL_MS));
     }
     schedule.sort_by_key(|(at, _)| *at);
     schedule
 }
 
-/// Draws connections that go silent.
+/// Draws the connections and the direction of a black hole.
 fn draw_black_hole(rng: &mut StdRng) -> Action {
     let node = rng.random_range(0..NODES);
-    let way = [Direction::Both, Direction::Requests, Direction::Answers][rng.random_range(0..3)];
+    let direction =
+        [Direction::Both, Direction::Requests, Direction::Answers][rng.random_range(0..3)];
     match rng.random_range(0..4) {
-        0 | 1 => Action::BlackHoleStoreConnections(node, way),
-        2 => Action::BlackHoleMachinesConnections(way),
-        _ => Action::BlackHoleAllConnections(way),
+        0 | 1 => Action::BlackHoleStoreConnections(node, direction),
+        2 => Action::BlackHoleMachinesConnections(direction),
+        _ => Action::BlackHoleAllConnections(direction),
     }
 }
 
-/// Draws a fault: how it begins, and after what time it ends, unless it is over at once.
+/// Draws a fault: the action that starts it, and the one that ends it with the time in between,
+/// unless the fault is momentary.
 ///
-/// What is drawn, and in which order, decides what a seed means: a change here makes the seeds in
-/// `docs/design/soak.md` other ones.
+/// The draws and their order define the schedule of a seed: a change here changes the meaning of
+/// the seeds in `docs/design/soak.md`.
 fn draw_fault(rng: &mut StdRng, waves: &mut u64) -> (Action, Option<(Duration, Action)>) {
-    let last = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
+    let duration = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
     let node = rng.random_range(0..NODES);
     let machine = rng.random_range(0..WORKERS);
-    let line = draw_proxy_fault(rng);
+    let proxy_fault = draw_proxy_fault(rng);
     let none = proxy::Fault::default();
-    let until = |end: Action| Some((last, end));
+    let until = |end: Action| Some((duration, end));
     match rng.random_range(0..FAULT_KINDS) {
         0 | 1 => (Action::Kill(node), until(Action::Start(node))),
         2 | 3 => {
@@ -179,8 +184,8 @@
         }
         4 => (Action::Signal(node, Signal::SIGTERM), Some((RESTART_DELAY, Action::Start(node)))),
         5 => (Action::Signal(node, Signal::SIGHUP), None),
-        6 | 7 => (Action::StoreProxy(node, line), until(Action::StoreProxy(node, none))),
-        8 => (Action::ClientProxy(node, line), until(Action::ClientProxy(node, none))),
+        6 | 7 => (Action::StoreProxy(node, proxy_fault), until(Action::StoreProxy(node, none))),
+        8 => (Action::ClientProxy(node, proxy_fault), until(Action::ClientProxy(node, none))),
         9 => {
             let fault = draw_store_fault(rng);
             (Action::StoreFault(node, fault), until(Action::StoreFault(node, store::Fault::None)))
--- a/testutils/src/platform/store.rs
+++ b/testutils/src/platform/store.rs
@@ -1,4 +1,5 @@
-//! The store: topics of partitions, some of which keep the newest record of each key.
+//! Stand-in for the store: topics with partitions, which can be read by offset or as the latest
+//! record of each key.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -32,33 +33,33 @@
 
 use crate::platform::json_response;
 
-/// What one door of the store does to whoever comes through it. Each node has a door of its own.
+/// A fault of an endpoint of the store. Each node has its own endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Answers 503 and does nothing.
+    /// Answers 503 without executing the request.
     Busy,
-    /// Says nothing and does nothing.
+    /// Neither answers nor executes the request.
     Unresponsive,
-    /// Does what is asked, and answers every second time only.
+    /// Executes the request, and leaves every second write unanswered.
     LosesAnswers,
-    /// Does what is asked a second later, if its condition still holds, and never answers.
+    /// Executes a write a second later, if its condition still holds, and never answers it.
     Late,
 }
 
 #[derive(Default)]
 struct Log {
     records: Vec<Record>,
-    /// Records before this offset are gone, but for the newest of each key.
+    /// Reads from before this offset fail; the latest record of each key remains available.
     first_offset: usize,
     producers: HashMap<String, (u64, u64, usize)>,
-    /// How often it was read whole.
+    /// Number of reads of the latest records of all keys.
     full_reads: usize,
-    /// How often it was appended to.
+    /// Number of appends through the protocol.
     append_count: usize,
-    /// Held by the append whose turn it is.
+    /// Serializes the appends.
     append_lock: Arc<tokio::sync::Mutex<()>>,
 }
 
@@ -69,34 +70,34 @@
     appended: Notify,
 }
 
-/// A running store.
+/// A running store. Clones share the same store.
 #[derive(Clone, Default)]
 pub struct Store {
     inner: Arc<Inner>,
 }
 
-/// One way into the store.
+/// An endpoint of the store.
 #[derive(Clone)]
 pub struct Endpoint {
-    /// Where it is.
+    /// The address on which it listens.
     pub addr: SocketAddr,
     fault: Arc<Mutex<(Fault, u64)>>,
     _shutdown: Arc<watch::Sender<bool>>,
 }
 
 impl Endpoint {
-    /// Sets what it does from now on.
+    /// Sets the fault from now on.
     pub fn set_fault(&self, fault: Fault) {
-        self.fault.lock().expect("no holder panics").0 = fault;
+        self.fault.lock().expect("no thread panics while it holds the lock").0 = fault;
     }
 
-    /// How many requests have come through it.
+    /// Number of requests received so far.
     pub fn request_count(&self) -> u64 {
-        self.fault.lock().expect("no holder panics").1
+        self.fault.lock().expect("no thread panics while it holds the lock").1
     }
 
     fn count_request(&self) -> (Fault, u64) {
-        let mut fault = self.fault.lock().expect("no holder panics");
+        let mut fault = self.fault.lock().expect("no thread panics while it holds the lock");
         fault.1 += 1;
         *fault
     }
@@ -104,69 +105,71 @@
 
 impl Store {
     fn logs(&self) -> MutexGuard<'_, HashMap<Partition, Log>> {
-        self.inner.logs.lock().expect("no holder panics")
+        self.inner.logs.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// Opens a door on a port chosen by the system.
+    /// Opens an endpoint on a port that the system chooses.
     pub async fn open_endpoint(&self) -> std::io::Result<Endpoint> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (open, closed) = watch::channel(false);
-        let door = Endpoint {
+        let (shutdown, shutdown_rx) = watch::channel(false);
+        let endpoint = Endpoint {
             addr: listener.local_addr()?,
             fault: Arc::default(),
-            _shutdown: Arc::new(open),
+            _shutdown: Arc::new(shutdown),
         };
-        let (store, entrance) = (self.clone(), door.clone());
-        tokio::spawn(serve(listener, closed, move |request| {
-            let (store, door) = (store.clone(), entrance.clone());
-            async move { store.handle(&door, request).await }
+        let (store, server_endpoint) = (self.clone(), endpoint.clone());
+        tokio::spawn(serve(listener, shutdown_rx, move |request| {
+            let (store, endpoint) = (store.clone(), server_endpoint.clone());
+            async move { store.handle(&endpoint, request).await }
         }));
-        Ok(door)
+        Ok(endpoint)
     }
 
-    /// Sets how long an append takes; those of one partition go one after another.
+    /// Sets the duration of an append; appends to one partition run one after another.
     pub fn set_append_time(&self, time: Duration) {
-        *self.inner.append_time.lock().expect("no holder panics") = time;
+        *self.inner.append_time.lock().expect("no thread panics while it holds the lock") = time;
     }
 
-    /// How often each partition of a topic was appended to through the protocol, by number.
+    /// Number of appends to each partition of a topic through the protocol, by partition number.
     pub fn appends_by_partition(&self, topic: &str) -> BTreeMap<u16, usize> {
         let logs = self.logs();
         let of_topic = logs.iter().filter(|(partition, _)| partition.topic == topic);
         of_topic.map(|(partition, log)| (partition.number, log.append_count)).collect()
     }
 
-    /// How often a topic was appended to through the protocol.
+    /// Number of appends to a topic through the protocol.
     pub fn append_count(&self, topic: &str) -> usize {
         self.appends_by_partition(topic).values().sum()
     }
 
     async fn wait_append_time(&self, partition: Partition) {
-        let turn = self.logs().entry(partition).or_default().append_lock.clone();
-        let _turn = turn.lock().await;
-        let time = *self.inner.append_time.lock().expect("no holder panics");
+        let append_lock = self.logs().entry(partition).or_default().append_lock.clone();
+        let _guard = append_lock.lock().await;
+        let time =
+            *self.inner.append_time.lock().expect("no thread panics while it holds the lock");
         sleep(time).await;
     }
 
-    /// Appends to the first partition of a topic past the protocol.
+    /// Appends to the first partition of a topic directly, without the protocol.
     pub fn put(&self, topic: &str, record: Record) {
         self.logs().entry(topic.into()).or_default().records.push(record);
         self.inner.appended.notify_waiters();
     }
 
-    /// The newest value of a key in the first partition of a topic.
+    /// The latest value of a key in the first partition of a topic; `None` if the key is missing or
+    /// deleted.
     pub fn get(&self, topic: &str, key: &str) -> Option<Vec<u8>> {
         let logs = self.logs();
         let records = &logs.get(&topic.into())?.records;
         records.iter().rev().find(|record| record.key == key)?.value.clone()
     }
 
-    /// How often the first partition of a topic was read whole.
+    /// Number of reads of the latest records in the first partition of a topic.
     pub fn full_reads(&self, topic: &str) -> usize {
         self.logs().get(&topic.into()).map_or(0, |log| log.full_reads)
     }
 
-    /// Lets go of the history of all topics.
+    /// Drops the history of all topics: only the latest record of each key remains available.
     pub fn compact(&self) {
         for log in self.logs().values_mut() {
             log.first_offset = log.records.len();
@@ -174,13 +177,13 @@
         self.inner.appended.notify_waiters();
     }
 
-    async fn handle(&self, door: &Endpoint, request: Request<Incoming>) -> Response<Body> {
-        let (fault, count) = door.count_request();
-        let writes = request.method() == Method::POST;
+    async fn handle(&self, endpoint: &Endpoint, request: Request<Incoming>) -> Response<Body> {
+        let (fault, count) = endpoint.count_request();
+        let is_write = request.method() == Method::POST;
         match fault {
             Fault::Busy => return json_response(503, &json!({})),
             Fault::Unresponsive => return std::future::pending().await,
-            Fault::Late if writes => {
+            Fault::Late if is_write => {
                 let store = self.clone();
                 tokio::spawn(async move {
                     sleep(Duration::from_secs(1)).await;
@@ -191,7 +194,7 @@
             _ => {}
         }
         let response = self.route(request).await;
-        if fault == Fault::LosesAnswers && writes && count.is_multiple_of(2) {
+        if fault == Fault::LosesAnswers && is_write && count.is_multiple_of(2) {
             return std::future::pending().await;
         }
         response
@@ -233,14 +236,16 @@
             (query.get("producer"), number("epoch"), number("seq"))
         {
             match log.producers.get(producer).copied() {
-                Some((seen, _, _)) if epoch < seen => {
+                Some((known_epoch, _, _)) if epoch < known_epoch => {
                     return json_response(409, &json!({ "reason": "fenced" }));
                 }
-                Some((seen, last, offset)) if epoch == seen && seq == last => {
+                Some((known_epoch, last_seq, offset))
+                    if epoch == known_epoch && seq == last_seq =>
+                {
                     return json_response(200, &json!({ "offset": offset, "end": end }));
                 }
-                Some((seen, last, _)) if epoch == seen && seq != last + 1 => {
-                    return json_response(409, &json!({ "reason": "seq", "seq": last + 1 }));
+                Some((known_epoch, last_seq, _)) if epoch == known_epoch && seq != last_seq + 1 => {
+                    return json_response(409, &json!({ "reason": "seq", "seq": last_seq + 1 }));
                 }
                 _ => {
                     log.producers.insert(producer.clone(), (epoch, seq, end));
@@ -272,7 +277,7 @@
                 grown.await;
             }
         };
-        // Without news the answer is empty.
+        // Without new records in time the answer is empty.
         let _ = timeout(wait, grown).await;
         let mut logs = self.logs();
         let log = logs.entry(partition_of(query)).or_default();
@@ -305,7 +310,7 @@
     }
 }
 
-/// The partition that a call names.
+/// The partition that a request names.
 fn partition_of(query: &HashMap<String, String>) -> Partition {
     let number = query.get("part").and_then(|text| text.parse().ok());
     Partition { topic: query["topic"].clone(), number: number.unwrap_or_default() }
--- a/testutils/src/platform/worker.rs
+++ b/testutils/src/platform/worker.rs
@@ -1,4 +1,5 @@
-//! A worker: runs tasks under a lease, tells what runs and what ended, and writes its entry.
+//! Stand-in for a worker: runs tasks under a lease, reports running tasks and ends when polled, and
+//! publishes its entry in the store.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -36,81 +37,78 @@
 use crate::platform::read_json;
 use crate::platform::store::Store;
 
-/// Word in a job's text that makes workers want a ticket.
+/// Word in a job's specification that makes workers require a ticket of the advice service.
 pub const NEEDS_TICKET: &str = "needs-ticket";
 /// Time between two writes of a worker's entry.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause between looks at what has ended or lapsed.
+/// Pause between checks for tasks that have ended or expired.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// A worker's clock stood at this when it started, in milliseconds.
+/// Reading of a worker's clock at its start, in milliseconds.
 const CLOCK_START_MS: u64 = 1_000;
 
-/// Machines whose workers are brought down by a task.
+/// Sends the machine of a worker that a task has crashed.
 pub type CrashSender = mpsc::UnboundedSender<String>;
 
-/// The processor a worker has, in thousandths of a core.
+/// The processor capacity of a worker, in thousandths of a core.
 struct CpuCapacity {
     cpu: u64,
-    /// What it had before that changed, and when it did.
+    /// The capacity before the last change.
     previous_cpu: u64,
     changed_at: Instant,
-    /// It refuses what does not fit.
+    /// Whether the worker refuses tasks that do not fit.
     is_enforced: bool,
 }
 
 impl CpuCapacity {
-    /// How much may be started by what its entry says, or said a moment ago.
+    /// The capacity that a scheduler may rely on, as the worker's current entry or a recent one
+    /// states it.
     fn allowed(&self) -> u64 {
         let is_new = self.changed_at.elapsed() < CAPACITY_CHANGE_GRACE;
         if is_new { self.cpu.max(self.previous_cpu) } else { self.cpu }
     }
 }
 
-/// How long after a worker's room has shrunk starts may still go by what it was: a heartbeat, a read of the entry,
-/// and a start under way.
+/// How long after a decrease of a worker's capacity a start may still rely on the earlier one: a
+/// heartbeat, a read of the entry, and a start in flight.
 const CAPACITY_CHANGE_GRACE: Duration = Duration::from_millis(1_500);
 
-/// What is wrong with a worker.
+/// A fault of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It runs on, but no call reaches it and no answer leaves it.
+    /// It keeps running, but neither receives calls nor sends answers.
     Disconnected,
-    /// Everything it starts fails.
+    /// Every task fails.
     FailsAll,
-    /// It starts tasks and does not answer.
+    /// It starts tasks without answering.
     LosesStartAnswers,
-    /// It takes [`SLOW_START_DELAY`] to start a task, and answers then.
+    /// It answers a start only after [`SLOW_START_DELAY`].
     SlowStarts,
-    /// It does not answer a start, which is carried out [`LATE_START_DELAY`] later by whoever lives under its id then.
+    /// It does not answer a start; the incarnation that has its id [`LATE_START_DELAY`] later
+    /// executes the start.
     LateStarts,
 }
 
-/// How a life of a worker begins.
+/// How an incarnation of a worker starts.
 #[derive(Clone, Debug)]
 pub struct StartOptions {
-    /// The life whose id it has; none for an id of its own.
+    /// The incarnation whose id it takes over; `None` for a new id.
     pub predecessor: Option<Worker>,
-    /// What its clock stands at, in milliseconds.
+    /// The initial reading of its clock, in milliseconds.
     pub clock_ms: u64,
-    /// When it began by its own time of day, in milliseconds since 1970.
+    /// Its birth time by its own time of day, in milliseconds since the Unix epoch.
     pub birth_ms: u64,
-    /// Whether it is called where the life before was.
+    /// Whether it listens on the address of its predecessor.
     pub reuses_address: bool,
 }
 
 impl Default for StartOptions {
     fn default() -> StartOptions {
-        let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let born = born.as_millis() as u64;
-        StartOptions {
-            predecessor: None,
-            clock_ms: CLOCK_START_MS,
-            birth_ms: born,
-            reuses_address: true,
-        }
+        let birth_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let birth_ms = birth_ms.as_millis() as u64;
+        StartOptions { predecessor: None, clock_ms: CLOCK_START_MS, birth_ms, reuses_address: true }
     }
 }
 
@@ -134,14 +132,14 @@
 }
 
 impl State {
-    /// Tasks whose time has come or whose lease has run out, and how each ends.
+    /// Tasks that have completed, were stopped, or whose lease has expired, with their outcomes.
     fn finished_tasks(&self, clock: u64) -> Vec<(String, &'static str)> {
-        let lapsed = self.lease_until < clock;
+        let expired = self.lease_until < clock;
         let now = Instant::now();
-        let how = |running: &RunningTask| {
+        let outcome = |running: &RunningTask| {
             let stopped = running.stops_at.is_some_and(|at| at <= now);
             let done = running.done_at.is_some_and(|at| at <= now);
-            match (stopped, lapsed, done) {
+            match (stopped, expired, done) {
                 (true, _, _) => Some("stopped"),
                 (_, true, _) => Some("lapsed"),
                 (_, _, true) if self.fault == Fault::FailsAll => Some("failed"),
@@ -149,22 +147,22 @@
                 _ => None,
             }
         };
-        let over =
-            self.runs.iter().filter_map(|(task, running)| Some((task.clone(), how(running)?)));
-        over.collect()
+        let finished =
+            self.runs.iter().filter_map(|(task, running)| Some((task.clone(), outcome(running)?)));
+        finished.collect()
     }
 }
 
-/// A running worker: one life.
+/// An incarnation of a worker.
 #[derive(Clone)]
 pub struct Worker {
-    /// Its id, which another life may have had before.
+    /// Its id, which an earlier incarnation may have had.
     pub id: String,
     /// Its machine.
     pub machine: String,
     inner: Arc<Inner>,
     addr: SocketAddr,
-    /// Who lives under the id now.
+    /// The incarnation that has the id now.
     current: CurrentIncarnation,
     stop: Arc<watch::Sender<bool>>,
 }
@@ -175,7 +173,7 @@
     }
 }
 
-/// The life that an id has now.
+/// The incarnation that has an id now.
 type CurrentIncarnation = Arc<Mutex<Weak<Inner>>>;
 
 struct Inner {
@@ -184,7 +182,7 @@
     clock_start_ms: u64,
     current: CurrentIncarnation,
     machine: String,
-    /// Where it says that a task brings it down.
+    /// Receives its machine if a task crashes it.
     crash_sender: CrashSender,
     started_at: Instant,
     cpu_capacity: Mutex<CpuCapacity>,
@@ -192,58 +190,59 @@
     ledger: Ledger,
     state: Mutex<State>,
     end_notify: Notify,
-    /// Its entry stays when it ends, since a later life has its id.
+    /// Whether its entry stays in the store when it ends, since a later incarnation has its id.
     keeps_entry: AtomicBool,
 }
 
-/// How late a start is carried out at a worker with [`Fault::LateStarts`].
+/// Delay of a start at a worker with [`Fault::LateStarts`].
 pub const LATE_START_DELAY: Duration = Duration::from_millis(2_500);
-/// How long the address of an earlier life may take to become free.
+/// How long the address of an earlier incarnation may take to become free.
 const REBIND_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// How long a worker that is slow to start takes for it.
+/// How long a worker with [`Fault::SlowStarts`] takes for a start.
 const SLOW_START_DELAY: Duration = Duration::from_millis(200);
 
-/// What a worker is to be.
+/// The properties of a worker.
 #[derive(Clone, Debug)]
 pub struct Shape {
     /// Its service.
     pub service: String,
     /// Its rack.
     pub rack: String,
-    /// Its processor, in thousandths of a core.
+    /// Its processor capacity, in thousandths of a core.
     pub cpu: u64,
     /// Its memory in megabytes.
     pub memory_mb: u64,
 }
 
 impl Worker {
-    /// Starts a life on a machine.
+    /// Starts an incarnation on a machine.
     pub async fn start(
         store: &Store,
         ledger: &Ledger,
         machine: &str,
         shape: &Shape,
-        downs: &CrashSender,
-        birth: StartOptions,
+        crash_sender: &CrashSender,
+        options: StartOptions,
     ) -> std::io::Result<Worker> {
-        let before = birth.predecessor.as_ref();
-        let listener = match before.filter(|_| birth.reuses_address) {
-            Some(before) => rebind(before.addr).await?,
+        let predecessor = options.predecessor.as_ref();
+        let listener = match predecessor.filter(|_| options.reuses_address) {
+            Some(predecessor) => rebind(predecessor.addr).await?,
             None => TcpListener::bind("127.0.0.1:0").await?,
         };
         let addr = listener.local_addr()?;
-        let id = before.map(|before| before.id.clone());
+        let id = predecessor.map(|predecessor| predecessor.id.clone());
         let id = id.unwrap_or_else(|| format!("i-{:016x}", rand::random::<u64>()));
-        let current = before.map(|before| before.current.clone()).unwrap_or_default();
+        let current =
+            predecessor.map(|predecessor| predecessor.current.clone()).unwrap_or_default();
         let inner = Arc::new(Inner {
             id: id.clone(),
-            birth_ms: birth.birth_ms,
-            clock_start_ms: birth.clock_ms,
+            birth_ms: options.birth_ms,
+            clock_start_ms: options.clock_ms,
             current: current.clone(),
             keeps_entry: AtomicBool::new(false),
             machine: machine.to_owned(),
-            crash_sender: downs.clone(),
+            crash_sender: crash_sender.clone(),
             started_at: Instant::now(),
             cpu_capacity: Mutex::new(CpuCapacity {
                 cpu: shape.cpu,
@@ -256,7 +255,7 @@
             state: Mutex::default(),
             end_notify: Notify::new(),
         });
-        *current.lock().expect("no holder panics") = Arc::downgrade(&inner);
+        *current.lock().expect("no thread panics while it holds the lock") = Arc::downgrade(&inner);
         let (stop, stopped) = watch::channel(false);
         let shared = inner.clone();
         let server = serve(listener, stopped.clone(), move |request| {
@@ -264,27 +263,27 @@
             async move { inner.handle(request).await }
         });
         let (shape, machine_name) = (shape.clone(), machine.to_owned());
-        let (store, key, life) = (store.clone(), id.clone(), inner.clone());
-        let (beating, ending, mut over) = (inner.clone(), inner.clone(), stopped);
+        let (store, key, incarnation) = (store.clone(), id.clone(), inner.clone());
+        let (heartbeat_inner, ending_inner, mut finished) = (inner.clone(), inner.clone(), stopped);
         tokio::spawn(async move {
-            let beats = async {
+            let heartbeats = async {
                 loop {
-                    let cpu = beating.cpu_capacity().cpu;
+                    let cpu = heartbeat_inner.cpu_capacity().cpu;
                     let shape = Shape { cpu, ..shape.clone() };
                     let mut entry = entry(addr, &machine_name, &shape, "ready");
-                    entry["born"] = json!(beating.birth_ms);
+                    entry["born"] = json!(heartbeat_inner.birth_ms);
                     store.put(WORKER_TOPIC, Record::set(key.clone(), entry.to_string()));
                     sleep(HEARTBEAT_INTERVAL).await;
                 }
             };
             tokio::select! {
                 () = server => {}
-                () = beats => {}
-                () = life.end_finished_tasks() => {}
-                // Dropping the server cuts its connections, as a crash does.
-                _ = over.wait_for(|over| *over) => {}
+                () = heartbeats => {}
+                () = incarnation.end_finished_tasks() => {}
+                // Dropping the server closes its connections, as a crash does.
+                _ = finished.wait_for(|finished| *finished) => {}
             }
-            if !ending.keeps_entry.load(Ordering::Relaxed) {
+            if !ending_inner.keeps_entry.load(Ordering::Relaxed) {
                 store.put(WORKER_TOPIC, Record::tombstone(key));
             }
         });
@@ -292,44 +291,46 @@
         Ok(Worker { id, machine, inner, addr, current, stop })
     }
 
-    /// The same as [`Worker::crash`], before another life has the id.
+    /// Like [`Worker::crash`], but keeps the entry in the store, since another incarnation gets the
+    /// id.
     pub fn crash_before_successor(&self) {
         self.inner.keeps_entry.store(true, Ordering::Relaxed);
         self.crash();
     }
 
-    /// Where it is called.
+    /// The address on which it listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// What its clock shows, in milliseconds.
+    /// The reading of its clock, in milliseconds.
     pub fn clock_ms(&self) -> u64 {
         self.inner.clock_ms()
     }
 
-    /// When it began by its own time of day, in milliseconds since 1970.
+    /// Its birth time by its own time of day, in milliseconds since the Unix epoch.
     pub fn birth_ms(&self) -> u64 {
         self.inner.birth_ms
     }
 
-    /// Sets what is wrong with it.
+    /// Sets its fault.
     pub fn set_fault(&self, fault: Fault) {
         self.inner.state().fault = fault;
     }
 
-    /// Sets how much processor it has, which its next heartbeat tells, and whether it refuses what does not fit.
+    /// Sets its processor capacity, which its next heartbeat publishes, and whether it refuses
+    /// tasks that do not fit.
     pub fn set_cpu(&self, cpu: u64, guarded: bool) {
-        let mut room = self.inner.cpu_capacity();
-        *room = CpuCapacity {
+        let mut capacity = self.inner.cpu_capacity();
+        *capacity = CpuCapacity {
             cpu,
-            previous_cpu: room.allowed(),
+            previous_cpu: capacity.allowed(),
             changed_at: Instant::now(),
             is_enforced: guarded,
         };
     }
 
-    /// Ends the life with all it runs, although nobody ordered that.
+    /// Ends the incarnation and its tasks unexpectedly.
     pub fn crash(&self) {
         for task in self.inner.state().runs.keys() {
             self.inner.ledger.record_lost_with_worker(task);
@@ -337,10 +338,10 @@
         self.terminate();
     }
 
-    /// Ends the life with all it runs.
+    /// Ends the incarnation and its tasks.
     pub fn terminate(&self) {
         let mut state = self.inner.state();
-        // What arrives before the server is gone starts nothing.
+        // Requests that arrive before the server is closed start nothing.
         state.fault = Fault::Disconnected;
         for (task, _) in std::mem::take(&mut state.runs) {
             self.inner.ledger.record_end(&task, false);
@@ -350,20 +351,21 @@
         let _ = self.stop.send(true);
     }
 
-    /// Whether nothing runs on it.
+    /// Whether it runs no tasks.
     pub fn is_idle(&self) -> bool {
         self.inner.state().runs.is_empty()
     }
 }
 
-/// The entry of a worker of service `work` at which nothing is called, in a state of one's own.
+/// The entry of a worker of service `work` in the given state, with an address on which nothing
+/// listens.
 pub fn entry_in_state(state: &str) -> Value {
     let shape =
         Shape { service: "work".to_owned(), rack: "r1-0".to_owned(), cpu: 8_000, memory_mb: 8_000 };
     entry(SocketAddr::from(([127, 0, 0, 1], 1)), "m-none", &shape, state)
 }
 
-/// Listens where an earlier life did, which may have ended just now.
+/// Binds the address of an earlier incarnation, which may have ended just now.
 async fn rebind(addr: SocketAddr) -> std::io::Result<TcpListener> {
     let until = Instant::now() + REBIND_TIMEOUT;
     loop {
@@ -383,7 +385,7 @@
     })
 }
 
-/// A number in a job's text.
+/// A number from a job's specification, which follows the prefix `name`.
 fn spec_number(spec: &str, name: &str) -> Option<u64> {
     let text = spec.split_whitespace().find_map(|word| word.strip_prefix(name));
     text.and_then(|text| text.parse().ok())
@@ -391,25 +393,25 @@
 
 impl Inner {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("no thread panics while it holds the lock")
     }
 
     fn cpu_capacity(&self) -> MutexGuard<'_, CpuCapacity> {
-        self.cpu_capacity.lock().expect("no holder panics")
+        self.cpu_capacity.lock().expect("no thread panics while it holds the lock")
     }
 
     fn clock_ms(&self) -> u64 {
         self.clock_start_ms + self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Ends tasks whose time has come or whose lease has run out.
+    /// Ends completed, stopped and expired tasks until the worker ends.
     async fn end_finished_tasks(&self) {
         loop {
             sleep(CHECK_INTERVAL).await;
             let clock = self.clock_ms();
             let mut state = self.state();
-            for (task, how) in state.finished_tasks(clock) {
-                self.end_task(&mut state, &task, how);
+            for (task, outcome) in state.finished_tasks(clock) {
+                self.end_task(&mut state, &task, outcome);
             }
             if state.lease_until < clock {
                 self.forget_unacknowledged_ends(&state);
@@ -417,33 +419,35 @@
         }
     }
 
-    fn end_task(&self, state: &mut State, task: &str, how: &'static str) {
+    fn end_task(&self, state: &mut State, task: &str, outcome: &'static str) {
         let Some(running) = state.runs.remove(task) else { return };
         state.last_end += 1;
         let number = state.last_end;
-        state.unacknowledged_ends.push((number, task.to_owned(), running.run, how));
+        state.unacknowledged_ends.push((number, task.to_owned(), running.run, outcome));
         state.barred_runs.insert(task.to_owned(), running.run);
-        self.ledger.record_end(task, how == "done");
+        self.ledger.record_end(task, outcome == "done");
         self.end_notify.notify_waiters();
     }
 
-    /// Nobody may have heard of the ends that were not acknowledged: the worker is gone, or its lease
-    /// has run out and its tasks may run elsewhere.
+    /// Tells the ledger that schedulers may not have received the unacknowledged ends: the worker
+    /// has ended, or its lease has expired and its tasks may run elsewhere.
     fn forget_unacknowledged_ends(&self, state: &State) {
-        for (_, task, ..) in state.unacknowledged_ends.iter().filter(|(.., how)| *how == "done") {
+        for (_, task, ..) in
+            state.unacknowledged_ends.iter().filter(|(.., outcome)| *outcome == "done")
+        {
             self.ledger.forget_end(task);
         }
     }
 
     async fn handle(self: &Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let expected = request.headers().get("x-expected-instance").and_then(|id| id.to_str().ok());
-        let is_other = expected.is_some_and(|expected| expected != self.id);
+        let is_other_worker = expected.is_some_and(|expected| expected != self.id);
         let path = request.uri().path().to_owned();
         let body = read_json(request.into_body()).await;
         if self.state().fault == Fault::Disconnected {
             return std::future::pending().await;
         }
-        if is_other {
+        if is_other_worker {
             return json_response(421, &json!({}));
         }
         if path == "/api/run-start" && self.state().fault == Fault::LateStarts {
@@ -453,7 +457,7 @@
         self.execute(&path, &body).await
     }
 
-    /// Carries out an order.
+    /// Executes an order, unless an earlier one had a higher fencing token.
     async fn execute(self: &Arc<Self>, path: &str, body: &Value) -> Response<Body> {
         let token = body["fencingToken"].as_u64().unwrap_or(0);
         {
@@ -487,16 +491,18 @@
         }
     }
 
-    /// Takes a start; whether it is answered, or why it is refused. The job's text tells how a
-    /// task behaves: `ms=N` for how long it runs, none for ever; `kills=N` after how long the first task
-    /// of each step brings its worker down.
+    /// Accepts a start; returns whether it is answered, or the reason of the refusal. The job's
+    /// specification defines the behaviour of its tasks: `ms=N` is the run time, without which a
+    /// task runs until it is stopped; `kills=N` is the time after which the first task of each step
+    /// crashes its worker.
     fn accept_start(self: &Arc<Self>, body: &Value, clock: u64) -> Result<bool, &'static str> {
         let task = body["task"].as_str().unwrap_or_default().to_owned();
         let run = body["run"].as_u64().unwrap_or(0);
         let lease = body["deadlineMs"].as_u64().unwrap_or(0);
         let spec = body["spec"].as_str().unwrap_or_default();
         let mut state = self.state();
-        // It may have ended since the order came in: nothing would ever end what was started here.
+        // The worker may have ended since the order arrived; nothing would ever end a task started
+        // here.
         if state.fault == Fault::Disconnected {
             return Ok(false);
         }
@@ -517,16 +523,18 @@
         }
         let (cpu, memory) =
             (spec_number(spec, "cpu=").unwrap_or(0), spec_number(spec, "mem=").unwrap_or(0));
-        let used: u64 = state.runs.values().map(|running| running.cpu).sum();
-        let taken: u64 = state.runs.values().map(|running| running.memory_mb).sum();
-        let room = self.cpu_capacity();
-        if room.is_enforced && (used + cpu > room.cpu || taken + memory > self.memory_mb) {
+        let used_cpu: u64 = state.runs.values().map(|running| running.cpu).sum();
+        let used_memory: u64 = state.runs.values().map(|running| running.memory_mb).sum();
+        let capacity = self.cpu_capacity();
+        if capacity.is_enforced
+            && (used_cpu + cpu > capacity.cpu || used_memory + memory > self.memory_mb)
+        {
             return Err("room");
         }
-        if cpu > 0 && used + cpu > room.allowed() {
-            self.ledger.record_overcommit(&task, used + cpu, room.allowed());
+        if cpu > 0 && used_cpu + cpu > capacity.allowed() {
+            self.ledger.record_overcommit(&task, used_cpu + cpu, capacity.allowed());
         }
-        drop(room);
+        drop(capacity);
         let until =
             spec_number(spec, "ms=").map(|millis| Instant::now() + Duration::from_millis(millis));
         state.runs.insert(
@@ -540,13 +548,14 @@
         Ok(state.fault != Fault::LosesStartAnswers)
     }
 
-    /// A task brings the worker down, if it still runs by then.
+    /// Crashes the worker if the task still runs after `after`.
     async fn crash_after(self: Arc<Self>, task: String, run: u64, after: Duration) {
         sleep(after).await;
         let runs = self.state().runs.get(&task).is_some_and(|running| running.run == run);
         if runs {
             self.ledger.record_crash_by(&task);
-            // Without machines nobody is left to bring it up again.
+            // The receiver is gone only when the machines are, and with them whatever could restart
+            // the worker.
             let _ = self.crash_sender.send(self.machine.clone());
         }
     }
@@ -575,7 +584,7 @@
         let mut ended = std::pin::pin!(ended);
         ended.as_mut().enable();
         if self.state().unacknowledged_ends.is_empty() {
-            // Without an end the answer says so.
+            // If no task ends in time, the answer lists no ends.
             let _ = timeout(wait, ended).await;
         }
         let state = self.state();
@@ -587,21 +596,23 @@
         let ended: Vec<Value> = state
             .unacknowledged_ends
             .iter()
-            .map(|(number, task, run, how)| json!([number, task, run, how, ""]))
+            .map(|(number, task, run, outcome)| json!([number, task, run, outcome, ""]))
             .collect();
-        let (clock, born) = (self.clock_ms(), self.birth_ms);
+        let (clock, birth_ms) = (self.clock_ms(), self.birth_ms);
         json_response(
             200,
-            &json!({ "clockMs": clock, "born": born, "running": running, "ended": ended }),
+            &json!({ "clockMs": clock, "born": birth_ms, "running": running, "ended": ended }),
         )
     }
 }
 
-/// Carries out a start by whoever lives under the id by then.
+/// Executes a start at the incarnation that has the id by then.
 async fn execute_late_start(current: CurrentIncarnation, body: Value) {
     sleep(LATE_START_DELAY).await;
-    let life = current.lock().expect("no holder panics").upgrade();
-    if let Some(life) = life.filter(|life| life.state().fault != Fault::Disconnected) {
-        life.execute("/api/run-start", &body).await;
+    let incarnation = current.lock().expect("no thread panics while it holds the lock").upgrade();
+    if let Some(incarnation) =
+        incarnation.filter(|incarnation| incarnation.state().fault != Fault::Disconnected)
+    {
+        incarnation.execute("/api/run-start", &body).await;
     }
 }
