--- a/testutils/src/batch.rs
+++ b/testutils/src/batch.rs
@@ -1,4 +1,4 @@
-//! Samples for tests of batch work that need no process: an accepted job, a worker's entry.
+//! Sample values for in-process tests of batch work: an accepted job, a worker's entry.
 
 pub mod published;
 pub mod simulation;
@@ -24,12 +24,12 @@
 use spokelift_platform::worker::Resources;
 use tokio::net::TcpListener;
 
-/// An address at which nothing is called.
+/// An address on which nothing listens.
 pub fn unused_addr() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-/// A job of service `work` that runs these steps once, accepted a second after 1970.
+/// A job of service `work` that runs `steps` once, accepted one second after the Unix epoch.
 ///
 /// ```
 /// use spokelift_platform::job::Step;
@@ -51,7 +51,7 @@
     }
 }
 
-/// The entry of a worker of service `work` on a machine, with so much processor in thousandths of a core, and as
+/// The entry of a worker of service `work` on `machine`, with `cpu` thousandths of a core and as
 /// many megabytes of memory.
 pub fn entry(machine: &str, cpu: u32) -> Entry {
     Entry {
@@ -79,10 +79,10 @@
     }
 }
 
-/// What a store keeps of the progress topic: the newest record of each key.
+/// The compacted progress topic: the latest record of each key.
 pub type Store = BTreeMap<String, Record>;
 
-/// A store takes the changes of a scheduler, which then knows that it has.
+/// Applies the pending records of the cell to `store` and reports them to the cell as durable.
 ///
 /// ```
 /// use spokelift_lib::batch::cell::Cell;
@@ -102,16 +102,16 @@
     cell.on_flushed(&flush);
 }
 
-/// A node that answers its peers on a listener and has no tasks of its own.
+/// Starts a node that serves its peers on `listener` and runs none of its background tasks.
 pub fn node(listener: TcpListener, store: SocketAddr) -> Arc<Node> {
     let addr = listener.local_addr().expect("a listener has an address");
     let (ip, port) = (addr.ip(), addr.port());
-    let text = format!(
+    let settings_text = format!(
         "node = \"n-{addr}\"\nip = \"{ip}\"\nzone = \"hall-1\"\nportRange = [{port}, {}]\n\
          [listen]\nfront = \"{ip}:1\"\nreadiness = \"{ip}:1\"\n[platform]\naddress = \"{store}\"\n",
         u32::from(port) + 1,
     );
-    let settings = Settings::decode(&text).expect("the settings decode");
+    let settings = Settings::decode(&settings_text).expect("the settings decode");
     let options = NodeSettings::resolve(|_| None).expect("every setting has a value");
     let node = Node::new(settings, options, Counters::new(None).expect("no metrics are sent"));
     tokio::spawn(peer::serve(node.clone(), listener));
--- a/testutils/src/batch/published.rs
+++ b/testutils/src/batch/published.rs
@@ -1,10 +1,11 @@
-//! What the operator of the users' platform publishes, as bytes in the store.
+//! Encoded configurations as the platform's operator publishes them to the store.
 
 use serde_json::Value;
 use serde_json::json;
 
-/// A configuration with queues of host `h` and service `work`, each at the path of its name, which say whether they are
-/// public or do not, and with accounts unless these are null.
+/// A configuration whose queues have host `h`, service `work` and a path prefix of their name;
+/// `public` is set where the second element is not `None`. Accounts are left out if `accounts` is
+/// null.
 ///
 /// ```
 /// use serde_json::Value;
@@ -30,7 +31,7 @@
     config.to_string().into_bytes()
 }
 
-/// An account with keys and a bound of processor, in thousandths of a core.
+/// An account with API keys and a quota of `cpu` thousandths of a core.
 pub fn account(name: &str, keys: &[&str], cpu: u64) -> Value {
     json!({ "name": name, "apiKeys": keys, "weight": 3, "maximum": { "cpu": cpu, "memMb": 0 } })
 }
--- a/testutils/src/batch/simulation.rs
+++ b/testutils/src/batch/simulation.rs
@@ -1,6 +1,7 @@
-//! A service under load, some of whose jobs bring down the workers that start them, played in steps of 10 ms
-//! without a network: 12 workers of 32 cores; jobs of two steps of six tasks, 0.64 s on 2.3 cores each; a worker
-//! that crashed is back under another id after 2 s. What is judged is what callers of the other jobs get.
+//! Simulates a service under load without a network, in steps of 10 ms. Some jobs have a poison
+//! task, which crashes the workers that start it. There are 12 workers of 32 cores; a job has two
+//! steps of six tasks, each 0.64 s on 2.3 cores; a crashed worker is back under another id after 2
+//! s. The results count how the other jobs fared.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -36,57 +37,57 @@
 use crate::batch::unused_addr;
 
 const WORKERS: usize = 12;
-/// Ids of jobs that last begin here.
+/// First id of the long-running jobs.
 const FIRST_LONG_RUNNING_ID: JobId = 1_000_000;
-/// Length of a step of the play, in milliseconds.
+/// Length of a simulation step, in milliseconds.
 const STEP_MS: u64 = 10;
-/// How long a task runs.
+/// Run time of a task, in milliseconds.
 const RUN_MS: u64 = 640;
-/// How long after a crash the next life on the box has answered.
+/// Time from a crash until the next incarnation on the box has answered, in milliseconds.
 const RESTART_MS: u64 = 2_150;
-/// Time between two looks at a worker of which nothing is heard.
+/// Time between two polls of a worker without completed tasks, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 1_200;
-/// By when a job should be done after it was handed in: 600 ms and 1.6 times its longest chain.
+/// Time within which a job should complete: 600 ms and 1.6 times its critical path.
 const OBJECTIVE_MS: u64 = 600 + 2 * RUN_MS * 16 / 10;
 
-/// What is played.
+/// The simulated load.
 #[derive(Clone, Copy)]
 pub struct Load {
-    /// Jobs that are handed in a second.
+    /// Jobs submitted per second.
     pub jobs_per_s: f64,
-    /// Share of the jobs with a task that brings down its workers.
+    /// Fraction of jobs that have a poison task.
     pub poison_fraction: f64,
-    /// Share of all workers that crash each 3 s whatever they run.
+    /// Fraction of all workers that crash every 3 s, whatever they run.
     pub crash_fraction: f64,
 }
 
-/// What came of it.
+/// Results of one or more simulations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcomes {
-    /// Jobs without a poison task that end by themselves.
+    /// Finite jobs without a poison task.
     pub normal: u32,
-    /// Those that were done in time.
+    /// Of these, those that completed in time.
     pub in_time: u32,
-    /// Those that were done.
+    /// Of these, those that completed.
     pub done: u32,
-    /// Those that were given up.
+    /// Of these, those that were abandoned.
     pub abandoned: u32,
-    /// Jobs that last, none of which has a poison task.
+    /// Long-running jobs, none of which has a poison task.
     pub long_running: u32,
-    /// Those that were given up.
+    /// Of these, those that were abandoned.
     pub long_running_abandoned: u32,
     /// Jobs with a poison task.
     pub poison: u32,
-    /// Those that were not given up.
+    /// Of these, those that were not abandoned.
     pub poison_not_abandoned: u32,
-    /// Workers that poison tasks brought down.
+    /// Workers that poison tasks crashed.
     pub crashes: u32,
-    /// Most starts of one poison task.
+    /// Highest number of starts of one poison task.
     pub max_starts: u32,
 }
 
 impl Outcomes {
-    /// Adds what came of another play.
+    /// Adds the results of another simulation.
     pub fn add(&mut self, other: &Outcomes) {
         self.normal += other.normal;
         self.in_time += other.in_time;
@@ -105,7 +106,7 @@
     machine: usize,
     polled_ms: u64,
     last_end: u64,
-    /// When each run is over.
+    /// Each run with the time at which it completes, in milliseconds.
     runs: BTreeMap<TaskName, (Run, u64)>,
 }
 
@@ -114,10 +115,10 @@
     started_at: Instant,
     elapsed_ms: u64,
     incarnations: BTreeMap<String, Incarnation>,
-    /// Boxes whose worker is gone, and when the next one answers.
+    /// Boxes without a worker, with the time at which the next one answers, in milliseconds.
     restarts: Vec<(u64, usize)>,
     incarnation_count: u32,
-    /// The poison task of each such job, and its starts.
+    /// The poison task of each job that has one, and how often it was started.
     poison_tasks: BTreeMap<JobId, (TaskName, u32)>,
     submitted_ms: BTreeMap<JobId, u64>,
     done_ms: BTreeMap<JobId, u64>,
@@ -127,7 +128,7 @@
 
 impl Simulation {
     fn new() -> Simulation {
-        let mut play = Simulation {
+        let mut simulation = Simulation {
             cell: Cell::new(10),
             started_at: clock::now(),
             elapsed_ms: 0,
@@ -140,8 +141,8 @@
             long_running: Vec::new(),
             crashes: 0,
         };
-        (0..WORKERS).for_each(|machine| play.start_worker(machine));
-        play
+        (0..WORKERS).for_each(|machine| simulation.start_worker(machine));
+        simulation
     }
 
     fn now(&self) -> Instant {
@@ -167,51 +168,51 @@
             entry,
             self.now(),
         );
-        let life =
+        let incarnation =
             Incarnation { machine, polled_ms: self.elapsed_ms, last_end: 0, runs: BTreeMap::new() };
-        self.incarnations.insert(id.clone(), life);
+        self.incarnations.insert(id.clone(), incarnation);
         self.poll(&id);
     }
 
-    /// A worker answers a look: what is over has ended.
+    /// Answers a poll of the worker: runs that have completed are reported as ended.
     fn poll(&mut self, id: &str) {
         let (ms, now) = (self.elapsed_ms, self.now());
-        let Some(life) = self.incarnations.get_mut(id) else { return };
-        life.polled_ms = ms;
-        let over: Vec<(TaskName, Run)> = life
+        let Some(incarnation) = self.incarnations.get_mut(id) else { return };
+        incarnation.polled_ms = ms;
+        let completed: Vec<(TaskName, Run)> = incarnation
             .runs
             .iter()
             .filter(|(_, (_, until))| *until <= ms)
             .map(|(task, (run, _))| (*task, *run))
             .collect();
         let mut ended = Vec::new();
-        for (task, run) in over {
-            life.runs.remove(&task);
-            life.last_end += 1;
-            let (number, checkpoint) = (life.last_end, String::new());
+        for (task, run) in completed {
+            incarnation.runs.remove(&task);
+            incarnation.last_end += 1;
+            let (number, checkpoint) = (incarnation.last_end, String::new());
             ended.push(End { number, task, run, outcome: Outcome::Done, checkpoint });
         }
-        let running = life.runs.iter().map(|(task, (run, _))| Running {
+        let running = incarnation.runs.iter().map(|(task, (run, _))| Running {
             task: *task,
             run: *run,
             checkpoint: String::new(),
             percent: 50,
             figure: 0,
         });
-        let seen =
+        let response =
             PollResponse { clock: 1_000 + ms, running: running.collect(), ended, birth_ms: None };
-        self.cell.on_poll(&id.into(), now - Duration::from_millis(2), now, seen);
+        self.cell.on_poll(&id.into(), now - Duration::from_millis(2), now, response);
     }
 
     fn crash(&mut self, id: &str) {
-        let Some(life) = self.incarnations.remove(id) else { return };
+        let Some(incarnation) = self.incarnations.remove(id) else { return };
         self.cell.on_failed_poll(&id.into());
         let now = self.now();
-        // A look is under way at every worker, so the connection breaks as it crashes.
+        // A poll is in flight at every worker, so the connection breaks as it crashes.
         if let Some(mut worker) = self.cell.workers.get_mut(&id.into()) {
             worker.first_failed_at = Some(now);
         }
-        self.restarts.push((self.elapsed_ms + RESTART_MS, life.machine));
+        self.restarts.push((self.elapsed_ms + RESTART_MS, incarnation.machine));
     }
 
     fn submit(&mut self, id: JobId, poison: Option<TaskName>) {
@@ -242,19 +243,20 @@
         self.cell.admit(id, accepted, None);
     }
 
-    /// Orders go out; returns the workers that poison tasks were started on.
+    /// Places tasks and executes the cell's orders; returns the workers on which a poison task was
+    /// started.
     fn execute_orders(&mut self) -> Vec<String> {
         self.cell.place_ready(self.now(), Duration::from_millis(self.elapsed_ms));
-        let mut doomed = Vec::new();
+        let mut crashing = Vec::new();
         for order in std::mem::take(&mut self.cell.outbox) {
             match order {
                 Order::Start { peer, task, run, .. } => {
-                    let Some(life) = self.incarnations.get_mut(&peer.incarnation.id) else {
+                    let Some(incarnation) = self.incarnations.get_mut(&peer.incarnation.id) else {
                         continue;
                     };
-                    let lasts = self.long_running.contains(&task.job);
-                    let until = if lasts { u64::MAX } else { self.elapsed_ms + RUN_MS };
-                    life.runs.insert(task, (run, until));
+                    let is_long_running = self.long_running.contains(&task.job);
+                    let until = if is_long_running { u64::MAX } else { self.elapsed_ms + RUN_MS };
+                    incarnation.runs.insert(task, (run, until));
                     self.cell.on_started(
                         &peer.incarnation,
                         task,
@@ -265,24 +267,24 @@
                         && *poison == task
                     {
                         *starts += 1;
-                        doomed.push(peer.incarnation.to_string());
+                        crashing.push(peer.incarnation.to_string());
                     }
                 }
                 Order::Stop { peer, task, run } => {
-                    if let Some(life) = self.incarnations.get_mut(&peer.incarnation.id) {
-                        life.runs.remove(&task);
+                    if let Some(incarnation) = self.incarnations.get_mut(&peer.incarnation.id) {
+                        incarnation.runs.remove(&task);
                     }
                     self.cell.on_stopped(&peer.incarnation, task, run, self.now());
                 }
                 Order::Grant { .. } | Order::Pace { .. } | Order::Watch { .. } => {}
             }
         }
-        doomed
+        crashing
     }
 
-    fn step(&mut self, doomed: Vec<String>) -> Vec<String> {
+    fn step(&mut self, crashing: Vec<String>) -> Vec<String> {
         self.elapsed_ms += STEP_MS;
-        for id in doomed {
+        for id in crashing {
             self.crashes += u32::from(self.incarnations.contains_key(&id));
             self.crash(&id);
         }
@@ -291,26 +293,26 @@
         self.restarts = later;
         now.into_iter().for_each(|(_, machine)| self.start_worker(machine));
         let ms = self.elapsed_ms;
-        let due = self.incarnations.iter().filter(|(_, life)| {
-            ms - life.polled_ms >= POLL_INTERVAL_MS
-                || life.runs.values().any(|(_, until)| *until <= ms)
+        let due = self.incarnations.iter().filter(|(_, incarnation)| {
+            ms - incarnation.polled_ms >= POLL_INTERVAL_MS
+                || incarnation.runs.values().any(|(_, until)| *until <= ms)
         });
         let due: Vec<String> = due.map(|(id, _)| id.clone()).collect();
         due.iter().for_each(|id| self.poll(id));
         let flush = self.cell.take_flush();
         self.cell.on_flushed(&flush);
-        let doomed = self.execute_orders();
+        let crashing = self.execute_orders();
         for (id, entry) in &self.cell.jobs {
             if entry.end == Some(JobState::Succeeded) {
                 self.done_ms.entry(*id).or_insert(ms);
             }
         }
-        doomed
+        crashing
     }
 
     fn outcomes(&self) -> Outcomes {
         let mut outcomes = Outcomes { crashes: self.crashes, ..Outcomes::default() };
-        for (id, handed_in) in &self.submitted_ms {
+        for (id, submitted) in &self.submitted_ms {
             if let Some((_, starts)) = self.poison_tasks.get(id) {
                 outcomes.poison += 1;
                 outcomes.max_starts = outcomes.max_starts.max(*starts);
@@ -321,12 +323,12 @@
             outcomes.abandoned += u32::from(self.is_abandoned(*id));
             if let Some(done) = self.done_ms.get(id) {
                 outcomes.done += 1;
-                outcomes.in_time += u32::from(done - handed_in <= OBJECTIVE_MS);
+                outcomes.in_time += u32::from(done - submitted <= OBJECTIVE_MS);
             }
         }
         outcomes.long_running = self.long_running.len() as u32;
-        let given_up = self.long_running.iter().filter(|id| self.is_abandoned(**id));
-        outcomes.long_running_abandoned = given_up.count() as u32;
+        let abandoned = self.long_running.iter().filter(|id| self.is_abandoned(**id));
+        outcomes.long_running_abandoned = abandoned.count() as u32;
         outcomes
     }
 
@@ -335,48 +337,50 @@
     }
 }
 
-/// Plays a load for 10 s, and lets it run out for 20 s.
+/// Simulates 10 s of arrivals and 20 s in which the remaining work completes.
 ///
 /// ```
 /// use spokelift_testutils::batch::simulation::Load;
-/// use spokelift_testutils::batch::simulation::play;
-/// let outcomes = play(Load { jobs_per_s: 2.0, poison: 0.0, crashing: 0.0 }, 1);
+/// use spokelift_testutils::batch::simulation::simulate;
+/// let load = Load { jobs_per_s: 2.0, poison_fraction: 0.0, crash_fraction: 0.0 };
+/// let outcomes = simulate(load, 1);
 /// assert_eq!(outcomes.done, outcomes.normal);
 /// ```
 pub fn simulate(load: Load, seed: u64) -> Outcomes {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut play = Simulation::new();
-    run_load(&mut play, load, &mut rng)
+    let mut simulation = Simulation::new();
+    run_load(&mut simulation, load, &mut rng)
 }
 
-/// The same beside so many jobs that last.
-pub fn simulate_with_long_running(load: Load, lasting: u64, seed: u64) -> Outcomes {
+/// Like [`simulate`], with `long_running` long-running jobs submitted first.
+pub fn simulate_with_long_running(load: Load, long_running: u64, seed: u64) -> Outcomes {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut play = Simulation::new();
-    (0..lasting).for_each(|job| play.submit_long_running(FIRST_LONG_RUNNING_ID + job));
-    run_load(&mut play, load, &mut rng)
+    let mut simulation = Simulation::new();
+    (0..long_running).for_each(|job| simulation.submit_long_running(FIRST_LONG_RUNNING_ID + job));
+    run_load(&mut simulation, load, &mut rng)
 }
 
 fn account_name(account: usize) -> String {
     format!("account-{account}")
 }
 
-/// What an account got.
+/// Results of one account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Served {
-    /// Jobs that it handed in.
+    /// Jobs that it submitted.
     pub jobs: u32,
-    /// Those that were done in time.
+    /// Of these, those that completed in time.
     pub in_time: u32,
 }
 
-/// Plays accounts of one weight that hand in so many jobs a second each, for 10 s, and lets that run out for 10 s; what
-/// each of them got. The arrivals of an account do not depend on the others. The workers bear about 21 jobs a second.
+/// Simulates accounts of equal weight that submit the given numbers of jobs per second for 10 s,
+/// and 10 s more in which the remaining work completes; returns the results of each. The arrivals
+/// of an account do not depend on the others. The workers can run about 21 jobs per second.
 pub fn simulate_accounts(jobs_per_s: &[f64], seed: u64) -> Vec<Served> {
     simulate_owned(jobs_per_s, seed, |account| Some(account_name(account).into()))
 }
 
-/// The same where the jobs of the last account are nobody's.
+/// Like [`simulate_accounts`], but the jobs of the last entry belong to no account.
 pub fn simulate_with_unowned(jobs_per_s: &[f64], seed: u64) -> Vec<Served> {
     let last = jobs_per_s.len() - 1;
     simulate_owned(jobs_per_s, seed, |account| {
@@ -389,58 +393,58 @@
     seed: u64,
     owner: impl Fn(usize) -> Option<AccountId>,
 ) -> Vec<Served> {
-    let mut play = Simulation::new();
+    let mut simulation = Simulation::new();
     let accounts =
         (0..jobs_per_s.len()).map(|account| json!({ "name": account_name(account), "weight": 10 }));
     let accounts: Vec<Value> = accounts.collect();
     let config = Config::decode(&published_config(1, &[], accounts.into()))
         .expect("the configuration is sound");
-    play.cell.set_quotas(&Arc::new(config));
+    simulation.cell.set_quotas(&Arc::new(config));
     let seeds = (0..jobs_per_s.len() as u64).map(|account| seed * 1_000 + account);
     let mut rngs: Vec<StdRng> = seeds.map(StdRng::seed_from_u64).collect();
     let (mut owners, mut job) = (BTreeMap::new(), 0);
-    while play.elapsed_ms < 20_000 {
-        let arrives = play.elapsed_ms < 10_000;
+    while simulation.elapsed_ms < 20_000 {
+        let arrives = simulation.elapsed_ms < 10_000;
         for (account, rng) in rngs.iter_mut().enumerate() {
             if arrives && rng.random::<f64>() < jobs_per_s[account] * STEP_MS as f64 / 1_000.0 {
                 job += 1;
                 owners.insert(job, account);
-                play.submit_for(job, owner(account));
+                simulation.submit_for(job, owner(account));
             }
         }
-        play.step(Vec::new());
+        simulation.step(Vec::new());
     }
     let mut served = vec![Served::default(); jobs_per_s.len()];
     for (job, account) in owners {
-        let (done, handed_in) = (play.done_ms.get(&job), play.submitted_ms[&job]);
+        let (done, submitted) = (simulation.done_ms.get(&job), simulation.submitted_ms[&job]);
         served[account].jobs += 1;
         served[account].in_time +=
-            u32::from(done.is_some_and(|done| done - handed_in <= OBJECTIVE_MS));
+            u32::from(done.is_some_and(|done| done - submitted <= OBJECTIVE_MS));
     }
     served
 }
 
-fn run_load(play: &mut Simulation, load: Load, rng: &mut StdRng) -> Outcomes {
-    let (mut doomed, mut job) = (Vec::new(), 0);
-    while play.elapsed_ms < 30_000 {
-        let arrives = play.elapsed_ms < 10_000
+fn run_load(simulation: &mut Simulation, load: Load, rng: &mut StdRng) -> Outcomes {
+    let (mut crashing, mut job) = (Vec::new(), 0);
+    while simulation.elapsed_ms < 30_000 {
+        let arrives = simulation.elapsed_ms < 10_000
             && rng.random::<f64>() < load.jobs_per_s * STEP_MS as f64 / 1_000.0;
         if arrives {
             job += 1;
             let step = rng.random_range(0..2);
             let poison = TaskName { job, repetition: 0, step, index: 0 };
-            play.submit(job, (rng.random::<f64>() < load.poison_fraction).then_some(poison));
+            simulation.submit(job, (rng.random::<f64>() < load.poison_fraction).then_some(poison));
         }
-        if play.elapsed_ms < 21_000 && play.elapsed_ms % 3_000 == 2_000 {
-            let hit: Vec<String> = play
+        if simulation.elapsed_ms < 21_000 && simulation.elapsed_ms % 3_000 == 2_000 {
+            let crashed: Vec<String> = simulation
                 .incarnations
                 .keys()
                 .filter(|_| rng.random::<f64>() < load.crash_fraction)
                 .cloned()
                 .collect();
-            hit.iter().for_each(|id| play.crash(id));
+            crashed.iter().for_each(|id| simulation.crash(id));
         }
-        doomed = play.step(doomed);
+        crashing = simulation.step(crashing);
     }
-    play.outcomes()
+    simulation.outcomes()
 }
--- a/testutils/src/boxes.rs
+++ b/testutils/src/boxes.rs
@@ -17,10 +17,10 @@
 use crate::log::json_response;
 use crate::log::query_number;
 
-/// A running box list. Clones are the same list.
+/// A running box list. Clones share the same list.
 #[derive(Clone)]
 pub struct Boxes {
-    /// Where it serves.
+    /// The address on which it serves.
     pub addr: SocketAddr,
     inner: Arc<Mutex<State>>,
     stop: Arc<watch::Sender<bool>>,
@@ -28,12 +28,12 @@
 
 struct State {
     version: u64,
-    /// Each box with the version at which it last changed.
+    /// Each box with the list version at which it last changed.
     boxes: Vec<(u64, ListedBox)>,
 }
 
 impl State {
-    /// Boxes that changed after a version.
+    /// Boxes that changed after `version`; the whole list for version 0.
     fn changed_since(&self, version: u64) -> List {
         let changed = self.boxes.iter().filter(|(at, _)| *at > version);
         let boxes = changed.map(|(_, listed)| listed.clone());
@@ -47,7 +47,7 @@
 }
 
 impl Boxes {
-    /// Starts a list on a port chosen by the system.
+    /// Starts a list on a port that the system chooses.
     pub async fn start(boxes: Vec<ListedBox>) -> std::io::Result<Boxes> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
@@ -55,19 +55,19 @@
             version: 1,
             boxes: boxes.into_iter().map(|listed| (1, listed)).collect(),
         }));
-        let (stop, stopped) = watch::channel(false);
-        let shared = inner.clone();
+        let (stop, stop_rx) = watch::channel(false);
+        let state = inner.clone();
         let handler = move |request: Request<Incoming>| {
-            let shared = shared.clone();
-            async move { answer(&shared, &request) }
+            let state = state.clone();
+            async move { answer(&state, &request) }
         };
-        tokio::spawn(serve(listener, stopped, handler));
+        tokio::spawn(serve(listener, stop_rx, handler));
         Ok(Boxes { addr, inner, stop: Arc::new(stop) })
     }
 
-    /// Marks a box as leaving, or not.
+    /// Sets whether a box is listed as leaving.
     pub fn set_leaving(&self, name: &str, leaving: bool) {
-        let mut state = self.inner.lock().expect("no holder panics");
+        let mut state = self.inner.lock().expect("no thread panics while it holds the lock");
         state.version += 1;
         let version = state.version;
         for (at, listed) in &mut state.boxes {
@@ -85,6 +85,6 @@
 }
 
 fn answer(inner: &Mutex<State>, request: &Request<Incoming>) -> Response<Body> {
-    let state = inner.lock().expect("no holder panics");
+    let state = inner.lock().expect("no thread panics while it holds the lock");
     json_response(&state.changed_since(query_number(request, "after").unwrap_or(0)))
 }
--- a/testutils/src/caller.rs
+++ b/testutils/src/caller.rs
@@ -1,4 +1,4 @@
-//! Stand-in for callers behind the platform's balancer.
+//! Stand-ins for callers and for the platform's load balancer.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -26,23 +26,23 @@
 
 /// How long a caller waits for its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
-/// Largest answer a caller takes, in bytes.
+/// Largest answer that a caller accepts, in bytes.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
-/// How long the balancer waits for a health check.
+/// How long the balancer waits for the answer to a health check.
 const HEALTH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// One request of a caller.
+/// A request of a caller.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its id in the ledger.
+    /// Identifies the request in the ledger and in its answer.
     pub token: Token,
-    /// `account:secret`.
+    /// The credential, as `account:secret`.
     pub credential: String,
-    /// The service asked for.
+    /// The requested service.
     pub service: String,
-    /// Whether running it twice does no harm.
+    /// Whether it may be run more than once.
     pub repeatable: bool,
-    /// How long it runs, in milliseconds.
+    /// How long the worker takes to run it, in milliseconds.
     pub run_ms: u64,
     /// Its body.
     pub body: Bytes,
@@ -60,31 +60,31 @@
     }
 }
 
-/// Sends a request to an entry box and returns what the caller was told, and what it saw last where
-/// that is no outcome.
+/// Sends a request to a daemon; returns its outcome, and what the caller observed where there was
+/// no valid outcome.
 pub async fn call(dialer: &Dialer, entry: SocketAddr, call: &Call) -> (Outcome, Option<String>) {
     let answer = dialer.exchange(entry, call.request(), MAX_ANSWER_BYTES, ANSWER_TIMEOUT).await;
     match answer {
         Ok(answer) => {
-            let told = read_outcome(call, &answer);
-            let seen =
-                (told == Outcome::Nothing).then(|| format!("saw status {}", answer.status()));
-            (told, seen)
+            let outcome = read_outcome(call, &answer);
+            let observed =
+                (outcome == Outcome::Nothing).then(|| format!("saw status {}", answer.status()));
+            (outcome, observed)
         }
-        // Nobody has heard of the request; a balancer would say so, too.
+        // No daemon received the request, which a balancer would report as well.
         Err(ExchangeError::NotSent(_)) => (Outcome::NotRun, None),
         Err(error) => (Outcome::Nothing, Some(format!("saw {error:?}"))),
     }
 }
 
 fn read_outcome(call: &Call, answer: &Response<Bytes>) -> Outcome {
-    let outcome = answer.headers().get(OUTCOME).map(|value| value.as_bytes());
-    match outcome {
+    let header = answer.headers().get(OUTCOME).map(|value| value.as_bytes());
+    match header {
         Some(b"not-run") => Outcome::NotRun,
         Some(b"unknown") => Outcome::Unknown,
         Some(b"answered") => {
-            let own = format!("{} ran {} bytes", call.token, call.body.len());
-            if answer.body().as_ref() == own.as_bytes() {
+            let expected = format!("{} ran {} bytes", call.token, call.body.len());
+            if answer.body().as_ref() == expected.as_bytes() {
                 Outcome::Answered
             } else {
                 Outcome::Crossed
@@ -94,7 +94,7 @@
     }
 }
 
-/// Sends a request and writes both sides of it into the ledger.
+/// Sends a request and records its sending and its outcome in the ledger.
 pub async fn call_and_record(
     ledger: &Ledger,
     dialer: &Dialer,
@@ -102,15 +102,15 @@
     request: &Call,
 ) -> Outcome {
     ledger.record_sent(request.token, request.repeatable);
-    let (told, seen) = call(dialer, entry, request).await;
-    if let Some(seen) = seen {
-        ledger.add_note(request.token, seen);
+    let (outcome, observed) = call(dialer, entry, request).await;
+    if let Some(observed) = observed {
+        ledger.add_note(request.token, observed);
     }
-    ledger.record_outcome(request.token, told);
-    told
+    ledger.record_outcome(request.token, outcome);
+    outcome
 }
 
-/// Stand-in for the balancer: knows which entry boxes are healthy.
+/// Stand-in for the load balancer, which health-checks the daemons.
 pub struct Balancer {
     entries: Vec<SocketAddr>,
     healthy: Mutex<Vec<bool>>,
@@ -118,43 +118,47 @@
 }
 
 impl Balancer {
-    /// A balancer over these entry boxes, none of them known to be healthy.
+    /// A balancer for daemons at these addresses, all of them unhealthy until the first check.
     pub fn new(entries: Vec<SocketAddr>) -> Balancer {
         let healthy = Mutex::new(vec![false; entries.len()]);
         Balancer { entries, healthy, dialer: Dialer::new(HEALTH_TIMEOUT) }
     }
 
-    /// A healthy entry box, chosen at random.
+    /// The index of a healthy daemon chosen at random; `None` if there is none.
     pub fn pick(&self) -> Option<usize> {
-        let healthy = self.healthy.lock().expect("no holder panics");
-        let fit: Vec<usize> = (0..healthy.len()).filter(|index| healthy[*index]).collect();
-        if fit.is_empty() {
+        let healthy = self.healthy.lock().expect("no thread panics while it holds the lock");
+        let candidates: Vec<usize> = (0..healthy.len()).filter(|index| healthy[*index]).collect();
+        if candidates.is_empty() {
             return None;
         }
-        Some(fit[rand::rng().random_range(0..fit.len())])
+        Some(candidates[rand::rng().random_range(0..candidates.len())])
     }
 
-    /// The address of an entry box.
+    /// The address of a daemon.
     pub fn addr(&self, index: usize) -> SocketAddr {
         self.entries[index]
     }
 
-    /// Whether all entry boxes are healthy.
+    /// Whether all daemons are healthy.
     pub fn are_all_healthy(&self) -> bool {
-        self.healthy.lock().expect("no holder panics").iter().all(|healthy| *healthy)
+        self.healthy
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .iter()
+            .all(|healthy| *healthy)
     }
 
-    /// Checks every entry box once.
+    /// Checks the health of every daemon once.
     pub async fn check(&self) {
         for (index, addr) in self.entries.iter().enumerate() {
             let request = Request::get(HEALTH).body(full("")).expect("a constant path is valid");
             let answer = self.dialer.exchange(*addr, request, 1024, HEALTH_TIMEOUT).await;
             let ok = answer.is_ok_and(|answer| answer.status().is_success());
-            self.healthy.lock().expect("no holder panics")[index] = ok;
+            self.healthy.lock().expect("no thread panics while it holds the lock")[index] = ok;
         }
     }
 
-    /// Checks every entry box again and again.
+    /// Checks the health of every daemon repeatedly, with pauses of `every`.
     pub async fn keep_checking(&self, every: Duration) {
         loop {
             self.check().await;
--- a/testutils/src/daemon.rs
+++ b/testutils/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Daemons that run inside the test's own process, each on a runtime of its own.
+//! Daemons that run in the test's process, each on its own runtime.
 
 use std::io;
 use std::thread::JoinHandle;
@@ -12,9 +12,9 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-/// A daemon on its own runtime. Dropped, it ends like one that is killed.
+/// A daemon on its own runtime. Dropping it ends it like a kill.
 pub struct Daemon {
-    /// Where it listens.
+    /// The addresses on which it listens.
     pub addrs: Addrs,
     runtime: Option<Runtime>,
     stop: watch::Sender<bool>,
@@ -22,32 +22,33 @@
 }
 
 impl Daemon {
-    /// Starts a daemon. Must not be called on a runtime's own thread.
+    /// Starts a daemon. Must not be called from within a runtime.
     pub fn start(settings: Settings) -> io::Result<Daemon> {
         let name = format!("entry-{}", settings.id);
         let runtime =
             Builder::new_multi_thread().worker_threads(1).thread_name(name).enable_all().build()?;
         let sockets = runtime.block_on(Sockets::bind(&settings)).map_err(io::Error::other)?;
         let addrs = sockets.addrs()?;
-        let (stop, stopping) = watch::channel(false);
-        let (done, stopped) = oneshot::channel();
+        let (stop, stop_rx) = watch::channel(false);
+        let (stopped_tx, stopped) = oneshot::channel();
         runtime.spawn(async move {
-            let ended = daemon::run(settings, sockets, stopping).await;
-            if ended.is_ok() {
-                let _ = done.send(());
+            let result = daemon::run(settings, sockets, stop_rx).await;
+            if result.is_ok() {
+                let _ = stopped_tx.send(());
             }
         });
         Ok(Daemon { addrs, runtime: Some(runtime), stop, stopped: Some(stopped) })
     }
 
-    /// Ends the daemon at once: its tasks stop where they are and its sockets close.
+    /// Ends the daemon at once: its tasks stop where they are and its sockets close. The thread
+    /// ends when all of its tasks have ended.
     pub fn kill(mut self) -> JoinHandle<()> {
         let runtime = self.runtime.take().expect("only kill and stop take the runtime");
-        // A runtime waits for its threads when dropped, which must not be done on another one.
+        // Dropping a runtime blocks on its threads, which is not allowed within another runtime.
         std::thread::spawn(move || drop(runtime))
     }
 
-    /// Tells the daemon to stop and waits until it has.
+    /// Requests a graceful stop and waits for it.
     pub async fn stop(mut self) {
         let _ = self.stop.send(true);
         if let Some(stopped) = self.stopped.take() {
--- a/testutils/src/fixture.rs
+++ b/testutils/src/fixture.rs
@@ -34,17 +34,17 @@
 use crate::site::caller_secret;
 use crate::worker::Worker;
 
-/// Longest that a test waits for something to come about.
+/// How long a test waits for a condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause between two looks.
+/// Pause between two checks of an awaited condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(30);
-/// Time a worker's reboot takes.
+/// How long a worker's reboot takes.
 const REBOOT_TIME: Duration = Duration::from_millis(300);
-/// How long a daemon may take to answer an operator.
+/// How long a daemon may take to answer an operator's request.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
-/// The site operator's secret.
+/// The secret of the site's operator.
 pub const SITE_SECRET: &str = "fixture-site-secret";
-/// The site operator's credential.
+/// The credential of the site's operator.
 pub const SITE_KEY: &str = "site:fixture-site-secret";
 
 /// A site of twelve boxes: two accounts with a pool and a service each.
@@ -72,21 +72,21 @@
 
 /// The site, its stand-ins and its daemons.
 pub struct Fixture {
-    /// What the site is like.
+    /// The description of the site.
     pub site: Site,
-    /// What workers and callers saw.
+    /// What workers and callers observed.
     pub ledger: Ledger,
-    /// The log itself.
+    /// The stand-in for the log.
     pub log: Log,
-    /// The box list itself.
+    /// The stand-in for the box list.
     pub boxes: Boxes,
     /// The workers.
     pub workers: Vec<Worker>,
-    /// Between the daemons and the box list.
+    /// The proxy between the daemons and the box list.
     pub boxes_link: Proxy,
-    /// Between each daemon and the log.
+    /// The proxies between each daemon and the log.
     pub log_links: Vec<Proxy>,
-    /// Between the daemons: `peer_links[from][to]`, none from a daemon to itself.
+    /// The links between the daemons: `peer_links[from][to]`, `None` from a daemon to itself.
     pub peer_links: Vec<Vec<Option<Link>>>,
     daemons: Vec<Option<Process>>,
     program: String,
@@ -95,7 +95,8 @@
 }
 
 impl Fixture {
-    /// Starts `daemons` daemons of the program, with further flags, on the small site.
+    /// Starts the small site with `daemons` daemons of the program, which get `flags` in addition,
+    /// and waits until all serve.
     pub async fn start(
         program: &str,
         daemons: usize,
@@ -137,7 +138,7 @@
         Ok(fixture)
     }
 
-    /// Starts a daemon, empty, in its place.
+    /// Starts a daemon with an empty state under an index, in place of the one before.
     pub fn start_daemon(&mut self, id: usize) -> io::Result<()> {
         let links = self.peer_links[id].iter().enumerate();
         let peers = links.filter_map(|(to, link)| Some(format!("{to}={}", link.as_ref()?.addr())));
@@ -165,7 +166,7 @@
         Ok(())
     }
 
-    /// A daemon's process.
+    /// The process of a daemon.
     pub fn daemon(&mut self, id: usize) -> &mut Process {
         self.daemons[id].as_mut().expect("the test started this daemon")
     }
@@ -176,28 +177,32 @@
         daemon.signal(signal)
     }
 
-    /// Where a daemon listens.
+    /// The addresses on which a daemon listens.
     pub fn addrs(&self, id: usize) -> spokelift_lib::daemon::Addrs {
         self.daemons[id].as_ref().expect("the test started this daemon").addrs
     }
 
-    /// Ends a daemon at once.
+    /// Kills a daemon.
     pub fn kill_daemon(&mut self, id: usize) {
         self.daemons[id] = None;
     }
 
-    /// Waits until `holds` returns true. Panics if it does not in time.
+    /// Waits until `holds` returns true.
+    ///
+    /// # Panics
+    ///
+    /// If it does not within [`WAIT_TIMEOUT`].
     pub async fn wait_until(&self, what: &str, mut holds: impl AsyncFnMut() -> bool) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         while !holds().await {
-            if begun.elapsed() > WAIT_TIMEOUT {
-                panic!("waited in vain until {what}\n{}", self.describe_daemons().await);
+            if started_at.elapsed() > WAIT_TIMEOUT {
+                panic!("timed out waiting until {what}\n{}", self.describe_daemons().await);
             }
             sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// What the daemons that answer say of themselves, for whoever reads a failed test.
+    /// The status and the counters of all running daemons, for the message of a failed test.
     async fn describe_daemons(&self) -> String {
         let mut report = String::new();
         for id in (0..self.daemons.len()).filter(|id| self.daemons[*id].is_some()) {
@@ -208,7 +213,7 @@
         report
     }
 
-    /// Waits until every daemon that runs serves and hears all others that run.
+    /// Waits until every running daemon serves and has contact with all other running ones.
     pub async fn wait_until_serving(&self) {
         let running: Vec<usize> =
             (0..self.daemons.len()).filter(|id| self.daemons[*id].is_some()).collect();
@@ -225,7 +230,7 @@
         .await;
     }
 
-    /// An operator's request with the site's credential: status and JSON.
+    /// Sends a request with the site operator's credential; returns the status and the JSON body.
     pub async fn call_operator_api(
         &self,
         id: usize,
@@ -236,7 +241,8 @@
         self.call_operator_api_as(SITE_KEY, id, method, path, body).await
     }
 
-    /// An operator's request with a credential; status 0 if there was no answer.
+    /// Sends an operator's request with a credential; returns the status and the JSON body, or 0
+    /// and null if there was no answer.
     pub async fn call_operator_api_as(
         &self,
         key: &str,
@@ -278,14 +284,14 @@
         }
     }
 
-    /// States an intent; returns the plan's id.
+    /// Sends an intent; returns the id of its plan.
     pub async fn propose(&self, id: usize, intent: &str) -> String {
         let (status, plan) = self.call_operator_api(id, "POST", "/v1/intents", intent).await;
         assert_eq!(status, 200, "{plan}");
         plan["id"].as_str().expect("a plan has an id").to_owned()
     }
 
-    /// States an intent and confirms its plan; returns the plan's id.
+    /// Sends an intent and confirms its plan; returns the plan's id.
     pub async fn propose_and_confirm(&self, id: usize, intent: &str) -> String {
         let plan = self.propose(id, intent).await;
         let path = format!("/v1/plans/{plan}/confirm");
@@ -294,27 +300,27 @@
         plan
     }
 
-    /// A plan as a daemon sees it.
+    /// A plan as a daemon shows it.
     pub async fn plan(&self, id: usize, plan: &str) -> Value {
         self.call_operator_api(id, "GET", &format!("/v1/plans/{plan}"), "").await.1
     }
 
-    /// Waits until a plan is over.
+    /// Waits until a plan is done or aborted.
     pub async fn wait_until_plan_ended(&self, id: usize, plan: &str) {
-        self.wait_until("the plan is over", async || {
+        self.wait_until("the plan has ended", async || {
             let phase = self.plan(id, plan).await["phase"].clone();
             phase == "done" || phase == "aborted"
         })
         .await;
     }
 
-    /// One counter of a daemon.
+    /// A counter of a daemon; 0 if it has none of this name.
     pub async fn counter(&self, id: usize, name: &str) -> u64 {
         let (_, counters) = self.call_operator_api(id, "GET", "/v1/counters", "").await;
         counters[name].as_u64().unwrap_or(0)
     }
 
-    /// A request of an account's caller.
+    /// A request of an account's caller that must run at most once.
     pub fn build_call(&self, account: &str, service: &str, token: u64) -> Call {
         Call {
             token,
@@ -326,12 +332,12 @@
         }
     }
 
-    /// Sends a request through a daemon and writes both sides into the ledger.
+    /// Sends a request to a daemon and records its sending and its outcome in the ledger.
     pub async fn call(&self, id: usize, call: &Call) -> Outcome {
         caller::call_and_record(&self.ledger, &self.dialer, self.addrs(id).call, call).await
     }
 
-    /// Sends any request to a daemon's address for callers.
+    /// Sends an arbitrary request to a daemon's address for callers; `None` if there was no answer.
     pub async fn send_raw(
         &self,
         id: usize,
@@ -342,8 +348,8 @@
     }
 }
 
-/// Test sites run side by side in one process and each other's: a box's address is its own by
-/// its port.
+/// Several test sites may run at the same time in one process and in others, so a box's address is
+/// a loopback address with a port chosen by the system.
 fn with_test_addr(listed: ListedBox) -> ListedBox {
     let addr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 3, 0, 1)), 0);
     ListedBox { addr, ..listed }
--- a/testutils/src/kills.rs
+++ b/testutils/src/kills.rs
@@ -1,10 +1,11 @@
-//! Which requests a killed entry box may have cut off.
+//! Tracks which requests may have been cut off by the kill of a daemon.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Counts the kills of each entry box, from the decision until its last task has ended. In between, a
-/// few milliseconds or more on a busy machine, it takes requests that it will not answer.
+/// Counts the kills of each daemon that takes calls, from the decision until its last task has
+/// ended. In between, a few milliseconds or more on a busy machine, it accepts requests that it
+/// will not answer.
 #[derive(Debug, Default)]
 pub struct Kills {
     boxes: Vec<Counts>,
@@ -16,32 +17,32 @@
     ended: AtomicU64,
 }
 
-/// The kills of an entry box that were over at some moment.
+/// The number of kills of a daemon that had ended at some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mark(u64);
 
 impl Kills {
-    /// No kills of so many entry boxes.
+    /// Counts for `boxes` daemons, without any kills.
     pub fn new(boxes: usize) -> Kills {
         Kills { boxes: (0..boxes).map(|_| Counts::default()).collect() }
     }
 
-    /// A kill of an entry box begins.
+    /// Records that a kill of a daemon starts.
     pub fn record_started(&self, entry: usize) {
         self.boxes[entry].started.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// A kill of an entry box is over: nothing of it runs any more.
+    /// Records that a kill of a daemon has ended: none of its tasks runs any more.
     pub fn record_ended(&self, entry: usize) {
         self.boxes[entry].ended.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Taken before a request is sent to an entry box.
+    /// A mark to be taken before a request is sent to a daemon.
     pub fn mark(&self, entry: usize) -> Mark {
         Mark(self.boxes[entry].ended.load(Ordering::SeqCst))
     }
 
-    /// Whether the entry box was being killed at any time since the mark was taken.
+    /// Whether the daemon was being killed at any time since the mark was taken.
     ///
     /// ```
     /// # use spokelift_testutils::kills::Kills;
--- a/testutils/src/ledger.rs
+++ b/testutils/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What workers and callers saw, written down apart from the product and compared afterwards.
+//! Records what workers and callers observed, independently of the product, and compares it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,43 +12,43 @@
 use spokelift_lib::state::id::BoxId;
 use spokelift_lib::state::id::ServiceKey;
 
-/// Id that a caller gives a request and finds in its answer.
+/// Id that a caller gives a request, and that its answer must carry.
 pub type Token = u64;
 
-/// How long a box may still get work after it was told to drain.
+/// How long a box may still receive requests after it was told to drain.
 pub const DRAIN_GRACE: Duration = Duration::from_secs(2);
-/// How long a dead box may go unnoticed before it counts against a budget.
+/// How long the death of a box may stay undetected before the box counts against a budget.
 pub const DETECTION_TIME: Duration = Duration::from_secs(4);
 
-/// What a caller was told.
+/// The outcome of a request, as its caller received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer with the caller's own token.
+    /// A complete answer with the caller's own token.
     Answered,
-    /// A whole answer with another token.
+    /// A complete answer with another token.
     Crossed,
-    /// The request was not run.
+    /// The answer said that the request was not run.
     NotRun,
-    /// The request may have been run.
+    /// The answer said that the request may have been run.
     Unknown,
-    /// The connection broke without a word; the entry box was killed by the test.
+    /// The connection broke without an answer, and the test had killed the daemon.
     Killed,
-    /// The connection broke without a word, or the answer was no answer.
+    /// The connection broke without an answer, or the answer was invalid.
     Nothing,
 }
 
-/// A pool as the ledger's judge knows it.
+/// A pool, by which the ledger checks budgets.
 #[derive(Clone, Debug)]
 pub struct Pool {
     /// Its name.
     pub name: String,
     /// Its services.
     pub services: Vec<ServiceKey>,
-    /// Boxes that may be out.
+    /// Largest number of boxes that may be out of service.
     pub max_out: usize,
 }
 
-/// A ledger that everyone in a run writes to. Clones are the same ledger.
+/// The ledger of a run. Clones share the same ledger.
 #[derive(Clone, Default)]
 pub struct Ledger {
     inner: Arc<Mutex<Inner>>,
@@ -62,7 +62,7 @@
     cut_by_planned_stop: u64,
     work_after_leaving: u64,
     budget_breaches: u64,
-    /// Each of them: when, the box that was told to drain, and which boxes of its pool were out and why.
+    /// Each breach of a budget with its time and description.
     breach_reports: Vec<(Instant, String)>,
     boxes_in_two_pools: u64,
     over_slots: u64,
@@ -73,16 +73,16 @@
 #[derive(Default)]
 struct Call {
     repeatable: bool,
-    /// When and on which boxes it ran.
+    /// The times and boxes of its runs.
     runs: Vec<(Instant, BoxId)>,
     outcome: Option<Outcome>,
     outcome_at: Option<Instant>,
-    /// What the caller knows of it besides, in words.
+    /// Further observations of the caller.
     notes: Vec<String>,
 }
 
 impl Call {
-    /// How a request ended that must not end so, if it did.
+    /// The guarantee that the request's outcome violates, if any.
     fn violation(&self) -> Option<&'static str> {
         let ran = !self.runs.is_empty();
         match self.outcome {
@@ -102,8 +102,9 @@
     out_since: Option<Instant>,
     draining_since: Option<Instant>,
     dead_since: Option<Instant>,
-    /// It was told to run nothing, and does not serve again yet: on its way to another pool, it is out of none. A box
-    /// that has never served in a pool cannot be missed there.
+    /// Whether it was told to run nothing and does not serve again yet: it is moving to another
+    /// pool and counts as out of service in none. A box that has never served in a pool cannot be
+    /// missing there.
     is_in_transit: bool,
     inflight: BTreeSet<Token>,
 }
@@ -113,33 +114,33 @@
 pub struct Counts {
     /// Requests sent by callers.
     pub requests: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: u64,
-    /// Told that the request was not run.
+    /// Requests whose answer was *not run*.
     pub refused_not_run: u64,
-    /// Told that the outcome is unknown, or cut off with a killed entry box.
+    /// Requests whose answer was *unknown*, or that were cut off by the kill of a daemon.
     pub unknown: u64,
-    /// Without any outcome, or answered although no worker ran the request.
+    /// Requests without any outcome, or answered although no worker ran them.
     pub lost: u64,
-    /// Not repeatable and run more than once.
+    /// Requests that are not repeatable and ran more than once.
     pub doubled: u64,
-    /// Answered with another request's answer.
+    /// Requests that got the answer of another one.
     pub crossed: u64,
-    /// Told *not run* and yet run.
+    /// Requests that were answered *not run* and yet ran.
     pub false_not_run: u64,
-    /// Requests running on a box when it rebooted on command.
+    /// Requests that were running on a box when it rebooted on command.
     pub cut_by_planned_stop: u64,
-    /// Boxes taken out when their pool had no budget left.
+    /// Times that a box was told to drain although its pool had no budget left.
     pub budget_breaches: u64,
-    /// Boxes that were given jobs of two pools.
+    /// Times that a box was given jobs of more than one pool.
     pub boxes_in_two_pools: u64,
-    /// Requests that came to a box more than two seconds after it began to leave.
+    /// Requests that a box received more than two seconds after it was told to drain.
     pub work_after_leaving: u64,
-    /// Requests beyond a box's slots.
+    /// Requests that a box received while all of its slots were in use.
     pub over_slots: u64,
-    /// Boxes that changed pools.
+    /// Moves of boxes to another pool.
     pub moves: u64,
-    /// Time that boxes were out on command, added up.
+    /// Total time that boxes were out of service on command, in seconds.
     pub buffer_cost_box_seconds: f64,
 }
 
@@ -157,56 +158,57 @@
             ("work_after_leaving", self.work_after_leaving),
             ("over_slots", self.over_slots),
         ];
-        let broken = must_be_zero.into_iter().filter(|(_, count)| *count > 0);
-        broken.map(|(name, _)| name).collect()
+        let violated = must_be_zero.into_iter().filter(|(_, count)| *count > 0);
+        violated.map(|(name, _)| name).collect()
     }
 }
 
 impl Ledger {
-    /// A ledger that judges budgets by these pools.
+    /// An empty ledger that checks the budgets of these pools.
     pub fn new(pools: Vec<Pool>) -> Ledger {
         let inner = Inner { pools, ..Inner::default() };
         Ledger { inner: Arc::new(Mutex::new(inner)) }
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no holder panics")
+        self.inner.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// A pool's budget is another one from now on.
+    /// Changes the budget of a pool.
     pub fn set_max_out(&self, pool: &str, max_out: usize) {
         let mut inner = self.inner();
-        let found = inner.pools.iter_mut().find(|own| own.name == pool);
-        found.expect("the ledger was made with this pool").max_out = max_out;
+        let pool = inner.pools.iter_mut().find(|own| own.name == pool);
+        pool.expect("the ledger was made with this pool").max_out = max_out;
     }
 
-    /// A pool's budget.
+    /// The budget of a pool.
     pub fn max_out(&self, pool: &str) -> usize {
         let inner = self.inner();
-        let found = inner.pools.iter().find(|own| own.name == pool);
-        found.expect("the ledger was made with this pool").max_out
+        let pool = inner.pools.iter().find(|own| own.name == pool);
+        pool.expect("the ledger was made with this pool").max_out
     }
 
-    /// A caller sends a request.
+    /// Records that a caller sends a request.
     pub fn record_sent(&self, token: Token, repeatable: bool) {
         let mut inner = self.inner();
         inner.calls.entry(token).or_default().repeatable = repeatable;
     }
 
-    /// A caller was told something.
-    pub fn record_outcome(&self, token: Token, told: Outcome) {
+    /// Records the outcome that a caller received.
+    pub fn record_outcome(&self, token: Token, outcome: Outcome) {
         let mut inner = self.inner();
         let call = inner.calls.entry(token).or_default();
-        call.outcome = Some(told);
+        call.outcome = Some(outcome);
         call.outcome_at = Some(Instant::now());
     }
 
-    /// Writes down what else a caller knows of its request, for [`Ledger::harms`].
+    /// Adds an observation of a caller, which [`Ledger::describe_violations`] shows.
     pub fn add_note(&self, token: Token, note: String) {
         self.inner().calls.entry(token).or_default().notes.push(note);
     }
 
-    /// One line for each time that a box was told to drain beyond the budget of its pool. Times count from `since`.
+    /// One line for each time that a box was told to drain although its pool had no budget left.
+    /// Times are relative to `since`.
     pub fn describe_breaches(&self, since: Instant) -> Vec<String> {
         let inner = self.inner();
         let lines = inner.breach_reports.iter().map(|(at, line)| {
@@ -215,14 +217,14 @@
         lines.collect()
     }
 
-    /// One line for each request that was lost, doubled, crossed or falsely told: what the caller was
-    /// told, where it ran, and what was noted. Times count from `since`.
+    /// One line for each request that was lost, doubled, crossed or falsely reported as not run:
+    /// its outcome, where it ran, and the caller's observations. Times are relative to `since`.
     pub fn describe_violations(&self, since: Instant) -> Vec<String> {
         let ms = |at: Instant| at.saturating_duration_since(since).as_millis();
         let inner = self.inner();
-        let harmed =
+        let violating =
             inner.calls.iter().filter_map(|(token, call)| Some((token, call, call.violation()?)));
-        let lines = harmed.map(|(token, call, harm)| {
+        let lines = violating.map(|(token, call, violation)| {
             let runs: Vec<String> = call
                 .runs
                 .iter()
@@ -230,7 +232,7 @@
                 .collect();
             let told_at = call.outcome_at.map(ms);
             format!(
-                "request {token}: {harm}; told {:?} at {told_at:?} ms; ran on {runs:?}; {}",
+                "request {token}: {violation}; outcome {:?} at {told_at:?} ms; ran on {runs:?}; {}",
                 call.outcome,
                 call.notes.join("; ")
             )
@@ -238,7 +240,7 @@
         lines.collect()
     }
 
-    /// A worker begins to run a request.
+    /// Records that a worker starts to run a request.
     pub fn record_started(&self, target: &BoxId, token: Token) {
         let mut inner = self.inner();
         let run = (Instant::now(), target.clone());
@@ -249,24 +251,24 @@
         inner.work_after_leaving += u64::from(late);
     }
 
-    /// A worker has run a request, or its caller has gone.
+    /// Records that a worker has run a request, or that the caller's connection has ended.
     pub fn record_ended(&self, target: &BoxId, token: Token) {
         let mut inner = self.inner();
         inner.boxes.entry(target.clone()).or_default().inflight.remove(&token);
     }
 
-    /// A request came when all slots of its box were taken.
+    /// Records a request that came while all slots of its box were in use.
     pub fn record_over_slots(&self) {
         self.inner().over_slots += 1;
     }
 
-    /// A worker was told which jobs to run.
+    /// Records that a worker was told which jobs to run.
     pub fn record_jobs(&self, target: &BoxId, jobs: &[ServiceKey]) {
         let mut inner = self.inner();
         let pools = inner.pools_with(jobs);
         inner.boxes_in_two_pools += u64::from(pools.len() > 1);
         let state = inner.boxes.entry(target.clone()).or_default();
-        // One that has new jobs and was told to drain does not serve them yet.
+        // A box with new jobs that was told to drain does not serve them yet.
         state.is_in_transit =
             jobs.is_empty() || state.is_in_transit && state.draining_since.is_some();
         let Some(pool) = pools.first().copied() else {
@@ -277,7 +279,7 @@
         inner.moves += u64::from(moved);
     }
 
-    /// A worker was told to drain.
+    /// Records that a worker was told to drain.
     pub fn record_draining(&self, target: &BoxId) {
         let mut inner = self.inner();
         let state = inner.boxes.entry(target.clone()).or_default();
@@ -295,7 +297,7 @@
         }
     }
 
-    /// A worker was told to serve again.
+    /// Records that a worker was told to serve again.
     pub fn record_resumed(&self, target: &BoxId) {
         let mut inner = self.inner();
         let state = inner.boxes.entry(target.clone()).or_default();
@@ -305,7 +307,7 @@
         inner.out_time += out.unwrap_or_default();
     }
 
-    /// A worker reboots on command.
+    /// Records that a worker reboots on command.
     pub fn record_reboot(&self, target: &BoxId) {
         let mut inner = self.inner();
         let state = inner.boxes.entry(target.clone()).or_default();
@@ -313,7 +315,7 @@
         inner.cut_by_planned_stop += cut;
     }
 
-    /// A worker died.
+    /// Records that a worker died.
     pub fn record_death(&self, target: &BoxId) {
         let mut inner = self.inner();
         let state = inner.boxes.entry(target.clone()).or_default();
@@ -369,7 +371,8 @@
         used.map(|(index, _)| index).collect()
     }
 
-    /// What is to be said of a box that was told to drain beyond the budget of its pool.
+    /// Describes a drain beyond the budget of a pool: the box that was told to drain, and the boxes
+    /// of its pool that are out of service.
     fn describe_breach(&self, target: &BoxId, pool: usize) -> String {
         let ms = |since: Option<Instant>| since.map(|since| since.elapsed().as_millis());
         let own = self.boxes.iter().filter(|(_, state)| state.pool == Some(pool));
@@ -381,12 +384,15 @@
                 state.is_in_transit
             )
         });
-        let (name, most) = (&self.pools[pool].name, self.pools[pool].max_out);
+        let (name, max_out) = (&self.pools[pool].name, self.pools[pool].max_out);
         let out: Vec<String> = out.collect();
-        format!("{target} is told to drain, {name} may have {most} out: {}", out.join("; "))
+        format!(
+            "{target} is told to drain; {name} may have {max_out} boxes out of service: {}",
+            out.join("; ")
+        )
     }
 
-    /// Boxes of a pool that are out, as far as anyone can know.
+    /// Counts the boxes of a pool that are out of service, as far as a daemon can have detected it.
     fn count_out(&self, pool: usize) -> usize {
         let is_own = |state: &&BoxState| state.pool == Some(pool) && !state.is_in_transit;
         let own = self.boxes.values().filter(is_own);
--- a/testutils/src/lib.rs
+++ b/testutils/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the platform and its callers, kept apart from the product: a [`log`], a
-//! [`boxes`] list, [`worker`]s, a [`caller`], a [`proxy`] that breaks connections on command, and
-//! the [`ledger`] in which workers and callers write down what they saw. A [`fixture`] puts them
-//! together around real [`process`]es; a [`file`] is removed at the end of its test.
+//! In-memory stand-ins for the platform and its callers, independent of the product code: a
+//! [`log`], a [`boxes`] list, [`worker`]s, a [`caller`], a fault-injecting [`proxy`], and the
+//! [`ledger`] that records what workers and callers observed. A [`fixture`] combines them around
+//! real [`process`]es; a [`temp_file`] is removed at the end of its test.
 
 #![warn(missing_docs)]
 
--- a/testutils/src/log.rs
+++ b/testutils/src/log.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the platform's log: in memory, with outages, delays, lost answers and retention.
+//! Stand-in for the platform's log: kept in memory, with injected outages, delays, lost answers and
+//! retention.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -28,13 +29,13 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// Most bytes of records in one answer.
+/// Largest size of the records in one answer.
 const MAX_PAGE_BYTES: usize = 8 * 1024 * 1024;
 
-/// A running log. Clones are the same log.
+/// A running log. Clones share the same log.
 #[derive(Clone)]
 pub struct Log {
-    /// Where it serves.
+    /// The address on which it serves.
     pub addr: SocketAddr,
     inner: Arc<Inner>,
     stop: Arc<watch::Sender<bool>>,
@@ -55,47 +56,49 @@
     reads: u64,
 }
 
-/// What is wrong with the log at the moment.
+/// Faults of the log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Every request is answered with 503.
+    /// Whether every request is answered with 503.
     pub unavailable: bool,
-    /// Every answer is this late.
+    /// Delay of every answer.
     pub delay: Duration,
-    /// So many appends take effect and are then answered with 503.
+    /// Number of appends that take effect and are then answered with 503.
     pub lose_answers: u32,
-    /// So many appends take effect twice.
+    /// Number of appends that take effect twice.
     pub duplicate: u32,
 }
 
 impl Log {
-    /// Starts an empty log on a port chosen by the system.
+    /// Starts an empty log on a port that the system chooses.
     pub async fn start() -> std::io::Result<Log> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
         let inner = Arc::new(Inner::default());
-        let (stop, stopped) = watch::channel(false);
-        let shared = inner.clone();
-        tokio::spawn(serve(listener, stopped, move |request| answer(shared.clone(), request)));
+        let (stop, stop_rx) = watch::channel(false);
+        let server_inner = inner.clone();
+        tokio::spawn(serve(listener, stop_rx, move |request| {
+            answer(server_inner.clone(), request)
+        }));
         Ok(Log { addr, inner, stop: Arc::new(stop) })
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.inner.state.lock().expect("no holder panics")
+        self.inner.state.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// Sets what is wrong from now on.
+    /// Sets the faults from now on.
     pub fn set_faults(&self, faults: Faults) {
         self.state().faults = faults;
     }
 
-    /// Appends a record past the protocol.
+    /// Appends a record directly, without the protocol.
     pub fn put(&self, bytes: Bytes) {
         self.state().append(bytes);
         self.inner.appended.notify_waiters();
     }
 
-    /// Lets go of all records before `first`.
+    /// Drops all records before `first`.
     pub fn retain_from(&self, first: Offset) {
         let mut state = self.state();
         while state.first_offset < first && !state.records.is_empty() {
@@ -104,18 +107,18 @@
         }
     }
 
-    /// Offset that the next append will get.
+    /// The offset of the next append.
     pub fn next_offset(&self) -> Offset {
         self.state().next_offset()
     }
 
-    /// Appends and reads answered so far.
+    /// Numbers of appends and reads served so far.
     pub fn request_counts(&self) -> (u64, u64) {
         let state = self.state();
         (state.appends, state.reads)
     }
 
-    /// The records kept, with their offsets.
+    /// The retained records with their offsets.
     pub fn records(&self) -> Vec<(Offset, Bytes)> {
         let state = self.state();
         let offsets = state.first_offset..;
@@ -157,7 +160,7 @@
 }
 
 async fn answer(inner: Arc<Inner>, request: Request<Incoming>) -> Response<Body> {
-    let faults = inner.state.lock().expect("no holder panics").faults;
+    let faults = inner.state.lock().expect("no thread panics while it holds the lock").faults;
     sleep(faults.delay).await;
     if faults.unavailable {
         return empty_response(503);
@@ -175,19 +178,19 @@
         return empty_response(400);
     };
     let bytes = body.to_bytes();
-    let (offset, lose) = {
-        let mut state = inner.state.lock().expect("no holder panics");
+    let (offset, is_answer_lost) = {
+        let mut state = inner.state.lock().expect("no thread panics while it holds the lock");
         let offset = state.append(bytes.clone());
         if state.faults.duplicate > 0 {
             state.faults.duplicate -= 1;
             state.append(bytes);
         }
-        let lose = state.faults.lose_answers > 0;
+        let is_answer_lost = state.faults.lose_answers > 0;
         state.faults.lose_answers = state.faults.lose_answers.saturating_sub(1);
-        (offset, lose)
+        (offset, is_answer_lost)
     };
     inner.appended.notify_waiters();
-    if lose {
+    if is_answer_lost {
         return empty_response(503);
     }
     json_response(&Appended { offset })
@@ -200,11 +203,11 @@
     let grown = inner.appended.notified();
     let mut grown = std::pin::pin!(grown);
     grown.as_mut().enable();
-    let next = inner.state.lock().expect("no holder panics").next_offset();
+    let next = inner.state.lock().expect("no thread panics while it holds the lock").next_offset();
     if next <= from {
         let _ = timeout(wait, grown).await;
     }
-    let mut state = inner.state.lock().expect("no holder panics");
+    let mut state = inner.state.lock().expect("no thread panics while it holds the lock");
     if state.faults.unavailable {
         return empty_response(503);
     }
@@ -214,7 +217,7 @@
     json_response(&page)
 }
 
-/// A number in a request's query.
+/// A number from the query of a request; `None` if it is missing or not a number.
 pub(crate) fn query_number(request: &Request<Incoming>, name: &str) -> Option<u64> {
     let query = request.uri().query().unwrap_or_default();
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -223,11 +226,11 @@
 }
 
 pub(crate) fn json_response<T: serde::Serialize>(value: &T) -> Response<Body> {
-    let body = serde_json::to_vec(value).expect("the protocol's types can be written as JSON");
+    let body = serde_json::to_vec(value).expect("the protocol's types serialize to JSON");
     Response::new(full(body))
 }
 
 pub(crate) fn empty_response(code: u16) -> Response<Body> {
     let response = Response::builder().status(code);
-    response.body(full("")).expect("a status makes an answer")
+    response.body(full("")).expect("a status code makes a valid response")
 }
--- a/testutils/src/ports.rs
+++ b/testutils/src/ports.rs
@@ -1,4 +1,4 @@
-//! Ports for daemons that are started later.
+//! Choice of free ports for daemons that are started later.
 
 use std::io;
 use std::net::IpAddr;
@@ -9,34 +9,35 @@
 use std::sync::Mutex;
 use std::sync::MutexGuard;
 
-/// Tries to find two neighbouring ports; all but a few ports are free.
+/// Attempts to find two neighbouring free ports; all but a few ports are free.
 const MAX_PAIR_ATTEMPTS: usize = 64;
 
-/// Held while ports are held and while a process is started: one that has been forked and not yet replaced has
-/// a copy of every socket, so a port that was let go meanwhile is still taken when its daemon wants it.
+/// Held while ports are bound and while a process is spawned. A process has a copy of every open
+/// socket between fork and exec, so a port released in that time would still be in use when its
+/// daemon binds it.
 static FORK_LOCK: Mutex<()> = Mutex::new(());
 
 fn lock_forks() -> MutexGuard<'static, ()> {
-    FORK_LOCK.lock().expect("no holder panics")
+    FORK_LOCK.lock().expect("no thread panics while it holds the lock")
 }
 
-/// Starts a process that takes none of the ports that are being chosen with it.
+/// Spawns a process that cannot inherit a socket on a port that is being chosen.
 ///
 /// # Errors
 ///
-/// What starting it answers.
+/// Any error of spawning the process.
 pub fn spawn(command: &mut Command) -> io::Result<Child> {
-    let _forks = lock_forks();
+    let _guard = lock_forks();
     command.spawn()
 }
 
-/// `N` ports that are free now. All are held until the last is chosen: the system may choose a port
-/// again as soon as it was let go, and two sockets of one daemon would then want the same
-/// (measured: 6 of 60,000 choices of three).
+/// `N` ports that are free now. All are bound until the last is chosen: the system may choose a
+/// port again as soon as it is released, and two sockets of one daemon would then get the same (6
+/// of 60,000 choices of three).
 ///
 /// # Errors
 ///
-/// What binding them answers.
+/// Any error of binding the ports.
 ///
 /// ```
 /// let [clients, operators] = spokelift_testutils::ports::free([127, 0, 0, 1].into())?;
@@ -44,25 +45,25 @@
 /// # Ok::<(), std::io::Error>(())
 /// ```
 pub fn free<const N: usize>(ip: IpAddr) -> io::Result<[SocketAddr; N]> {
-    let _forks = lock_forks();
-    let held = bind_ports::<N>(ip)?;
-    local_addrs(&held)
+    let _guard = lock_forks();
+    let listeners = bind_ports::<N>(ip)?;
+    local_addrs(&listeners)
 }
 
-/// `N` ports that are free now, and two more that are neighbours, of which the first is named.
+/// `N` ports that are free now, and two more that are neighbours, of which the first is returned.
 ///
 /// # Errors
 ///
-/// What binding them answers.
+/// Any error of binding the ports.
 pub fn free_and_pair<const N: usize>(ip: IpAddr) -> io::Result<([SocketAddr; N], SocketAddr)> {
-    let _forks = lock_forks();
-    let held = bind_ports::<N>(ip)?;
+    let _guard = lock_forks();
+    let listeners = bind_ports::<N>(ip)?;
     for _ in 0..MAX_PAIR_ATTEMPTS {
         let first = TcpListener::bind((ip, 0))?;
         let addr = first.local_addr()?;
         let next = addr.port().checked_add(1);
         if next.is_some_and(|next| TcpListener::bind((ip, next)).is_ok()) {
-            return Ok((local_addrs(&held)?, addr));
+            return Ok((local_addrs(&listeners)?, addr));
         }
     }
     Err(io::ErrorKind::AddrInUse.into())
@@ -72,9 +73,9 @@
     (0..N).map(|_| TcpListener::bind((ip, 0))).collect()
 }
 
-fn local_addrs<const N: usize>(held: &[TcpListener]) -> io::Result<[SocketAddr; N]> {
+fn local_addrs<const N: usize>(listeners: &[TcpListener]) -> io::Result<[SocketAddr; N]> {
     let mut addrs = [SocketAddr::from(([0, 0, 0, 0], 0)); N];
-    for (addr, listener) in addrs.iter_mut().zip(held) {
+    for (addr, listener) in addrs.iter_mut().zip(listeners) {
         *addr = listener.local_addr()?;
     }
     Ok(addrs)
--- a/testutils/src/process.rs
+++ b/testutils/src/process.rs
@@ -1,4 +1,4 @@
-//! Daemons as real processes.
+//! Daemons as separate processes.
 
 use std::io;
 use std::io::BufRead;
@@ -14,15 +14,15 @@
 
 use crate::ports;
 
-/// A daemon's process; killed when dropped.
+/// A daemon's process, killed when dropped.
 pub struct Process {
-    /// Where it listens.
+    /// The addresses on which it listens.
     pub addrs: Addrs,
     child: Child,
 }
 
 impl Process {
-    /// Starts the program with these flags and waits until it says where it listens.
+    /// Starts the program with these flags and waits until it prints its addresses.
     pub fn start(program: &str, flags: &[(&str, String)]) -> io::Result<Process> {
         let mut command = Command::new(program);
         for (flag, value) in flags {
@@ -36,13 +36,13 @@
         Ok(Process { addrs, child })
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let pid = Pid::from_raw(self.child.id() as i32);
         kill(pid, signal).map_err(io::Error::from)
     }
 
-    /// Whether it has ended, and with success.
+    /// Whether the process exited successfully; `None` while it runs.
     pub fn exit_success(&mut self) -> io::Result<Option<bool>> {
         Ok(self.child.try_wait()?.map(|status| status.success()))
     }
@@ -50,7 +50,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/testutils/src/proxy.rs
+++ b/testutils/src/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy that delays, holds, cuts and limits connections on command, and one for datagrams.
+//! Fault-injecting proxies: for TCP connections, which they can delay, stall, cut, refuse or
+//! black-hole, and for datagrams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,53 +20,53 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// What the proxy does to the bytes of one direction.
+/// How the proxy handles the bytes of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Flow {
-    /// Passes them on.
+    /// Forwards them.
     #[default]
     Pass,
-    /// Passes them on this much later.
+    /// Forwards them after a delay.
     Delay(Duration),
-    /// Holds them; the connection stays open.
+    /// Stops forwarding; the connection stays open.
     Hold,
-    /// Passes on this many bytes of each connection, then cuts it.
+    /// Forwards this many bytes of each connection, then closes it.
     CutAfter(u64),
 }
 
-/// What the proxy does.
+/// Faults of a TCP proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
-    /// To the bytes that go to the server.
+    /// Applied to the bytes to the server.
     pub request: Flow,
-    /// To the bytes that come back.
+    /// Applied to the bytes from the server.
     pub answer: Flow,
-    /// Connections are accepted and closed at once, and those open are cut.
+    /// Whether new connections are closed at once and open ones are cut.
     pub refuse: bool,
 }
 
-/// Which direction of open connections goes silent.
+/// The direction of a connection that is black-holed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// Both.
+    /// Both directions.
     Both,
-    /// What goes to the server.
+    /// From the client to the server.
     Requests,
-    /// What comes back.
+    /// From the server to the client.
     Answers,
 }
 
-/// Connections with a lower number than these pass nothing on that way for good.
+/// Connections with a lower number than these lose all further bytes of that direction.
 #[derive(Clone, Copy, Debug, Default)]
 struct BlackHoles {
     requests_below: u64,
     answers_below: u64,
 }
 
-/// A proxy for TCP connections. Clones are the same proxy.
+/// A proxy for TCP connections. Clones share the same proxy.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// The address on which it listens.
     pub addr: SocketAddr,
     upstream: Arc<Mutex<SocketAddr>>,
     fault: Arc<watch::Sender<Fault>>,
@@ -84,12 +85,12 @@
 }
 
 impl Proxy {
-    /// Starts a proxy to `upstream` on a port chosen by the system.
+    /// Starts a proxy to `upstream` on a port that the system chooses.
     pub async fn start(upstream: SocketAddr) -> std::io::Result<Proxy> {
         Proxy::start_on(SocketAddr::from(([127, 0, 0, 1], 0)), upstream).await
     }
 
-    /// Starts a proxy to `upstream` on an address.
+    /// Starts a proxy to `upstream` that listens on `addr`.
     pub async fn start_on(addr: SocketAddr, upstream: SocketAddr) -> std::io::Result<Proxy> {
         let listener = TcpListener::bind(addr).await?;
         let addr = listener.local_addr()?;
@@ -115,43 +116,43 @@
         })
     }
 
-    /// Sends later connections elsewhere.
+    /// Changes the server of later connections.
     pub fn set_upstream(&self, upstream: SocketAddr) {
-        *self.upstream.lock().expect("no holder panics") = upstream;
+        *self.upstream.lock().expect("no thread panics while it holds the lock") = upstream;
     }
 
-    /// Sets what the proxy does from now on, to open connections as well.
+    /// Sets the fault from now on, also for open connections.
     pub fn set_fault(&self, fault: Fault) {
-        // Nobody listens when no connection is open.
+        // The channel has no receiver while no connection is open.
         self.fault.send_replace(fault);
     }
 
-    /// The connections that are open now go silent for good: what they carry is taken and lost, and
-    /// nobody is told. Later ones work.
-    pub fn black_hole_open(&self, way: Direction) {
+    /// Turns all open connections into black holes: further bytes of that direction are read and
+    /// dropped without an error, for the rest of the connection. Later connections work.
+    pub fn black_hole_open(&self, direction: Direction) {
         let below = self.connection_count();
         self.black_holes.send_modify(|silenced| {
-            if way != Direction::Answers {
+            if direction != Direction::Answers {
                 silenced.requests_below = below;
             }
-            if way != Direction::Requests {
+            if direction != Direction::Requests {
                 silenced.answers_below = below;
             }
         });
     }
 
-    /// Connections opened so far.
+    /// Number of connections opened so far.
     pub fn connection_count(&self) -> u64 {
         self.connection_count.load(Ordering::SeqCst)
     }
 
-    /// Bytes passed on so far, both ways.
+    /// Number of bytes forwarded so far, in both directions.
     pub fn forwarded_bytes(&self) -> u64 {
         self.forwarded_bytes.load(Ordering::SeqCst)
     }
 }
 
-/// What each connection of a proxy is told, and where it counts.
+/// The faults and counters that the connections of a proxy share.
 #[derive(Clone)]
 struct ConnectionContext {
     faults: watch::Receiver<Fault>,
@@ -166,7 +167,7 @@
     opened: Arc<AtomicU64>,
 ) {
     while let Ok((client, _)) = listener.accept().await {
-        let to = *upstream.lock().expect("no holder panics");
+        let to = *upstream.lock().expect("no thread panics while it holds the lock");
         let number = opened.fetch_add(1, Ordering::SeqCst);
         tokio::spawn(forward_connection(client, to, line.clone(), number));
     }
@@ -190,8 +191,8 @@
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
     let mut refusals = faults.clone();
-    let is_mute = || number < black_holes.borrow().requests_below;
-    let is_deaf = || number < black_holes.borrow().answers_below;
+    let is_request_lost = || number < black_holes.borrow().requests_below;
+    let is_answer_lost = || number < black_holes.borrow().answers_below;
     let request = |fault: &Fault| fault.request;
     let requests = forward_bytes(
         client_read,
@@ -199,7 +200,7 @@
         faults.clone(),
         &forwarded_bytes,
         request,
-        is_mute,
+        is_request_lost,
     );
     let answers = forward_bytes(
         server_read,
@@ -207,30 +208,30 @@
         faults,
         &forwarded_bytes,
         |fault| fault.answer,
-        is_deaf,
+        is_answer_lost,
     );
     let mut answers = std::pin::pin!(answers);
-    // The first direction to end, or a refusal, cuts both. A server that takes no more of a
-    // request may have answered it already, and that answer is passed on.
-    let not_taken = tokio::select! {
+    // The end of one direction, or a refusal, closes both. A server that stops reading a request
+    // may have answered it already, and that answer is still forwarded.
+    let receiver_closed = tokio::select! {
         end = requests => end == End::ReceiverClosed,
         _ = &mut answers => false,
         _ = refusals.wait_for(|fault| fault.refuse) => false,
     };
-    if not_taken {
+    if receiver_closed {
         let _ = timeout(LAST_ANSWER_TIMEOUT, answers).await;
     }
 }
 
-/// How long the last answer of a server may take that has stopped reading.
+/// How long forwarding the last answer of a server that has stopped reading may take.
 const LAST_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a direction has ended.
+/// Why the forwarding of a direction has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
-    /// Its sender has closed, or it was cut.
+    /// The sender has closed the connection, or a fault has cut it.
     Closed,
-    /// Its receiver takes no more.
+    /// The receiver accepts no more bytes.
     ReceiverClosed,
 }
 
@@ -238,9 +239,9 @@
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut faults: watch::Receiver<Fault>,
-    all: &AtomicU64,
+    forwarded_bytes: &AtomicU64,
     flow: impl Fn(&Fault) -> Flow,
-    is_silent: impl Fn() -> bool,
+    is_black_hole: impl Fn() -> bool,
 ) -> End {
     let mut buffer = vec![0; 16 * 1024];
     let mut passed = 0;
@@ -248,12 +249,12 @@
         let Ok(read @ 1..) = from.read(&mut buffer).await else {
             return End::Closed;
         };
-        if is_silent() {
+        if is_black_hole() {
             continue;
         }
         let mut bytes = &buffer[..read];
-        let now = flow(&faults.borrow());
-        match now {
+        let current_fault = flow(&faults.borrow());
+        match current_fault {
             Flow::Pass => {}
             Flow::Delay(by) => sleep(by).await,
             Flow::Hold => {
@@ -268,28 +269,28 @@
             return End::ReceiverClosed;
         }
         passed += bytes.len() as u64;
-        all.fetch_add(bytes.len() as u64, Ordering::SeqCst);
-        if bytes.len() < read || now == Flow::CutAfter(passed) {
+        forwarded_bytes.fetch_add(bytes.len() as u64, Ordering::SeqCst);
+        if bytes.len() < read || current_fault == Flow::CutAfter(passed) {
             return End::Closed;
         }
     }
 }
 
-/// What the datagram proxy does.
+/// Faults of a datagram proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramFault {
-    /// Passes nothing on.
+    /// Drops every datagram.
     pub drop: bool,
-    /// Passes each one on twice.
+    /// Forwards each datagram twice.
     pub duplicate: bool,
-    /// Passes each one on this much later.
+    /// Delay before a datagram is forwarded.
     pub delay: Duration,
 }
 
-/// A one-way proxy for datagrams. Clones are the same proxy.
+/// A one-way proxy for datagrams. Clones share the same proxy.
 #[derive(Clone)]
 pub struct DatagramProxy {
-    /// Where it listens.
+    /// The address on which it listens.
     pub addr: SocketAddr,
     upstream: Arc<Mutex<SocketAddr>>,
     fault: Arc<Mutex<DatagramFault>>,
@@ -298,41 +299,42 @@
     _task: Arc<AbortOnDrop>,
 }
 
-/// Datagrams kept for replay.
+/// Largest number of datagrams recorded for replay.
 const MAX_RECORDED: usize = 1024;
 
 impl DatagramProxy {
-    /// Starts a relay to `upstream`.
+    /// Starts a datagram proxy to `upstream`.
     pub async fn start(upstream: SocketAddr) -> std::io::Result<DatagramProxy> {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let addr = socket.local_addr()?;
         let upstream = Arc::new(Mutex::new(upstream));
         let fault = Arc::new(Mutex::new(DatagramFault::default()));
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let work = forward_datagrams(socket.clone(), upstream.clone(), fault.clone(), seen.clone());
-        let task = tokio::spawn(work);
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let forwarding =
+            forward_datagrams(socket.clone(), upstream.clone(), fault.clone(), received.clone());
+        let task = tokio::spawn(forwarding);
         let _task = Arc::new(AbortOnDrop(task.abort_handle()));
-        Ok(DatagramProxy { addr, upstream, fault, received: seen, socket, _task })
+        Ok(DatagramProxy { addr, upstream, fault, received, socket, _task })
     }
 
-    /// Sends later datagrams elsewhere.
+    /// Changes the receiver of later datagrams.
     pub fn set_upstream(&self, upstream: SocketAddr) {
-        *self.upstream.lock().expect("no holder panics") = upstream;
+        *self.upstream.lock().expect("no thread panics while it holds the lock") = upstream;
     }
 
-    /// Sets what the relay does from now on.
+    /// Sets the fault from now on.
     pub fn set_fault(&self, fault: DatagramFault) {
-        *self.fault.lock().expect("no holder panics") = fault;
+        *self.fault.lock().expect("no thread panics while it holds the lock") = fault;
     }
 
-    /// Datagrams that came by, the oldest first.
+    /// The recorded datagrams, the oldest first; only the first `MAX_RECORDED` are recorded.
     pub fn received(&self) -> Vec<Vec<u8>> {
-        self.received.lock().expect("no holder panics").clone()
+        self.received.lock().expect("no thread panics while it holds the lock").clone()
     }
 
-    /// Sends bytes of one's own to the receiver.
+    /// Sends a datagram to the receiver.
     pub async fn send(&self, bytes: &[u8]) -> std::io::Result<()> {
-        let to = *self.upstream.lock().expect("no holder panics");
+        let to = *self.upstream.lock().expect("no thread panics while it holds the lock");
         self.socket.send_to(bytes, to).await?;
         Ok(())
     }
@@ -342,7 +344,7 @@
     socket: Arc<UdpSocket>,
     upstream: Arc<Mutex<SocketAddr>>,
     fault: Arc<Mutex<DatagramFault>>,
-    seen: Arc<Mutex<Vec<Vec<u8>>>>,
+    received: Arc<Mutex<Vec<Vec<u8>>>>,
 ) {
     let mut buffer = vec![0; 2048];
     loop {
@@ -350,16 +352,16 @@
             continue;
         };
         let bytes = buffer[..size].to_vec();
-        record_datagram(&seen, &bytes);
-        let now = *fault.lock().expect("no holder panics");
-        let to = *upstream.lock().expect("no holder panics");
-        if now.drop {
+        record_datagram(&received, &bytes);
+        let current_fault = *fault.lock().expect("no thread panics while it holds the lock");
+        let to = *upstream.lock().expect("no thread panics while it holds the lock");
+        if current_fault.drop {
             continue;
         }
         let socket = socket.clone();
         tokio::spawn(async move {
-            sleep(now.delay).await;
-            let copies = 1 + usize::from(now.duplicate);
+            sleep(current_fault.delay).await;
+            let copies = 1 + usize::from(current_fault.duplicate);
             for _ in 0..copies {
                 let _ = socket.send_to(&bytes, to).await;
             }
@@ -367,27 +369,27 @@
     }
 }
 
-fn record_datagram(seen: &Mutex<Vec<Vec<u8>>>, bytes: &[u8]) {
-    let mut seen = seen.lock().expect("no holder panics");
-    if seen.len() < MAX_RECORDED {
-        seen.push(bytes.to_vec());
+fn record_datagram(received: &Mutex<Vec<Vec<u8>>>, bytes: &[u8]) {
+    let mut received = received.lock().expect("no thread panics while it holds the lock");
+    if received.len() < MAX_RECORDED {
+        received.push(bytes.to_vec());
     }
 }
 
-/// A link from one daemon to another: datagrams and streams on the same port.
+/// A one-way link between two daemons: datagrams and streams on the same port.
 #[derive(Clone)]
 pub struct Link {
     /// For heartbeats.
     pub datagrams: DatagramProxy,
-    /// For catching up.
+    /// For state transfers.
     pub streams: Proxy,
 }
 
-/// Ports tried until one is free for both.
+/// Attempts to find a port that is free for both UDP and TCP.
 const MAX_PORT_ATTEMPTS: usize = 8;
 
 impl Link {
-    /// Starts a link that leads nowhere yet.
+    /// Starts a link without a receiver; see [`Link::set_upstream`].
     pub async fn start() -> std::io::Result<Link> {
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
         let mut last = None;
@@ -398,21 +400,21 @@
                 Err(error) => last = Some(error),
             }
         }
-        Err(last.expect("it was tried at least once"))
+        Err(last.expect("there was at least one attempt"))
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     pub fn addr(&self) -> SocketAddr {
         self.datagrams.addr
     }
 
-    /// Leads to a daemon from now on.
+    /// Sets the receiving daemon.
     pub fn set_upstream(&self, upstream: SocketAddr) {
         self.datagrams.set_upstream(upstream);
         self.streams.set_upstream(upstream);
     }
 
-    /// Cuts the link, or mends it.
+    /// Cuts the link, or restores it.
     pub fn set_cut(&self, cut: bool) {
         self.datagrams.set_fault(DatagramFault { drop: cut, ..DatagramFault::default() });
         self.streams.set_fault(Fault { refuse: cut, ..Fault::default() });
--- a/testutils/src/scenario.rs
+++ b/testutils/src/scenario.rs
@@ -1,28 +1,28 @@
-//! The words of the scenario files: a small site of real daemons, what befalls it, and what must
-//! hold then.
+//! The directives of the scenario files: each runs a step on a small site of real daemons and
+//! prints the result, which the file states.
 //!
-//! | word | what it does | what it prints |
+//! | directive | effect | output |
 //! |---|---|---|
 //! | `site daemons=N [flag=value …]` | starts a site and places its services | `serving` |
-//! | `publish daemon=N front=M` | publishes a budget for pool front | the verdict |
-//! | `intent daemon=N as=NAME` + JSON | states an intent | `planned` or why not |
-//! | `confirm daemon=N plan=NAME`, `abort …` | confirms or aborts a plan | the verdict |
-//! | `race first=NAME second=NAME` | confirms two plans at once, on daemons 0 and 1 | both verdicts |
-//! | `until plan=NAME ended=N`, `phase=P`, `begun` | waits for a plan | `yes` |
-//! | `until daemon=N basis=B` | waits for a daemon's basis | `yes` |
-//! | `until daemon=N counter=NAME min=M` | waits for a counter | `yes` |
-//! | `until daemon=N front=M` | waits until a daemon has this budget for pool front | `yes` |
-//! | `call daemon=N` | sends a request that runs at most once | what the caller is told |
-//! | `log away`, `back`, `lose-answers=N`, `double=N`, `delay-ms=N` | the log's faults | |
-//! | `log keep-snapshot`, `keep=N` | the log lets go of what is before its last snapshot, or all but the last records | |
-//! | `cut log=N`, `cut peers=N`, `cut boxes`, `mend …` | a daemon's links; that to the box list | |
-//! | `hold log=N` | a daemon's connections to the log stay open and carry nothing | |
-//! | `deafen daemon=N from=M` | heartbeats one way are lost | |
-//! | `slow peers=N ms=M`, `slow peers=N double` | a daemon's heartbeats: late, or twice | |
-//! | `kill daemon=N`, `start`, `pause`, `resume`; `kill worker=NAME` | processes | |
-//! | `driver plan=NAME do=kill`, `pause`, `resume` | the same for whoever drives the plan | |
-//! | `alike` | compares what the running daemons say of the fleet | `alike` or the difference |
-//! | `ledger` | compares what workers and callers saw | `clean` or what is broken |
+//! | `publish daemon=N front=M` | publishes a budget for pool `front` | `accepted` or the error |
+//! | `intent daemon=N as=NAME` + JSON | sends an intent | `planned` or the error |
+//! | `confirm daemon=N plan=NAME`, `abort …` | confirms or aborts a plan | `accepted` or the error |
+//! | `race first=NAME second=NAME` | confirms two plans concurrently, on daemons 0 and 1 | both results, sorted |
+//! | `until plan=NAME ended=N`, `phase=P`, `begun` | waits until a plan has N ended steps, a phase, or a started step | `yes` |
+//! | `until daemon=N basis=B` | waits until a daemon serves by this basis | `yes` |
+//! | `until daemon=N counter=NAME min=M` | waits until a counter is at least M | `yes` |
+//! | `until daemon=N front=M` | waits until a daemon has this budget for pool `front` | `yes` |
+//! | `call daemon=N` | sends a request that must run at most once | its outcome |
+//! | `log away`, `back`, `lose-answers=N`, `double=N`, `delay-ms=N` | sets the faults of the log | `set` |
+//! | `log keep-snapshot`, `keep=N` | the log drops what is before its last snapshot, or all but the last N records | `set` |
+//! | `cut log=N`, `cut peers=N`, `cut boxes`, `mend …` | cuts or restores a daemon's links, or that to the box list | `set` |
+//! | `hold log=N` | a daemon's connections to the log stay open but transfer nothing | `set` |
+//! | `deafen daemon=N from=M` | drops the heartbeats from one daemon to another | `set` |
+//! | `slow peers=N ms=M`, `slow peers=N double` | delays or duplicates the heartbeats from and to a daemon | `set` |
+//! | `kill daemon=N`, `start`, `pause`, `resume`; `kill worker=NAME` | controls the process of a daemon; kills a worker | `set` |
+//! | `driver plan=NAME do=kill`, `pause`, `resume` | the same for the daemon that drives the plan | `set` |
+//! | `alike` | compares the fleet as the running daemons show it | `alike` or the difference |
+//! | `ledger` | checks what workers and callers observed | `clean` or the violated guarantees |
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -43,21 +43,21 @@
 use crate::proxy::Fault;
 use crate::proxy::Flow;
 
-/// Runs the scenario file at `path` with daemons of `program`; panics where it differs.
+/// Runs the scenario files at `path` with daemons of `program`; panics where an output differs.
 pub fn run(program: &str, path: &str) {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime can be made");
-    let mut world = Scenario { program: program.to_owned(), ..Scenario::default() };
+    let mut scenario = Scenario { program: program.to_owned(), ..Scenario::default() };
     datadriven::walk(path, |file| {
         file.run(|case| {
-            let mut said = runtime.block_on(world.run_step(case));
-            case.expect_empty().expect("every argument is one of the word's");
-            said.push('\n');
-            said
+            let mut output = runtime.block_on(scenario.run_step(case));
+            case.expect_empty().expect("every argument is one of the directive's");
+            output.push('\n');
+            output
         });
     });
 }
 
-/// What a scenario has built up.
+/// The state of a scenario.
 #[derive(Default)]
 struct Scenario {
     program: String,
@@ -73,21 +73,21 @@
 where
     T::Err: std::error::Error + Send + Sync + 'static,
 {
-    case.take_arg(name).expect("the word has this argument")
+    case.take_arg(name).expect("the directive has this argument")
 }
 
 fn optional_arg<T: FromStr>(case: &mut TestCase, name: &str) -> Option<T>
 where
     T::Err: std::error::Error + Send + Sync + 'static,
 {
-    case.try_take_arg(name).expect("the argument can be read")
+    case.try_take_arg(name).expect("the argument can be parsed")
 }
 
 fn take_flag(case: &mut TestCase, name: &str) -> bool {
     case.take_flag(name).expect("the flag has no value")
 }
 
-/// The flags of `site` that are passed on to the daemons.
+/// The arguments of `site` that become flags of the daemons.
 const SITE_FLAGS: [&str; 3] = ["snapshot-every", "snapshot-s", "max-age-ms"];
 
 impl Scenario {
@@ -114,15 +114,15 @@
             "driver" => self.driver(case).await,
             "alike" => self.alike().await,
             "ledger" => self.ledger(),
-            word => panic!("there is no word {word}"),
+            directive => panic!("unknown directive {directive}"),
         }
     }
 
     async fn site(&mut self, case: &mut TestCase) -> String {
         self.daemons = required_arg(case, "daemons");
-        let given = SITE_FLAGS.map(|flag| (flag, optional_arg::<String>(case, flag)));
+        let arguments = SITE_FLAGS.map(|flag| (flag, optional_arg::<String>(case, flag)));
         let flags: Vec<(&'static str, String)> =
-            given.into_iter().filter_map(|(flag, value)| Some((flag, value?))).collect();
+            arguments.into_iter().filter_map(|(flag, value)| Some((flag, value?))).collect();
         let flags: Vec<(&'static str, &str)> =
             flags.iter().map(|(flag, value)| (*flag, value.as_str())).collect();
         let fixture = Fixture::start(&self.program, self.daemons, &flags).await;
@@ -140,7 +140,8 @@
             "[[pool]]\nname = \"front\"\naccount = \"clinics\"\nweigh = \"buffer\"\n\
              drain_limit_s = 15\nmaintenance_s = 2\nmax_out = {max_out}\n"
         );
-        // The ledger allows the larger budget while the change is under way.
+        // Both budgets may be in force while the change is under way, so the ledger allows the
+        // larger one.
         let ledger = &self.fixture().ledger;
         let before = ledger.max_out("front");
         ledger.set_max_out("front", before.max(max_out as usize));
@@ -187,7 +188,7 @@
         verdicts.join("\n")
     }
 
-    /// A daemon that runs, to ask about plans.
+    /// A running daemon, which can show plans.
     fn running_daemon(&self) -> usize {
         *self.running.first().expect("a daemon runs")
     }
@@ -203,15 +204,15 @@
     async fn until_plan(&self, case: &mut TestCase, name: &str) {
         let ended: Option<u64> = optional_arg(case, "ended");
         let phase: Option<String> = optional_arg(case, "phase");
-        let begun = take_flag(case, "begun");
+        let must_have_started = take_flag(case, "begun");
         let fixture = self.fixture();
         let daemon = self.running_daemon();
         let reached = async || {
             let plan = fixture.plan(daemon, self.plan_id(name)).await;
             let enough = ended.is_none_or(|ended| plan["finished"].as_u64() >= Some(ended));
-            let there = phase.as_ref().is_none_or(|phase| plan["phase"] == phase.as_str());
-            let started = !begun || has_started_step(&plan);
-            enough && there && started && plan["id"].is_string()
+            let in_phase = phase.as_ref().is_none_or(|phase| plan["phase"] == phase.as_str());
+            let started = !must_have_started || has_started_step(&plan);
+            enough && in_phase && started && plan["id"].is_string()
         };
         fixture.wait_until(&format!("plan {name} is so far"), reached).await;
     }
@@ -314,14 +315,14 @@
         "set".to_owned()
     }
 
-    /// The links to and from a daemon.
+    /// The links to and from a daemon, as pairs of sender and receiver.
     fn links_of(&self, daemon: usize) -> Vec<(usize, usize)> {
         let others = (0..self.daemons).filter(|other| *other != daemon);
         others.flat_map(|other| [(daemon, other), (other, daemon)]).collect()
     }
 
     fn process(&mut self, case: &mut TestCase) -> String {
-        let word = case.directive.clone();
+        let directive = case.directive.clone();
         if let Some(worker) = optional_arg::<String>(case, "worker") {
             let workers = &self.fixture().workers;
             let found = workers.iter().find(|own| own.listed.name.as_ref() == worker);
@@ -329,13 +330,13 @@
             return "set".to_owned();
         }
         let daemon = required_arg(case, "daemon");
-        self.control_daemon(&word, daemon);
+        self.control_daemon(&directive, daemon);
         "set".to_owned()
     }
 
-    fn control_daemon(&mut self, word: &str, daemon: usize) {
+    fn control_daemon(&mut self, directive: &str, daemon: usize) {
         let fixture = self.fixture.as_mut().expect("a scenario begins with a site");
-        match word {
+        match directive {
             "kill" => {
                 fixture.kill_daemon(daemon);
                 self.running.remove(&daemon);
@@ -352,22 +353,22 @@
                 fixture.signal(daemon, Signal::SIGCONT).expect("the daemon is there");
                 self.running.insert(daemon);
             }
-            word => panic!("there is no word {word}"),
+            directive => panic!("unknown directive {directive}"),
         }
     }
 
     async fn driver(&mut self, case: &mut TestCase) -> String {
-        let word: String = required_arg(case, "do");
+        let directive: String = required_arg(case, "do");
         if let Some(plan) = optional_arg::<String>(case, "plan") {
             let plan = self.fixture().plan(self.running_daemon(), self.plan_id(&plan)).await;
             self.driver = plan["holder"].as_u64().map(|holder| holder as usize);
         }
         let driver = self.driver.expect("the plan has a driver");
-        self.control_daemon(&word, driver);
+        self.control_daemon(&directive, driver);
         "set".to_owned()
     }
 
-    /// What the running daemons say, once all have applied the same.
+    /// Compares the views of the running daemons once all have applied the same records.
     async fn alike(&self) -> String {
         let fixture = self.fixture();
         let mut views = Vec::new();
@@ -376,8 +377,8 @@
             for daemon in &self.running {
                 views.push(daemon_view(fixture, *daemon).await);
             }
-            // The first and the last thing asked for is the offset: if it is the same everywhere and
-            // stayed the same, so did what was said in between.
+            // The first and the last element of each view are the daemon's offset: if they are all
+            // equal, the elements in between are of the same state.
             let ends = views.iter().flat_map(|view| [view.first(), view.last()]);
             let next: BTreeSet<String> = ends.map(|next| format!("{next:?}")).collect();
             next.len() == 1
@@ -393,7 +394,7 @@
     }
 }
 
-/// Position of the mark of the last snapshot that is whole.
+/// The offset of the mark of the last complete snapshot on the log.
 fn last_snapshot_mark(log: &Log) -> Option<Offset> {
     let mut last = None;
     for (_, bytes) in log.records() {
@@ -416,7 +417,7 @@
     steps.is_some_and(|steps| steps.iter().any(|step| step["progress"].get("out").is_some()))
 }
 
-/// What a daemon says of the fleet, between two readings of its offset.
+/// The fleet as a daemon shows it, between two readings of its offset.
 async fn daemon_view(fixture: &Fixture, daemon: usize) -> Vec<Value> {
     let next =
         async || fixture.call_operator_api(daemon, "GET", "/v1/status", "").await.1["next"].clone();
@@ -428,7 +429,7 @@
     views
 }
 
-/// An operator's answer in one line, without ids and positions.
+/// An operator's answer in one line, without ids and offsets.
 fn verdict((status, answer): &(u16, Value)) -> String {
     if *status == 200 {
         return "accepted".to_owned();
--- a/testutils/src/site.rs
+++ b/testutils/src/site.rs
@@ -1,4 +1,4 @@
-//! The two sites of the first users, in the sizes they have today.
+//! Descriptions of two sites of production size.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -10,9 +10,9 @@
 
 use crate::ledger;
 
-/// Slots of a box.
+/// Request slots of a box.
 pub const SLOTS_PER_BOX: u32 = 8;
-/// Memory of a box, in MB.
+/// Memory of a box, in megabytes.
 pub const MEMORY_MB: u32 = 128 * 1024;
 /// Boxes in a rack.
 pub const BOXES_PER_RACK: usize = 4;
@@ -24,7 +24,7 @@
     pub name: &'static str,
     /// Its halls.
     pub halls: &'static [&'static str],
-    /// Which measure comes first.
+    /// The measure that plans minimise first, as the configuration names it.
     pub weigh: &'static str,
     /// Its pools.
     pub pools: &'static [Pool],
@@ -37,11 +37,11 @@
     pub name: &'static str,
     /// The account that owns it.
     pub account: &'static str,
-    /// Boxes in it.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Boxes that may be out.
+    /// Largest number of boxes that may be out of service.
     pub max_out: usize,
-    /// Its services, each with its slots on a box.
+    /// Its services, each with the slots that it has on a box.
     pub services: &'static [(&'static str, u32)],
 }
 
@@ -106,22 +106,22 @@
 };
 
 impl Site {
-    /// The site of this name.
+    /// The site of this name, if there is one.
     pub fn named(name: &str) -> Option<Site> {
         [ULAANBAATAR, DAKAR].into_iter().find(|site| site.name == name)
     }
 
-    /// How many boxes it has.
+    /// The number of boxes.
     pub fn size(&self) -> usize {
         self.pools.iter().map(|pool| pool.boxes).sum()
     }
 
-    /// The box list, each box on an address of its own with a port chosen when it starts.
+    /// The box list; each box has its own address, with a port chosen when it starts.
     pub fn boxes(&self) -> Vec<ListedBox> {
         (0..self.size()).map(|index| self.listed(index)).collect()
     }
 
-    /// Racks are dealt to the halls in turn, so that the boxes of each pool lie in all of them.
+    /// Racks are assigned to the halls in turn, so that each pool has boxes in all halls.
     fn listed(&self, index: usize) -> ListedBox {
         let rack = index / BOXES_PER_RACK;
         let hall = self.halls[rack % self.halls.len()];
@@ -176,7 +176,7 @@
         text
     }
 
-    /// The pools as the ledger judges them.
+    /// The pools, by which the ledger checks budgets.
     pub fn ledger_pools(&self) -> Vec<ledger::Pool> {
         let pool = |pool: &Pool| ledger::Pool {
             name: pool.name.to_owned(),
@@ -191,17 +191,17 @@
     }
 }
 
-/// Name of a box.
+/// The name of a box.
 pub fn box_name(index: usize) -> String {
     format!("box-{index:03}")
 }
 
-/// The secret with which an account's callers call.
+/// The secret of an account's callers.
 pub fn caller_secret(account: &str) -> String {
     format!("{account}-caller-secret")
 }
 
-/// The secret with which an account's operators operate.
+/// The secret of an account's operators.
 pub fn operator_secret(account: &str) -> String {
     format!("{account}-operator-secret")
 }
--- a/testutils/src/temp_file.rs
+++ b/testutils/src/temp_file.rs
@@ -1,12 +1,12 @@
-//! Files of tests.
+//! Temporary files for tests.
 
 use std::path::PathBuf;
 
-/// A file of a test's own among the temporary files, removed at its end.
+/// A temporary file of one test, removed when dropped.
 pub struct TempFile(PathBuf);
 
 impl TempFile {
-    /// Writes a file; `name` tells it from others of the same process.
+    /// Writes a file; `name` distinguishes it from others of the same process.
     ///
     /// ```
     /// let file = spokelift_testutils::temp_file::TempFile::new("job.toml", "spec = \"x\"");
@@ -15,20 +15,20 @@
     ///
     /// # Panics
     ///
-    /// If it cannot be written.
+    /// If the file cannot be written.
     pub fn new(name: &str, text: &str) -> TempFile {
         let path = std::env::temp_dir().join(format!("spokelift-{}-{name}", std::process::id()));
         std::fs::write(&path, text).expect("temporary files can be written");
         TempFile(path)
     }
 
-    /// Where it lies.
+    /// The path of the file.
     ///
     /// # Panics
     ///
-    /// If the directory for temporary files has a name that is no text.
+    /// If the path of the directory for temporary files is not UTF-8.
     pub fn path(&self) -> &str {
-        self.0.to_str().expect("the directory's name is text")
+        self.0.to_str().expect("the path is valid UTF-8")
     }
 }
 
--- a/testutils/src/worker.rs
+++ b/testutils/src/worker.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a worker: an HTTP server that runs jobs' requests, drains, reboots and dies.
+//! Stand-in for a worker: an HTTP server that runs requests, drains, reboots and can be killed.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -42,17 +42,17 @@
 use crate::log::empty_response;
 use crate::log::json_response;
 
-/// Header in which a caller gives its token; it comes back in the answer.
+/// Header with the caller's token, repeated in the answer.
 pub const TOKEN: &str = "x-token";
-/// Header in which a caller says how long its request runs, in milliseconds.
+/// Header with the run time of the request, in milliseconds.
 pub const RUN_MS: &str = "x-run-ms";
-/// Pause between attempts to take the address again after a reboot.
+/// Pause between attempts to bind the same address again after a reboot.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A running worker. Clones are the same worker.
+/// A running worker. Clones share the same worker.
 #[derive(Clone)]
 pub struct Worker {
-    /// What the box list says of it.
+    /// Its entry in the box list.
     pub listed: ListedBox,
     inner: Arc<Inner>,
 }
@@ -77,19 +77,19 @@
     faults: Faults,
 }
 
-/// What is wrong with the worker at the moment.
+/// Faults of the worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Answers carry another request's id.
+    /// Whether answers carry another request's id.
     pub wrong_id: bool,
-    /// Answers are cut off in the middle.
+    /// Whether answers are cut off in the middle.
     pub truncate_answer: bool,
-    /// Every request takes this much longer.
+    /// Additional run time of every request.
     pub extra_delay: Duration,
 }
 
 impl Worker {
-    /// Starts a worker on the address its listing names; port 0 lets the system choose.
+    /// Starts a worker on the address of its entry; port 0 lets the system choose.
     pub async fn start(
         mut listed: ListedBox,
         ledger: Ledger,
@@ -116,31 +116,31 @@
             let _stop = stop;
             serve(listener, stopped, handler).await;
         });
-        *self.inner.server.lock().expect("no holder panics") = Some(task);
+        *self.inner.server.lock().expect("no thread panics while it holds the lock") = Some(task);
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.inner.state.lock().expect("no holder panics")
+        self.inner.state.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// Sets what is wrong from now on.
+    /// Sets the faults from now on.
     pub fn set_faults(&self, faults: Faults) {
         self.state().faults = faults;
     }
 
-    /// Ends the worker at once and for good.
+    /// Kills the worker; it does not come back.
     pub fn kill(&self) {
         self.state().is_dead = true;
         self.inner.ledger.record_death(&self.listed.name);
         self.stop_server();
     }
 
-    /// Requests begun so far.
+    /// Number of requests started so far.
     pub fn started_requests(&self) -> u64 {
         self.state().started_requests
     }
 
-    /// What it says of itself.
+    /// The status that it reports.
     pub fn status(&self) -> Status {
         let state = self.state();
         Status {
@@ -152,9 +152,10 @@
         }
     }
 
-    /// Closes the door and every connection.
+    /// Closes the listener and every connection.
     fn stop_server(&self) {
-        let server = self.inner.server.lock().expect("no holder panics").take();
+        let server =
+            self.inner.server.lock().expect("no thread panics while it holds the lock").take();
         if let Some(server) = server {
             server.abort();
         }
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Carries out a command, unless a later one was seen.
+    /// Executes a command; refuses one with a lower fencing token than an earlier command had.
     fn handle_command(&self, command: Command) -> Response<Body> {
         {
             let mut state = self.state();
@@ -208,8 +209,8 @@
                 state.jobs = jobs;
             }
             Action::Reboot { operation } => {
-                let known = [state.reboot_in_progress, state.last_reboot];
-                if !known.contains(&Some(operation)) {
+                let ordered = [state.reboot_in_progress, state.last_reboot];
+                if !ordered.contains(&Some(operation)) {
                     state.reboot_in_progress = Some(operation);
                     tokio::spawn(self.clone().reboot());
                 }
@@ -235,7 +236,7 @@
     }
 }
 
-/// A request under way; dropped when it ends or its connection does.
+/// A running request; dropped when it ends or its connection closes.
 struct RunningRequest {
     worker: Worker,
     token: Token,
@@ -307,17 +308,17 @@
         if self.state().draining {
             response = response.header(LEAVING, "true");
         }
-        let whole = format!("{token} ran {} bytes", body.len());
+        let answer_text = format!("{token} ran {} bytes", body.len());
         let body = if faults.truncate_answer {
-            truncated_body(whole.len() as u64, whole.into_bytes()[..3].to_vec().into())
+            truncated_body(answer_text.len() as u64, answer_text.into_bytes()[..3].to_vec().into())
         } else {
-            full(whole)
+            full(answer_text)
         };
-        response.body(body).expect("numbers and digits make headers")
+        response.body(body).expect("numbers and ids are valid header values")
     }
 }
 
-/// A body that announces `length` bytes and ends in an error after `start`.
+/// A body that declares `length` bytes and ends in an error after `start`.
 fn truncated_body(length: u64, start: Bytes) -> Body {
     TruncatedBody { length, start: Some(start) }.boxed_unsync()
 }
