--- a/cli/tests/test_deviant.rs
+++ b/cli/tests/test_deviant.rs
@@ -1,4 +1,4 @@
-//! A daemon whose state differs from the others' finds out and takes theirs.
+//! A daemon whose state diverges from the others' detects that and adopts their state.
 
 use bytes::Bytes;
 use spokelift_lib::state::record::Batch;
@@ -9,7 +9,8 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeliftd");
 
-/// The same batch with another budget, as a daemon with a fault in its rules might have it.
+/// The batch with another drain limit for each pool, as a daemon that applies records incorrectly
+/// might have it.
 fn altered(bytes: &Bytes) -> Bytes {
     let Ok(mut batch) = Batch::decode(bytes) else {
         return bytes.clone();
@@ -27,30 +28,30 @@
 }
 
 #[tokio::test]
-async fn a_deviant_daemon_rebuilds_itself_from_the_majority() {
+async fn a_diverged_daemon_rebuilds_its_state_from_the_majority() {
     let mut fixture = Fixture::start(PROGRAM, 3, &[("snapshot-every", "16")]).await.unwrap();
     fixture.set_up().await;
-    // Daemon 2 starts anew on a log that tells the same story with one word changed.
-    let other = Log::start().await.unwrap();
-    let copied = fixture.log.records();
-    for (_, bytes) in &copied {
-        other.put(altered(bytes));
+    // Daemon 2 restarts with a log that differs in one value from that of the others.
+    let altered_log = Log::start().await.unwrap();
+    let records = fixture.log.records();
+    for (_, bytes) in &records {
+        altered_log.put(altered(bytes));
     }
     fixture.kill_daemon(2);
-    fixture.log_links[2].set_upstream(other.addr);
+    fixture.log_links[2].set_upstream(altered_log.addr);
     fixture.start_daemon(2).unwrap();
     let basis = async || {
         let (_, status) = fixture.call_operator_api(2, "GET", "/v1/status", "").await;
         status["basis"] == "log"
     };
     fixture.wait_until("daemon 2 has read the other log", basis).await;
-    // From here on it reads the true log again, which has grown meanwhile at most.
+    // From here on it reads the original log, which may only have grown since.
     fixture.log_links[2].set_upstream(fixture.log.addr);
-    other.stop();
+    altered_log.stop();
     fixture.log_links[2]
         .set_fault(spokelift_testutils::proxy::Fault { refuse: true, ..Default::default() });
     fixture.log_links[2].set_fault(spokelift_testutils::proxy::Fault::default());
-    // Enough changes for another snapshot mark.
+    // Enough changes to trigger another snapshot mark.
     for round in 0..20 {
         let text =
             fixture.site.config().replace("max_out = 2", &format!("max_out = {}", 1 + round % 2));
--- a/cli/tests/test_reborn.rs
+++ b/cli/tests/test_reborn.rs
@@ -1,8 +1,9 @@
-//! Workers that start again under the id that they had, with real daemons on the stand-in of the users' platform.
+//! Workers that keep their id across a restart, with real daemons on the stand-in platform.
 //!
-//! What happens: such a worker holds and knows nothing of before, and its clock and the numbers of its ends start anew.
-//! Callers saw tasks that were done and were run again, and accepted jobs that stood still while workers had room.
-//! Why: everything that was kept about a worker was kept by its id, and so outlived the life that it was about.
+//! Such a worker has no state of before the restart, and its clock and the numbers of its ends
+//! start again. Guards against tasks that were done and run again, and against accepted jobs that
+//! make no progress although workers have free resources. Both come about if a worker's state is
+//! kept by its id alone, and so outlives the incarnation that it describes.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,12 +20,12 @@
 use tokio::time::sleep;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeliftd");
-/// How long a life that begins after a pause is awaited.
-const PAUSE: Duration = Duration::from_millis(700);
-/// By how much the clock of a life is ahead of the one before, in milliseconds.
-const AHEAD: u64 = 60_000;
+/// Pause before the next incarnation starts.
+const RESTART_PAUSE: Duration = Duration::from_millis(700);
+/// How far the clock of an incarnation is ahead of its predecessor's, in milliseconds.
+const CLOCK_ADVANCE_MS: u64 = 60_000;
 
-/// A job of one step; each task runs for `millis`.
+/// A job of one step whose tasks run for `millis` milliseconds each.
 fn job(tasks: u32, millis: u32) -> Value {
     let step = json!({ "count": tasks, "cpu": 500, "memMb": 100, "estimateMs": millis });
     json!({ "spec": format!("ms={millis} cpu=500 mem=100"), "steps": [step] })
@@ -34,187 +35,198 @@
     format!("{number:016x}")
 }
 
-fn assert_sound(site: &Site) {
+fn assert_no_violations(site: &Site) {
     assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
 
-/// A site with one worker that has told of so many ends, some of which its scheduler has acknowledged.
-async fn site_after(ends: u32) -> Site {
+/// A site with one worker that has reported `ends` ends, some of which its scheduler has
+/// acknowledged.
+async fn start_site_with_ends(ends: u32) -> Site {
     let site = Site::start(PROGRAM, 1, 1, 0).await.unwrap();
     site.submit_until_accepted(&id(1), job(ends, 50)).await;
     site.wait_until_succeeded(&id(1)).await;
     site
 }
 
-/// A later life whose clock is ahead of the one before.
-fn ahead(site: &Site) -> StartOptions {
-    let before = site.machines.worker("m-0").expect("a worker lives there");
-    StartOptions { clock_ms: before.clock_ms() + AHEAD, ..StartOptions::default() }
+/// Options of an incarnation whose clock is ahead of its predecessor's.
+fn with_clock_ahead(site: &Site) -> StartOptions {
+    let predecessor = site.machines.worker("m-0").expect("the machine has a worker");
+    StartOptions { clock_ms: predecessor.clock_ms() + CLOCK_ADVANCE_MS, ..StartOptions::default() }
 }
 
-/// What happens: a task is done on a later life, and is started again there after one or two looks.
-/// Why: its end has a number that the earlier life had told, so it counts as heard, and the next look acknowledges it.
-/// Shown by: `another life answers under this id ... last_end=0 last_end_before=12`, `start ... run=1` and `run=2`
-/// of one task 2.4 s apart.
+/// Guards against a task that was done on a later incarnation and is started again one or two polls
+/// later. Its end has a number that the earlier incarnation reported, so it counts as received, and
+/// the next poll acknowledges it without its being processed. The log shows `another incarnation
+/// answers under this id` with `last_end=0 last_end_before=12`, and two starts of one task 2.4 s
+/// apart.
 #[tokio::test]
-async fn a_task_that_a_later_life_has_done_is_not_started_again() {
-    let site = site_after(12).await;
-    site.machines.restart("m-0", PAUSE, ahead(&site)).await;
+async fn a_task_done_on_a_later_incarnation_is_not_started_again() {
+    let site = start_site_with_ends(12).await;
+    site.machines.restart("m-0", RESTART_PAUSE, with_clock_ahead(&site)).await;
     site.submit_until_accepted(&id(2), job(4, 100)).await;
     site.wait_until_succeeded(&id(2)).await;
-    assert_sound(&site);
+    assert_no_violations(&site);
     assert_eq!(site.ledger.starts_of(&id(2)), 4);
 }
 
-/// What happens: nothing on a later life is ever heard of, and what it is given stands still.
-/// Why: its clock is behind that of the earlier one, so each of its answers counts as one that was overtaken.
-/// Shown by: `another life answers under this id ... clock=900 clock_before=5200`, no line after it.
+/// Guards against a later incarnation whose answers are all ignored, so that its tasks make no
+/// progress. Its clock is behind that of the earlier one, so each of its answers counts as
+/// outdated. The log shows `another incarnation answers under this id` with `clock=900
+/// clock_before=5200`, and nothing of the worker after it.
 #[tokio::test]
-async fn a_later_life_whose_clock_is_behind_is_heard() {
-    let site = site_after(4).await;
-    site.machines.restart("m-0", PAUSE, ahead(&site)).await;
+async fn answers_of_a_later_incarnation_count_if_its_clock_is_behind() {
+    let site = start_site_with_ends(4).await;
+    site.machines.restart("m-0", RESTART_PAUSE, with_clock_ahead(&site)).await;
     site.submit_until_accepted(&id(2), job(8, 100)).await;
     site.wait_until("tasks run", async |site| site.ledger.starts_of(&id(2)) > 0).await;
-    let birth = StartOptions { clock_ms: 10, ..StartOptions::default() };
-    site.machines.restart("m-0", PAUSE, birth).await;
+    let options = StartOptions { clock_ms: 10, ..StartOptions::default() };
+    site.machines.restart("m-0", RESTART_PAUSE, options).await;
     site.submit_until_accepted(&id(3), job(4, 100)).await;
     site.wait_until_succeeded(&id(3)).await;
     assert_eq!(site.ledger.starts_of(&id(3)), 4);
 }
 
-/// The same where the later life begins at once, so that no look fails, beside tasks that ran on the earlier one.
+/// As above, with an incarnation that starts at once, so that no poll fails, and tasks that run on
+/// the earlier one.
 #[tokio::test]
-async fn what_ran_on_an_earlier_life_is_run_again_and_holds_no_room() {
-    let site = site_after(4).await;
+async fn tasks_of_an_earlier_incarnation_run_again_and_hold_no_resources() {
+    let site = start_site_with_ends(4).await;
     site.submit_until_accepted(&id(2), job(16, 1_500)).await;
     site.wait_until("tasks run", async |site| site.ledger.running_tasks(&id(2)) == 16).await;
-    let birth = StartOptions { clock_ms: 10, ..StartOptions::default() };
-    site.machines.restart("m-0", Duration::ZERO, birth).await;
+    let options = StartOptions { clock_ms: 10, ..StartOptions::default() };
+    site.machines.restart("m-0", Duration::ZERO, options).await;
     site.wait_until_succeeded(&id(2)).await;
-    assert_sound(&site);
+    assert_no_violations(&site);
     assert_eq!(site.ledger.starts_of(&id(2)), 32);
 }
 
-/// Its time of day was set back meanwhile, so that the later life says that it is the older one.
+/// The time of day of the machine was set back in between, so the later incarnation reports an
+/// earlier birth time.
 #[tokio::test]
-async fn a_later_life_may_be_born_before_the_earlier_one_by_its_own_account() {
-    let site = site_after(12).await;
-    let birth = ahead(&site);
-    let birth = StartOptions { birth_ms: birth.birth_ms - 3_600_000, ..birth };
-    site.machines.restart("m-0", PAUSE, birth).await;
+async fn a_later_incarnation_may_report_an_earlier_birth_time() {
+    let site = start_site_with_ends(12).await;
+    let options = with_clock_ahead(&site);
+    let options = StartOptions { birth_ms: options.birth_ms - 3_600_000, ..options };
+    site.machines.restart("m-0", RESTART_PAUSE, options).await;
     site.submit_until_accepted(&id(2), job(4, 100)).await;
     site.wait_until_succeeded(&id(2)).await;
-    assert_sound(&site);
+    assert_no_violations(&site);
 }
 
-/// What happens: the worker is never called again. Why: the entry of a known id changed what was known of the worker,
-/// but not the address at which it is called.
+/// Guards against a worker that is never called again: the entry of a known id updates everything
+/// about the worker but its address.
 #[tokio::test]
-async fn a_later_life_is_called_where_it_is() {
-    let site = site_after(4).await;
-    let birth = StartOptions { reuses_address: false, ..ahead(&site) };
-    site.machines.restart("m-0", PAUSE, birth).await;
+async fn a_later_incarnation_is_called_at_its_own_address() {
+    let site = start_site_with_ends(4).await;
+    let options = StartOptions { reuses_address: false, ..with_clock_ahead(&site) };
+    site.machines.restart("m-0", RESTART_PAUSE, options).await;
     site.submit_until_accepted(&id(2), job(4, 100)).await;
     site.wait_until_succeeded(&id(2)).await;
-    assert_sound(&site);
+    assert_no_violations(&site);
 }
 
-/// What happens: a task runs twice at once. Why: a start that had no answer is stopped at the life that it was sent to,
-/// and its task is started elsewhere; carried out late, the order meets the next life, which knows of no stop.
+/// Guards against a task that runs twice at once. A start without an answer is stopped at the
+/// incarnation that it was sent to, and its task is started elsewhere. Executed late, the start
+/// reaches the next incarnation, which knows of no stop.
 #[tokio::test]
-async fn a_start_that_is_carried_out_late_does_nothing_at_a_later_life() {
+async fn a_start_executed_late_has_no_effect_on_a_later_incarnation() {
     let site = Site::start(PROGRAM, 1, 2, 0).await.unwrap();
     let worker = site.machines.worker("m-0").unwrap();
     let other = site.machines.worker("m-1").unwrap();
-    // Only the first worker has room, so the start goes there.
+    // Only the first worker has free resources, so the start goes there.
     other.set_cpu(0, true);
     sleep(Duration::from_millis(900)).await;
     worker.set_fault(Fault::LateStarts);
     site.submit_until_accepted(&id(1), job(1, 6_000)).await;
-    let sent = Instant::now();
-    sleep(PAUSE).await;
+    let submitted_at = Instant::now();
+    sleep(RESTART_PAUSE).await;
     other.set_cpu(8_000, true);
     site.wait_until("it is started elsewhere", async |site| site.ledger.running_tasks(&id(1)) == 1)
         .await;
-    let birth = StartOptions { clock_ms: 10, ..StartOptions::default() };
-    site.machines.restart("m-0", Duration::ZERO, birth).await;
-    sleep((LATE_START_DELAY + PAUSE).saturating_sub(sent.elapsed())).await;
-    assert_sound(&site);
+    let options = StartOptions { clock_ms: 10, ..StartOptions::default() };
+    site.machines.restart("m-0", Duration::ZERO, options).await;
+    sleep((LATE_START_DELAY + RESTART_PAUSE).saturating_sub(submitted_at.elapsed())).await;
+    assert_no_violations(&site);
     site.wait_until_succeeded(&id(1)).await;
-    assert_sound(&site);
+    assert_no_violations(&site);
     assert_eq!(site.ledger.starts_of(&id(1)), 1);
 }
 
-/// A worker starts again while the lead passes on: the next scheduler knows it by what the store has of its earlier life.
+/// A worker restarts during a takeover: the next leader knows it from the stored records of its
+/// earlier incarnation.
 #[tokio::test]
-async fn a_later_life_beside_a_takeover_is_told_from_the_one_before() {
+async fn a_later_incarnation_during_a_takeover_is_distinguished_from_the_earlier_one() {
     let site = Site::start(PROGRAM, 2, 2, 0).await.unwrap();
     site.submit_until_accepted(&id(1), job(16, 50)).await;
     site.wait_until_succeeded(&id(1)).await;
     site.submit_until_accepted(&id(2), job(16, 2_000)).await;
     site.wait_until("tasks run", async |site| site.ledger.running_tasks(&id(2)) == 16).await;
-    let leader = site.leader().expect("a node schedules");
+    let leader = site.leader().expect("there is a leader");
     site.nodes[leader].signal(Signal::SIGKILL).unwrap();
-    let birth = StartOptions { clock_ms: 10, ..StartOptions::default() };
-    site.machines.restart("m-0", PAUSE, birth).await;
+    let options = StartOptions { clock_ms: 10, ..StartOptions::default() };
+    site.machines.restart("m-0", RESTART_PAUSE, options).await;
     site.wait_until_succeeded(&id(2)).await;
     site.submit_until_accepted(&id(3), job(16, 50)).await;
     site.wait_until_succeeded(&id(3)).await;
-    assert_sound(&site);
+    assert_no_violations(&site);
 }
 
-/// Carriers on other nodes tell lives apart as the scheduler's own one does.
+/// Dispatchers on other nodes distinguish incarnations as the leader's own dispatcher does.
 #[tokio::test]
-async fn later_lives_are_told_from_the_ones_before_by_carriers_on_other_nodes() {
+async fn remote_dispatchers_distinguish_later_incarnations_from_earlier_ones() {
     let site = Site::start_sharded(PROGRAM, 3, 4, 0, 1).await.unwrap();
     site.submit_until_accepted(&id(1), job(40, 50)).await;
     site.wait_until_succeeded(&id(1)).await;
     site.submit_until_accepted(&id(2), job(40, 1_500)).await;
     site.wait_until("tasks run", async |site| site.ledger.running_tasks(&id(2)) == 40).await;
-    // Tasks that have run for a while are not taken to have brought down their workers.
+    // Tasks that have run for a while are not suspected of crashing their workers.
     sleep(Duration::from_millis(400)).await;
-    let births = [10, 50_000, 10, 50_000].into_iter().enumerate().map(|(number, clock_ms)| {
-        let birth =
+    let restarts = [10, 50_000, 10, 50_000].into_iter().enumerate().map(|(number, clock_ms)| {
+        let options =
             StartOptions { clock_ms, reuses_address: number < 2, ..StartOptions::default() };
         let machines = site.machines.clone();
-        async move { machines.restart(&format!("m-{number}"), PAUSE, birth).await }
+        async move { machines.restart(&format!("m-{number}"), RESTART_PAUSE, options).await }
     });
-    join_all(births).await;
+    join_all(restarts).await;
     site.wait_until_succeeded(&id(2)).await;
     site.submit_until_accepted(&id(3), job(40, 50)).await;
     site.wait_until_succeeded(&id(3)).await;
-    assert_sound(&site);
+    assert_no_violations(&site);
 }
 
-/// The list of boxes names ids only, so a box that is back from its upkeep is listed as it was before.
+/// The machine list contains only ids, so a box that is back from maintenance is listed as before.
 #[tokio::test]
-async fn a_wave_ends_where_boxes_come_back_with_the_ids_that_they_had() {
+async fn a_wave_ends_if_boxes_return_with_the_same_worker_ids() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     site.machines.reuse_ids();
-    let lasting = json!({ "count": 4, "cpu": 500, "memMb": 100, "estimateMs": 100, "longRunning": true, "may_miss": 2 });
-    site.submit_until_accepted(&id(1), json!({ "spec": "cpu=500 mem=100", "steps": [lasting] }))
-        .await;
+    let long_running_step = json!({ "count": 4, "cpu": 500, "memMb": 100, "estimateMs": 100, "longRunning": true, "may_miss": 2 });
+    site.submit_until_accepted(
+        &id(1),
+        json!({ "spec": "cpu=500 mem=100", "steps": [long_running_step] }),
+    )
+    .await;
     site.wait_until("its tasks run", async |site| site.ledger.running_tasks(&id(1)) == 4).await;
     let machines: Vec<String> = (0..4).map(|number| format!("m-{number}")).collect();
     site.request_wave(7, &machines, 1);
-    site.wait_until("the wave is over", async |site| site.has_wave_succeeded(7)).await;
+    site.wait_until("the wave has succeeded", async |site| site.has_wave_succeeded(7)).await;
     assert_eq!(site.machines.maintenance_counts(7), (4, 1));
     site.wait_until("its tasks run", async |site| site.ledger.running_tasks(&id(1)) == 4).await;
     site.submit_until_accepted(&id(2), job(8, 50)).await;
     site.wait_until_succeeded(&id(2)).await;
-    assert_sound(&site);
+    assert_no_violations(&site);
 }
 
-/// What a later life says of itself in the store is not read for a while; its answers alone tell that it is there.
+/// The entry of a later incarnation cannot be read for a while; only its answers show that it is
+/// there.
 #[tokio::test]
-async fn a_later_life_whose_entry_cannot_be_read_is_known_and_takes_no_work_until_it_can() {
-    let site = site_after(12).await;
+async fn a_later_incarnation_gets_no_work_until_its_entry_can_be_read() {
+    let site = start_site_with_ends(12).await;
     site.nodes[0].store_endpoint.set_fault(store::Fault::Unresponsive);
-    site.machines.restart("m-0", PAUSE, ahead(&site)).await;
-    sleep(PAUSE).await;
+    site.machines.restart("m-0", RESTART_PAUSE, with_clock_ahead(&site)).await;
+    sleep(RESTART_PAUSE).await;
     site.nodes[0].store_endpoint.set_fault(store::Fault::None);
     site.submit_until_accepted(&id(2), job(4, 100)).await;
     site.wait_until_succeeded(&id(2)).await;
-    assert_sound(&site);
+    assert_no_violations(&site);
     assert_eq!(site.ledger.starts_of(&id(2)), 4);
 }
--- a/cli/tests/test_shares.rs
+++ b/cli/tests/test_shares.rs
@@ -1,5 +1,5 @@
-//! Real daemons that share out the workers: nodes that look after workers for the scheduler are killed,
-//! paused and cut off, and no task runs twice or is lost.
+//! Shards of workers, with real daemons: dispatchers on other nodes are killed, paused and stopped,
+//! and no task runs twice or is lost.
 
 use std::time::Duration;
 
@@ -23,42 +23,42 @@
     format!("{number:016x}")
 }
 
-/// The shares as operators see them.
-async fn shares(site: &Site) -> Vec<view::Shard> {
+/// The shards as operators see them.
+async fn shards(site: &Site) -> Vec<view::Shard> {
     let text = site.operator_view("shares").await.unwrap_or_default();
     serde_json::from_str(&text).unwrap_or_default()
 }
 
-/// Whether other nodes than the scheduler's look after all workers that there are. Boxes that have nothing
-/// to do are switched off, so these may be fewer than at the start.
-async fn all_elsewhere(site: &Site) -> bool {
-    let shares = shares(site).await;
+/// Whether other nodes than the leader dispatch to all workers. Idle boxes are switched off, so
+/// there may be fewer workers than at the start.
+async fn is_all_dispatched_remotely(site: &Site) -> bool {
+    let shards = shards(site).await;
     let (others, own): (Vec<_>, Vec<_>) =
-        shares.iter().partition(|share| share.dispatcher.is_some());
-    own.iter().all(|share| share.workers == 0) && others.iter().any(|share| share.workers > 0)
+        shards.iter().partition(|shard| shard.dispatcher.is_some());
+    own.iter().all(|shard| shard.workers == 0) && others.iter().any(|shard| shard.workers > 0)
 }
 
-async fn start() -> Site {
+async fn start_site() -> Site {
     let site = Site::start_sharded(PROGRAM, NODES, WORKERS, 0, 2).await.unwrap();
-    site.wait_until("other nodes look after all workers", all_elsewhere).await;
+    site.wait_until("other nodes dispatch to all workers", is_all_dispatched_remotely).await;
     site
 }
 
-/// A node that looks after workers, and how many.
-async fn carrier(site: &Site) -> usize {
-    let shares = shares(site).await;
-    let addr = shares.iter().filter(|share| share.workers > 0).find_map(|share| share.dispatcher);
-    let addr = addr.expect("a node looks after workers");
+/// The index of a node that dispatches to workers.
+async fn dispatcher_node(site: &Site) -> usize {
+    let shards = shards(site).await;
+    let addr = shards.iter().filter(|shard| shard.workers > 0).find_map(|shard| shard.dispatcher);
+    let addr = addr.expect("a node dispatches to workers");
     site.nodes.iter().position(|node| node.operator_addr.ip() == addr.ip()).unwrap()
 }
 
-async fn submit(site: &Site, numbers: std::ops::Range<u64>) {
+async fn submit_jobs(site: &Site, numbers: std::ops::Range<u64>) {
     for number in numbers {
         site.submit_until_accepted(&id(number), job(4, 300)).await;
     }
 }
 
-async fn all_succeed(site: &Site, numbers: std::ops::Range<u64>) {
+async fn assert_all_succeed(site: &Site, numbers: std::ops::Range<u64>) {
     for number in numbers {
         site.wait_until_succeeded(&id(number)).await;
     }
@@ -66,63 +66,63 @@
 }
 
 #[tokio::test]
-async fn jobs_run_where_other_nodes_look_after_the_workers() {
-    let site = start().await;
-    submit(&site, 0..4).await;
-    all_succeed(&site, 0..4).await;
+async fn jobs_run_with_dispatchers_on_other_nodes() {
+    let site = start_site().await;
+    submit_jobs(&site, 0..4).await;
+    assert_all_succeed(&site, 0..4).await;
     assert_eq!(site.ledger.start_count(), 32);
-    assert!(all_elsewhere(&site).await);
+    assert!(is_all_dispatched_remotely(&site).await);
 }
 
 #[tokio::test]
-async fn the_workers_of_a_killed_node_go_to_others() {
-    let site = start().await;
-    submit(&site, 0..3).await;
-    let victim = carrier(&site).await;
-    site.nodes[victim].kill();
-    submit(&site, 3..6).await;
-    all_succeed(&site, 0..6).await;
-    site.wait_until("other nodes look after all workers again", all_elsewhere).await;
+async fn workers_of_a_killed_dispatcher_are_reassigned() {
+    let site = start_site().await;
+    submit_jobs(&site, 0..3).await;
+    let dispatcher = dispatcher_node(&site).await;
+    site.nodes[dispatcher].kill();
+    submit_jobs(&site, 3..6).await;
+    assert_all_succeed(&site, 0..6).await;
+    site.wait_until("other nodes dispatch to all workers again", is_all_dispatched_remotely).await;
 }
 
 #[tokio::test]
-async fn a_node_that_was_paused_has_lost_its_workers_and_does_no_harm() {
-    let site = start().await;
-    let victim = carrier(&site).await;
-    submit(&site, 0..3).await;
-    site.nodes[victim].signal(Signal::SIGSTOP).unwrap();
-    submit(&site, 3..6).await;
+async fn a_paused_dispatcher_loses_its_workers_and_starts_no_task_twice() {
+    let site = start_site().await;
+    let dispatcher = dispatcher_node(&site).await;
+    submit_jobs(&site, 0..3).await;
+    site.nodes[dispatcher].signal(Signal::SIGSTOP).unwrap();
+    submit_jobs(&site, 3..6).await;
     sleep(Duration::from_millis(2_500)).await;
-    site.nodes[victim].signal(Signal::SIGCONT).unwrap();
-    submit(&site, 6..9).await;
-    all_succeed(&site, 0..9).await;
+    site.nodes[dispatcher].signal(Signal::SIGCONT).unwrap();
+    submit_jobs(&site, 6..9).await;
+    assert_all_succeed(&site, 0..9).await;
 }
 
 #[tokio::test]
-async fn jobs_survive_the_death_of_the_scheduler_whose_workers_others_look_after() {
-    let site = start().await;
-    submit(&site, 0..4).await;
+async fn jobs_survive_a_crash_of_the_leader_with_remote_dispatchers() {
+    let site = start_site().await;
+    submit_jobs(&site, 0..4).await;
     let leader = site.leader().unwrap();
     site.nodes[leader].kill();
-    submit(&site, 4..6).await;
-    all_succeed(&site, 0..6).await;
+    submit_jobs(&site, 4..6).await;
+    assert_all_succeed(&site, 0..6).await;
 }
 
 #[tokio::test]
-async fn one_node_alone_looks_after_all_workers_itself() {
+async fn a_single_node_dispatches_to_all_workers_itself() {
     let site = Site::start_sharded(PROGRAM, 1, WORKERS, 0, 2).await.unwrap();
-    submit(&site, 0..2).await;
-    all_succeed(&site, 0..2).await;
-    assert!(!all_elsewhere(&site).await);
+    submit_jobs(&site, 0..2).await;
+    assert_all_succeed(&site, 0..2).await;
+    assert!(!is_all_dispatched_remotely(&site).await);
 }
 
 #[tokio::test]
-async fn a_planned_stop_of_the_scheduler_ends_what_others_do_for_it() {
-    let site = start().await;
-    submit(&site, 0..3).await;
+async fn jobs_survive_a_graceful_stop_of_the_leader_with_remote_dispatchers() {
+    let site = start_site().await;
+    submit_jobs(&site, 0..3).await;
     let leader = site.leader().unwrap();
     site.nodes[leader].signal(Signal::SIGTERM).unwrap();
-    site.wait_until("another node leads", async |site| site.leader() != Some(leader)).await;
-    submit(&site, 3..5).await;
-    all_succeed(&site, 0..5).await;
+    site.wait_until("another node is the leader", async |site| site.leader() != Some(leader)).await;
+    submit_jobs(&site, 3..5).await;
+    assert_all_succeed(&site, 0..5).await;
 }
--- a/cli/tests/test_soak.rs
+++ b/cli/tests/test_soak.rs
@@ -1,5 +1,6 @@
-//! Real daemons under random faults keep what clients were told. `SPOKELIFT_SOAK_SEEDS=FIRST..END`
-//! and `SPOKELIFT_SOAK_S=SECONDS` run other seeds and longer ones.
+//! Soak tests: real daemons under random faults keep the guarantees given to clients.
+//! `SPOKELIFT_SOAK_SEEDS=FIRST..END` and `SPOKELIFT_SOAK_S=SECONDS` select other seeds and a longer
+//! run.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -9,9 +10,9 @@
 use spokelift_testutils::platform::soak::REUSED_IDS_FROM_SEED;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeliftd");
-/// Seeds that run where none are named.
+/// Default seeds.
 const SEEDS: Range<u64> = 1..3;
-/// How long faults go on where nothing else is said.
+/// Default duration of the faults, in seconds.
 const TIME_S: u64 = 8;
 
 fn seeds() -> Range<u64> {
@@ -21,37 +22,37 @@
     number(first)..number(end)
 }
 
-fn time() -> Duration {
+fn duration() -> Duration {
     let text = std::env::var("SPOKELIFT_SOAK_S").ok();
     let seconds = text.map(|text| text.parse().expect("SPOKELIFT_SOAK_S is a number"));
     Duration::from_secs(seconds.unwrap_or(TIME_S))
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn random_faults_break_no_promise() {
-    play(seeds()).await;
+async fn random_faults_violate_no_guarantee() {
+    run_seeds(seeds()).await;
 }
 
-/// The same where workers start again under the id that they had.
+/// As above, with workers that keep their ids across restarts.
 #[tokio::test(flavor = "multi_thread")]
-async fn random_faults_break_no_promise_where_workers_keep_their_ids() {
+async fn random_faults_violate_no_guarantee_with_reused_worker_ids() {
     let seeds = seeds();
-    play(seeds.start + REUSED_IDS_FROM_SEED..seeds.end + REUSED_IDS_FROM_SEED).await;
+    run_seeds(seeds.start + REUSED_IDS_FROM_SEED..seeds.end + REUSED_IDS_FROM_SEED).await;
 }
 
-/// The same with accounts whose keys and bounds change.
+/// As above, with accounts whose keys and quotas change.
 #[tokio::test(flavor = "multi_thread")]
-async fn random_faults_break_no_promise_where_accounts_change() {
+async fn random_faults_violate_no_guarantee_with_changing_accounts() {
     let seeds = seeds();
-    play(seeds.start + ACCOUNTS_FROM_SEED..seeds.end + ACCOUNTS_FROM_SEED).await;
+    run_seeds(seeds.start + ACCOUNTS_FROM_SEED..seeds.end + ACCOUNTS_FROM_SEED).await;
 }
 
-async fn play(seeds: Range<u64>) {
+async fn run_seeds(seeds: Range<u64>) {
     let mut failed = Vec::new();
     for seed in seeds {
-        let report = soak::run(PROGRAM, seed, time()).await.unwrap();
+        let report = soak::run(PROGRAM, seed, duration()).await.unwrap();
         println!("seed {seed}: {report:#?}");
-        assert!(report.accepted > 0, "seed {seed}: nothing was accepted");
+        assert!(report.accepted > 0, "seed {seed}: no job was accepted");
         if !report.broken.is_empty() {
             failed.push((seed, report.broken));
         }
@@ -59,8 +60,8 @@
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
-/// Runs a command of the tool that ends with a line of JSON; returns what it printed.
-fn told(args: &[&str]) -> (String, serde_json::Value) {
+/// Runs a command of the CLI whose last line of output is JSON; returns the output and that line.
+fn run_cli(args: &[&str]) -> (String, serde_json::Value) {
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_spokelift"));
     let output = command.arg("--json").args(args).output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
@@ -70,23 +71,23 @@
 }
 
 #[test]
-fn the_trial_of_the_tool_breaks_no_promise() {
-    let (text, report) = told(&["trial", "--seconds", "4", "--seed", "3"]);
+fn trial_violates_no_guarantee() {
+    let (text, report) = run_cli(&["trial", "--seconds", "4", "--seed", "3"]);
     assert!(text.contains("promises broken                  0"), "{text}");
     assert!(report["accepted"].as_u64() > Some(0), "{report}");
 }
 
 #[test]
-fn the_trial_with_accounts_breaks_no_promise() {
-    let (text, report) = told(&["trial", "--seconds", "4", "--seed", "3", "--accounts"]);
+fn trial_with_accounts_violates_no_guarantee() {
+    let (text, report) = run_cli(&["trial", "--seconds", "4", "--seed", "3", "--accounts"]);
     assert!(text.contains("promises broken                  0"), "{text}");
     assert!(report["accepted"].as_u64() > Some(0), "{report}");
 }
 
-/// A flood of keys that nobody has harms no caller with a good one.
+/// A flood of requests with unknown keys does not affect callers with valid keys.
 #[test]
-fn unknown_keys_are_refused_and_good_ones_served() {
-    let (text, report) = told(&["bench", "keys", "--seconds", "2", "--unknown", "500"]);
+fn unknown_keys_are_refused_and_valid_keys_served() {
+    let (text, report) = run_cli(&["bench", "keys", "--seconds", "2", "--unknown", "500"]);
     for part in ["alone", "flooded"] {
         assert_eq!(report[part]["harmed"].as_u64(), Some(0), "{text}");
         assert!(report[part]["served_per_s"].as_f64() > Some(0.0), "{text}");
--- a/testutils/tests/test_ports.rs
+++ b/testutils/tests/test_ports.rs
@@ -1,4 +1,4 @@
-//! Ports chosen for one daemon are never the same.
+//! The ports chosen for one daemon differ from each other.
 
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -6,18 +6,19 @@
 
 use spokelift_testutils::ports;
 
-/// Choices made; one by one, a choice of three held the same port twice 6 times in 60,000.
+/// Number of choices. Ports chosen one by one, each released before the next, coincided in 6 of
+/// 60,000 choices of three.
 const CHOICES: u32 = 60_000;
-/// Choices on one address, so that the ports of others do not matter.
-const ON_ONE: u32 = 250;
+/// Number of choices on one address, so that ports in use by other processes do not matter.
+const CHOICES_PER_ADDRESS: u32 = 250;
 
 fn address(choice: u32) -> IpAddr {
-    let [.., high, low] = (choice / ON_ONE).to_be_bytes();
+    let [.., high, low] = (choice / CHOICES_PER_ADDRESS).to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(127, 3 + high, low, 1))
 }
 
 #[test]
-fn ports_of_one_daemon_differ() {
+fn free_ports_and_pair_differ() {
     for choice in 0..CHOICES {
         let (chosen, first) = ports::free_and_pair::<2>(address(choice)).unwrap();
         let mut all: BTreeSet<u16> = chosen.iter().map(|addr| addr.port()).collect();
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn ports_chosen_together_differ() {
+fn free_ports_differ() {
     for choice in 0..CHOICES {
         let chosen = ports::free::<3>(address(choice)).unwrap();
         let all: BTreeSet<u16> = chosen.iter().map(|addr| addr.port()).collect();
