--- a/testutils/src/batch/published.rs
+++ b/testutils/src/batch/published.rs
@@ -10,7 +10,7 @@
 /// ```
 /// use serde_json::Value;
 /// use spokelift_lib::batch::config::Config;
-/// use spokelift_testutils::batch::published_config::published_config;
+/// use spokelift_testutils::batch::published::published_config;
 /// let config = Config::decode(&published_config(3, &[("q", Some(true))], Value::Null)).unwrap();
 /// assert_eq!((config.version, config.queues.len()), (3, 1));
 /// ```
--- a/testutils/src/fixture.rs
+++ b/testutils/src/fixture.rs
@@ -187,14 +187,14 @@
         self.daemons[id] = None;
     }
 
-    /// Waits until `holds` returns true.
+    /// Waits until `condition` returns true.
     ///
     /// # Panics
     ///
     /// If it does not within [`WAIT_TIMEOUT`].
-    pub async fn wait_until(&self, what: &str, mut holds: impl AsyncFnMut() -> bool) {
+    pub async fn wait_until(&self, what: &str, mut condition: impl AsyncFnMut() -> bool) {
         let started_at = Instant::now();
-        while !holds().await {
+        while !condition().await {
             if started_at.elapsed() > WAIT_TIMEOUT {
                 panic!("timed out waiting until {what}\n{}", self.describe_daemons().await);
             }
--- a/testutils/src/ledger.rs
+++ b/testutils/src/ledger.rs
@@ -177,14 +177,14 @@
     /// Changes the budget of a pool.
     pub fn set_max_out(&self, pool: &str, max_out: usize) {
         let mut inner = self.inner();
-        let pool = inner.pools.iter_mut().find(|own| own.name == pool);
+        let pool = inner.pools.iter_mut().find(|candidate| candidate.name == pool);
         pool.expect("the ledger was made with this pool").max_out = max_out;
     }
 
     /// The budget of a pool.
     pub fn max_out(&self, pool: &str) -> usize {
         let inner = self.inner();
-        let pool = inner.pools.iter().find(|own| own.name == pool);
+        let pool = inner.pools.iter().find(|candidate| candidate.name == pool);
         pool.expect("the ledger was made with this pool").max_out
     }
 
@@ -230,9 +230,9 @@
                 .iter()
                 .map(|(at, target)| format!("{target} at {} ms", ms(*at)))
                 .collect();
-            let told_at = call.outcome_at.map(ms);
+            let outcome_at = call.outcome_at.map(ms);
             format!(
-                "request {token}: {violation}; outcome {:?} at {told_at:?} ms; ran on {runs:?}; {}",
+                "request {token}: {violation}; outcome {:?} at {outcome_at:?} ms; ran on {runs:?}; {}",
                 call.outcome,
                 call.notes.join("; ")
             )
@@ -375,8 +375,9 @@
     /// of its pool that are out of service.
     fn describe_breach(&self, target: &BoxId, pool: usize) -> String {
         let ms = |since: Option<Instant>| since.map(|since| since.elapsed().as_millis());
-        let own = self.boxes.iter().filter(|(_, state)| state.pool == Some(pool));
-        let out = own.filter(|(_, state)| state.out_since.is_some() || state.dead_since.is_some());
+        let pool_boxes = self.boxes.iter().filter(|(_, state)| state.pool == Some(pool));
+        let out =
+            pool_boxes.filter(|(_, state)| state.out_since.is_some() || state.dead_since.is_some());
         let out = out.map(|(name, state)| {
             let (drains, dead) = (ms(state.out_since), ms(state.dead_since));
             format!(
@@ -394,9 +395,9 @@
 
     /// Counts the boxes of a pool that are out of service, as far as a daemon can have detected it.
     fn count_out(&self, pool: usize) -> usize {
-        let is_own = |state: &&BoxState| state.pool == Some(pool) && !state.is_in_transit;
-        let own = self.boxes.values().filter(is_own);
-        let out = own.filter(|state| {
+        let is_of_pool = |state: &&BoxState| state.pool == Some(pool) && !state.is_in_transit;
+        let pool_boxes = self.boxes.values().filter(is_of_pool);
+        let out = pool_boxes.filter(|state| {
             let dead = state.dead_since.is_some_and(|since| since.elapsed() > DETECTION_TIME);
             dead || state.out_since.is_some()
         });
--- a/testutils/src/log.rs
+++ b/testutils/src/log.rs
@@ -200,12 +200,12 @@
     let from = query_number(&request, "from").unwrap_or(0);
     let max = query_number(&request, "max").unwrap_or(100) as usize;
     let wait = Duration::from_millis(query_number(&request, "wait_ms").unwrap_or(0));
-    let grown = inner.appended.notified();
-    let mut grown = std::pin::pin!(grown);
-    grown.as_mut().enable();
+    let appended = inner.appended.notified();
+    let mut appended = std::pin::pin!(appended);
+    appended.as_mut().enable();
     let next = inner.state.lock().expect("no thread panics while it holds the lock").next_offset();
     if next <= from {
-        let _ = timeout(wait, grown).await;
+        let _ = timeout(wait, appended).await;
     }
     let mut state = inner.state.lock().expect("no thread panics while it holds the lock");
     if state.faults.unavailable {
--- a/testutils/src/platform/site.rs
+++ b/testutils/src/platform/site.rs
@@ -334,15 +334,15 @@
         Ok(())
     }
 
-    /// Waits until a condition holds.
+    /// Waits until `condition` returns true.
     ///
     /// # Panics
     ///
     /// If it does not within a minute.
-    pub async fn wait_until(&self, what: &str, holds: impl AsyncFn(&Site) -> bool) {
-        let until = Instant::now() + Duration::from_secs(60);
-        while Instant::now() < until {
-            if holds(self).await {
+    pub async fn wait_until(&self, what: &str, condition: impl AsyncFn(&Site) -> bool) {
+        let deadline = Instant::now() + Duration::from_secs(60);
+        while Instant::now() < deadline {
+            if condition(self).await {
                 return;
             }
             sleep(CHECK_INTERVAL).await;
--- a/testutils/src/platform/site/node.rs
+++ b/testutils/src/platform/site/node.rs
@@ -191,8 +191,8 @@
     /// Waits for the process to exit; returns whether it exited successfully, or `None` if it did
     /// not within the time or was not started.
     pub async fn wait_for_exit(&self, within: Duration) -> Option<bool> {
-        let until = Instant::now() + within;
-        while Instant::now() < until {
+        let deadline = Instant::now() + within;
+        while Instant::now() < deadline {
             let exit_status = self.child().as_mut()?.try_wait();
             if let Ok(Some(status)) = exit_status {
                 *self.child() = None;
--- a/testutils/src/platform/soak.rs
+++ b/testutils/src/platform/soak.rs
@@ -100,11 +100,11 @@
     if has_accounts {
         accounts::publish_first(&site, &mut account_rng).await;
     }
-    let until = Instant::now() + time;
+    let deadline = Instant::now() + time;
     let account_changes = site.clone();
     let account_changes = tokio::spawn(async move {
         if has_accounts {
-            accounts::publish_changes(&account_changes, account_rng, until).await;
+            accounts::publish_changes(&account_changes, account_rng, deadline).await;
         }
     });
     let clients: Vec<_> = (0..CLIENTS)
@@ -113,7 +113,7 @@
             tokio::spawn(client::run_client(
                 site.clone(),
                 rng,
-                until,
+                deadline,
                 client_jobs.clone(),
                 has_accounts,
             ))
--- a/testutils/src/platform/soak/accounts.rs
+++ b/testutils/src/platform/soak/accounts.rs
@@ -52,9 +52,9 @@
 }
 
 /// Publishes one version after another until the end time.
-pub(super) async fn publish_changes(site: &Site, mut rng: StdRng, until: Instant) {
+pub(super) async fn publish_changes(site: &Site, mut rng: StdRng, deadline: Instant) {
     let mut version = 2;
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         sleep(Duration::from_millis(rng.random_range(CONFIG_INTERVAL_MS))).await;
         version += rng.random_range(1..4);
         site.publish_config(version, &draw_accounts(&mut rng));
--- a/testutils/src/platform/soak/checks.rs
+++ b/testutils/src/platform/soak/checks.rs
@@ -31,7 +31,7 @@
 /// succeed. A job with a poison task must be abandoned instead.
 async fn check_outcomes(site: &Site, jobs: &[ClientJob]) -> Vec<String> {
     let mut violations = Vec::new();
-    let until = Instant::now() + SETTLE_TIMEOUT;
+    let deadline = Instant::now() + SETTLE_TIMEOUT;
     for job in jobs {
         let id = &job.id;
         violations.extend(job.violations.iter().cloned());
@@ -44,11 +44,12 @@
         };
         if job.accepted
             && !job.is_long_running
-            && !reaches_state(site, id, until, is_expected_end).await
+            && !reaches_state(site, id, deadline, is_expected_end).await
         {
             violations.push(format!("{id} was accepted and has not succeeded"));
         }
-        if job.accepted && job.is_long_running && !reaches_state(site, id, until, |_| true).await {
+        if job.accepted && job.is_long_running && !reaches_state(site, id, deadline, |_| true).await
+        {
             violations.push(format!("{id} was accepted and is unknown"));
         }
     }
@@ -58,9 +59,9 @@
 /// Checks that no task of a cancelled job keeps running.
 async fn check_cancelled(site: &Site, jobs: &[ClientJob]) -> Vec<String> {
     let mut violations = Vec::new();
-    let until = Instant::now() + CANCEL_TIMEOUT;
+    let deadline = Instant::now() + CANCEL_TIMEOUT;
     for job in jobs.iter().filter(|job| job.cancelled) {
-        while site.ledger.running_tasks(&job.id) > 0 && Instant::now() < until {
+        while site.ledger.running_tasks(&job.id) > 0 && Instant::now() < deadline {
             sleep(CHECK_INTERVAL).await;
         }
         if site.ledger.running_tasks(&job.id) > 0 {
@@ -73,9 +74,9 @@
 /// Checks that all waves end.
 async fn check_waves(site: &Site, waves: &[u64]) -> Vec<String> {
     let mut violations = Vec::new();
-    let until = Instant::now() + SETTLE_TIMEOUT;
+    let deadline = Instant::now() + SETTLE_TIMEOUT;
     for wave in waves {
-        while !site.has_wave_succeeded(*wave) && Instant::now() < until {
+        while !site.has_wave_succeeded(*wave) && Instant::now() < deadline {
             sleep(CHECK_INTERVAL).await;
         }
         if !site.has_wave_succeeded(*wave) {
@@ -89,7 +90,7 @@
 async fn reaches_state(
     site: &Site,
     id: &str,
-    until: Instant,
+    deadline: Instant,
     is_expected: impl Fn(&str) -> bool,
 ) -> bool {
     let mut node = 0;
@@ -97,7 +98,7 @@
         if site.job_state(node, id).await.is_ok_and(|state| is_expected(&state)) {
             return true;
         }
-        if Instant::now() > until {
+        if Instant::now() > deadline {
             return false;
         }
         node = (node + 1) % NODES;
--- a/testutils/src/platform/soak/client.rs
+++ b/testutils/src/platform/soak/client.rs
@@ -61,11 +61,11 @@
 pub(super) async fn run_client(
     site: Arc<Site>,
     mut rng: StdRng,
-    until: Instant,
+    deadline: Instant,
     client_jobs: Arc<Mutex<Vec<ClientJob>>>,
     has_accounts: bool,
 ) {
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         let is_long_running = rng.random_bool(LONG_RUNNING_PROBABILITY);
         let id = rng.random::<u64>();
         let is_poison = id.is_multiple_of(JOBS_PER_POISON);
--- a/testutils/src/platform/soak/schedule.rs
+++ b/testutils/src/platform/soak/schedule.rs
@@ -176,30 +176,34 @@
     let machine = rng.random_range(0..WORKERS);
     let proxy_fault = draw_proxy_fault(rng);
     let none = proxy::Fault::default();
-    let until = |end: Action| Some((duration, end));
+    let ends_with = |end: Action| Some((duration, end));
     match rng.random_range(0..FAULT_KINDS) {
-        0 | 1 => (Action::Kill(node), until(Action::Start(node))),
-        2 | 3 => {
-            (Action::Signal(node, Signal::SIGSTOP), until(Action::Signal(node, Signal::SIGCONT)))
-        }
+        0 | 1 => (Action::Kill(node), ends_with(Action::Start(node))),
+        2 | 3 => (
+            Action::Signal(node, Signal::SIGSTOP),
+            ends_with(Action::Signal(node, Signal::SIGCONT)),
+        ),
         4 => (Action::Signal(node, Signal::SIGTERM), Some((RESTART_DELAY, Action::Start(node)))),
         5 => (Action::Signal(node, Signal::SIGHUP), None),
-        6 | 7 => (Action::StoreProxy(node, proxy_fault), until(Action::StoreProxy(node, none))),
-        8 => (Action::ClientProxy(node, proxy_fault), until(Action::ClientProxy(node, none))),
+        6 | 7 => (Action::StoreProxy(node, proxy_fault), ends_with(Action::StoreProxy(node, none))),
+        8 => (Action::ClientProxy(node, proxy_fault), ends_with(Action::ClientProxy(node, none))),
         9 => {
             let fault = draw_store_fault(rng);
-            (Action::StoreFault(node, fault), until(Action::StoreFault(node, store::Fault::None)))
+            (
+                Action::StoreFault(node, fault),
+                ends_with(Action::StoreFault(node, store::Fault::None)),
+            )
         }
         10 => {
             let fault = draw_worker_fault(rng);
             (
                 Action::WorkerFault(machine, fault),
-                until(Action::WorkerFault(machine, worker::Fault::None)),
+                ends_with(Action::WorkerFault(machine, worker::Fault::None)),
             )
         }
         11 => (Action::CrashWorker(machine), None),
         12 => match rng.random_range(0..3) {
-            0 => (Action::KillAll, until(Action::StartAll)),
+            0 => (Action::KillAll, ends_with(Action::StartAll)),
             _ => (Action::CompactStore, None),
         },
         _ => {
--- a/testutils/src/platform/store.rs
+++ b/testutils/src/platform/store.rs
@@ -266,19 +266,19 @@
         let end = |store: &Store| {
             store.logs().get(&partition_of(query)).map_or(0, |log| log.records.len())
         };
-        let grown = async {
+        let appended = async {
             loop {
-                let grown = self.inner.appended.notified();
-                let mut grown = std::pin::pin!(grown);
-                grown.as_mut().enable();
+                let appended = self.inner.appended.notified();
+                let mut appended = std::pin::pin!(appended);
+                appended.as_mut().enable();
                 if end(self) > from {
                     return;
                 }
-                grown.await;
+                appended.await;
             }
         };
         // Without new records in time the answer is empty.
-        let _ = timeout(wait, grown).await;
+        let _ = timeout(wait, appended).await;
         let mut logs = self.logs();
         let log = logs.entry(partition_of(query)).or_default();
         if from < log.first_offset {
--- a/testutils/src/platform/worker.rs
+++ b/testutils/src/platform/worker.rs
@@ -256,15 +256,15 @@
             end_notify: Notify::new(),
         });
         *current.lock().expect("no thread panics while it holds the lock") = Arc::downgrade(&inner);
-        let (stop, stopped) = watch::channel(false);
+        let (stop, stop_rx) = watch::channel(false);
         let shared = inner.clone();
-        let server = serve(listener, stopped.clone(), move |request| {
+        let server = serve(listener, stop_rx.clone(), move |request| {
             let inner = shared.clone();
             async move { inner.handle(request).await }
         });
         let (shape, machine_name) = (shape.clone(), machine.to_owned());
         let (store, key, incarnation) = (store.clone(), id.clone(), inner.clone());
-        let (heartbeat_inner, ending_inner, mut finished) = (inner.clone(), inner.clone(), stopped);
+        let (heartbeat_inner, ending_inner, mut stop_rx) = (inner.clone(), inner.clone(), stop_rx);
         tokio::spawn(async move {
             let heartbeats = async {
                 loop {
@@ -281,7 +281,7 @@
                 () = heartbeats => {}
                 () = incarnation.end_finished_tasks() => {}
                 // Dropping the server closes its connections, as a crash does.
-                _ = finished.wait_for(|finished| *finished) => {}
+                _ = stop_rx.wait_for(|is_stopped| *is_stopped) => {}
             }
             if !ending_inner.keeps_entry.load(Ordering::Relaxed) {
                 store.put(WORKER_TOPIC, Record::tombstone(key));
@@ -367,10 +367,10 @@
 
 /// Binds the address of an earlier incarnation, which may have ended just now.
 async fn rebind(addr: SocketAddr) -> std::io::Result<TcpListener> {
-    let until = Instant::now() + REBIND_TIMEOUT;
+    let deadline = Instant::now() + REBIND_TIMEOUT;
     loop {
         match TcpListener::bind(addr).await {
-            Err(_) if Instant::now() < until => sleep(CHECK_INTERVAL).await,
+            Err(_) if Instant::now() < deadline => sleep(CHECK_INTERVAL).await,
             bound => return bound,
         }
     }
@@ -535,11 +535,11 @@
             self.ledger.record_overcommit(&task, used_cpu + cpu, capacity.allowed());
         }
         drop(capacity);
-        let until =
+        let done_at =
             spec_number(spec, "ms=").map(|millis| Instant::now() + Duration::from_millis(millis));
         state.runs.insert(
             task.clone(),
-            RunningTask { run, done_at: until, stops_at: None, cpu, memory_mb: memory },
+            RunningTask { run, done_at, stops_at: None, cpu, memory_mb: memory },
         );
         self.ledger.record_start(&task, run);
         if let Some(after) = spec_number(spec, "kills=").filter(|_| task.ends_with(".0")) {
@@ -573,10 +573,10 @@
     }
 
     async fn handle_poll(&self, body: &Value) -> Response<Body> {
-        let seen = body["lastSeen"].as_u64().unwrap_or(0);
+        let acknowledged = body["lastSeen"].as_u64().unwrap_or(0);
         {
             let mut state = self.state();
-            state.unacknowledged_ends.retain(|(number, ..)| *number > seen);
+            state.unacknowledged_ends.retain(|(number, ..)| *number > acknowledged);
             state.lease_until = state.lease_until.max(body["deadlineMs"].as_u64().unwrap_or(0));
         }
         let wait = Duration::from_millis(body["waitMs"].as_u64().unwrap_or(0));
--- a/testutils/src/scenario.rs
+++ b/testutils/src/scenario.rs
@@ -306,8 +306,8 @@
     fn slow(&mut self, case: &mut TestCase) -> String {
         let daemon: usize = required_arg(case, "peers");
         let delay = Duration::from_millis(optional_arg(case, "ms").unwrap_or(0));
-        let double = take_flag(case, "double");
-        let fault = DatagramFault { delay, duplicate: double, ..DatagramFault::default() };
+        let duplicate = take_flag(case, "double");
+        let fault = DatagramFault { delay, duplicate, ..DatagramFault::default() };
         for (from, to) in self.links_of(daemon) {
             let link = self.fixture().peer_links[from][to].as_ref();
             link.expect("there is a link between two daemons").datagrams.set_fault(fault);
@@ -325,7 +325,7 @@
         let directive = case.directive.clone();
         if let Some(worker) = optional_arg::<String>(case, "worker") {
             let workers = &self.fixture().workers;
-            let found = workers.iter().find(|own| own.listed.name.as_ref() == worker);
+            let found = workers.iter().find(|candidate| candidate.listed.name.as_ref() == worker);
             found.expect("the site has this box").kill();
             return "set".to_owned();
         }
