--- a/lib/src/state.rs
+++ b/lib/src/state.rs
@@ -1,8 +1,7 @@
-//! State layer: what the daemons agree on, and the rules that change it.
+//! State layer: the replicated state of the daemons and the rules that change it.
 //!
-//! Nothing here reads a clock, the network or a random number. A [`fleet::Fleet`] is a fold over
-//! the records of the platform's log, so every daemon that has applied the same offset holds the
-//! same value.
+//! This layer reads no clock, no network and no random number. A [`fleet::Fleet`] is a fold over the
+//! records of the platform's log, so daemons that have applied the same offsets hold equal values.
 
 pub mod account;
 pub mod config;
--- a/lib/src/state/account.rs
+++ b/lib/src/state/account.rs
@@ -1,4 +1,4 @@
-//! Credentials: `account:secret`, of which configuration keeps only a hash.
+//! Credentials of the form `account:secret`; the configuration stores only hashes of secrets.
 
 use subtle::ConstantTimeEq;
 use thiserror::Error;
@@ -12,18 +12,18 @@
 /// What a credential may be used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Sends requests to the account's services.
+    /// Sending requests to the account's services.
     Caller,
-    /// Publishes, states intents and confirms plans.
+    /// Publishing configuration, submitting intents and confirming plans.
     Operator,
 }
 
-/// Whose objects an operator may see and change.
+/// The objects that an operator may see and change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Everything on the site.
+    /// All objects of the site.
     Site,
-    /// One account's own pools, services and plans.
+    /// The pools, services and plans of one account.
     Account(AccountId),
 }
 
@@ -37,10 +37,10 @@
     }
 }
 
-/// Why a credential was turned down.
+/// Why a credential was rejected.
 ///
-/// An unknown account and a wrong secret are the same error on purpose: the answer must not tell
-/// a stranger which accounts exist.
+/// An unknown account and a wrong secret are the same error, so that an unauthenticated client
+/// cannot find out which accounts exist.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CredentialError {
     /// No credential was given.
@@ -54,19 +54,19 @@
     Unknown,
 }
 
-/// A credential as a request carries it.
+/// A credential of a request, not yet verified.
 #[derive(Clone, Copy, Debug)]
 pub struct Credential<'a> {
-    /// The account claimed.
+    /// The account named by the credential.
     pub account: &'a str,
     secret: &'a str,
 }
 
-/// Name under which the site operator's key is presented: `site:secret`.
+/// Account name of the site operator's credential, `site:secret`; no client account may have it.
 pub const SITE: &str = "site";
 
 impl<'a> Credential<'a> {
-    /// Reads a credential.
+    /// Parses a credential.
     ///
     /// ```
     /// use spokelift_lib::state::account::Credential;
@@ -78,21 +78,25 @@
         Ok(Credential { account, secret })
     }
 
-    /// Whether the secret hashes to one of `hashes`; looks at every one of them.
+    /// Whether the secret hashes to one of `hashes`. Compares with all of them, in constant time.
     pub fn matches(&self, hashes: &[KeyHash]) -> bool {
-        let own = hash_secret(self.secret);
-        let mut found = subtle::Choice::from(0);
+        let secret_hash = hash_secret(self.secret);
+        let mut is_match = subtle::Choice::from(0);
         for hash in hashes {
-            found |= own.ct_eq(hash);
+            is_match |= secret_hash.ct_eq(hash);
         }
-        found.into()
+        is_match.into()
     }
 
-    /// The account this credential speaks for in `role`.
+    /// Verifies the credential for `role` and returns its account.
+    ///
+    /// # Errors
+    ///
+    /// [`CredentialError::Unknown`] if there is no such account or the secret is not one of its keys.
     pub fn authenticate(&self, fleet: &Fleet, role: Role) -> Result<AccountId, CredentialError> {
         let entry = fleet.accounts.get_key_value(self.account);
         let Some((id, account)) = entry else {
-            // Hash all the same, so that an unknown account takes as long as a wrong secret.
+            // Hash anyway, so that the response time does not reveal whether the account exists.
             self.matches(&[KeyHash::default()]);
             return Err(CredentialError::Unknown);
         };
@@ -104,17 +108,17 @@
     }
 }
 
-/// Hash of a secret, as configuration keeps it.
+/// Hash of a secret, as the configuration stores it.
 pub fn hash_secret(secret: &str) -> KeyHash {
     *blake3::hash(secret.as_bytes()).as_bytes()
 }
 
-/// Writes a hash as lower-case hexadecimal digits.
+/// Formats a hash as lower-case hexadecimal digits.
 pub fn format_hash(hash: &KeyHash) -> String {
     blake3::Hash::from_bytes(*hash).to_hex().to_string()
 }
 
-/// Reads a hash of 64 hexadecimal digits.
+/// Parses a hash of 64 hexadecimal digits.
 ///
 /// ```
 /// use spokelift_lib::state::account::{format_hash, hash_secret, parse_hash};
--- a/lib/src/state/config.rs
+++ b/lib/src/state/config.rs
@@ -1,5 +1,5 @@
-//! The configuration file that operators publish: parsed, checked, and turned into the edits
-//! that differ from what is in force.
+//! The configuration file that operators publish: parsing, validation, and the edits that turn the
+//! configuration in force into it.
 
 mod check;
 mod file;
@@ -22,55 +22,55 @@
 /// Largest configuration file accepted, in bytes.
 pub const MAX_FILE_BYTES: usize = 1024 * 1024;
 
-/// Boxes as the box list gives them, by name.
+/// Boxes of the box list, by name.
 pub type Shapes = BTreeMap<BoxId, Shape>;
 
-/// One thing wrong with a configuration file.
+/// An error in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[error("{kind}")]
 pub struct Fault {
-    /// What is wrong.
+    /// The kind of error.
     pub kind: FaultKind,
-    /// Where in the file, in bytes.
+    /// Byte range in the file, if the parser reports one.
     pub span: Option<Range<usize>>,
 }
 
-/// What can be wrong with a configuration file.
+/// The kinds of errors in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[serde(tag = "fault", rename_all = "kebab-case")]
 pub enum FaultKind {
     /// Not TOML, an unknown key, a missing key or a value of the wrong type.
     #[error("{message}")]
     Syntax {
-        /// What the TOML reader says.
+        /// Message of the TOML parser.
         message: Box<str>,
     },
-    /// A name that may not be used.
+    /// A name that is malformed or reserved.
     #[error("{name:?} is not a name: use 1 to 64 of a-z, 0-9 and -")]
     Name {
         /// The name.
         name: Box<str>,
     },
-    /// The same name twice.
+    /// A name that is defined twice.
     #[error("{name} is given twice")]
     #[serde(rename = "twice")]
     Duplicate {
         /// The name.
         name: Box<str>,
     },
-    /// A key hash that is not one.
+    /// A malformed key hash.
     #[error("a key hash is 64 hexadecimal digits; `spokelift hash-key` prints one")]
     Hash,
-    /// A number outside of its range.
+    /// A number that is out of range.
     #[error("{key} is {value}; it must be {min} to {max}")]
     Range {
         /// The key.
         key: Box<str>,
         /// The value given.
         value: u32,
-        /// Least value.
+        /// Minimum, inclusive.
         min: u32,
-        /// Greatest value.
+        /// Maximum, inclusive.
         max: u32,
     },
     /// Only the site operator may publish this.
@@ -79,13 +79,13 @@
         /// The kind of section.
         section: Box<str>,
     },
-    /// There is no such account, or it is not the operator's.
+    /// There is no such account, or it is not in the operator's scope.
     #[error("there is no account {name}")]
     UnknownAccount {
         /// The name.
         name: Box<str>,
     },
-    /// There is no such pool, or it is not the operator's.
+    /// There is no such pool, or the account may not use it.
     #[error("there is no pool {name}")]
     UnknownPool {
         /// The name.
@@ -97,44 +97,44 @@
         /// The name.
         name: Box<str>,
     },
-    /// Two pools of the file claim the box.
+    /// The file lists the box twice.
     #[error("box {name} is claimed by pool {first} already")]
     ClaimedTwice {
         /// The box.
         name: Box<str>,
-        /// The pool that claims it first.
+        /// The pool that claims it already.
         first: Box<str>,
     },
-    /// The box is in another pool.
+    /// The box is in another pool; only an intent can move it.
     #[error("box {name} is in another pool; boxes move by an intent")]
     BoxTaken {
         /// The box.
         name: Box<str>,
     },
-    /// No pool of this size can meet its budget.
+    /// The budget allows no box, or every box, of the pool to be out of service.
     #[error(
         "max_out is {max_out}; of {boxes} box(es) at least one may go and at least one must stay"
     )]
     Budget {
-        /// The budget.
+        /// Boxes that may be out of service at a time.
         max_out: u32,
         /// Boxes in the pool.
         boxes: u32,
     },
-    /// A service needs more replicas than its pool keeps up.
+    /// A service must keep more replicas up than its pool keeps boxes in service.
     #[error("min_up is {min_up}, but pool {pool} keeps only {kept} boxes up")]
     MinUp {
         /// Replicas that must stay up.
         min_up: u32,
         /// The pool.
         pool: Box<str>,
-        /// Boxes the pool keeps up when its budget is used.
+        /// Boxes in service when the pool's budget is used up.
         kept: u32,
     },
 }
 
 impl Document {
-    /// Reads a configuration file.
+    /// Parses a configuration file.
     ///
     /// ```
     /// use spokelift_lib::state::config::Document;
@@ -146,10 +146,13 @@
         file::parse(text).map_err(|fault| vec![fault])
     }
 
-    /// The edits that bring `fleet` to what this file says, as an operator of `scope` may make
-    /// them; or all that is wrong with the file.
+    /// Returns the edits that make `fleet` match this file, for an operator with `scope`.
     ///
     /// Objects that the file does not name stay as they are.
+    ///
+    /// # Errors
+    ///
+    /// All errors found in the file.
     pub fn compile(
         &self,
         fleet: &Fleet,
--- a/lib/src/state/config/check.rs
+++ b/lib/src/state/config/check.rs
@@ -1,4 +1,4 @@
-//! Checks a configuration file against the fleet and makes the edits.
+//! Validates a configuration file against the fleet and computes the edits.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,7 +28,7 @@
 use crate::state::record::Change;
 use crate::state::record::Edit;
 
-/// Most slots a service may use on a box.
+/// Maximum number of slots that a service may use on one box.
 const MAX_SLOTS: u32 = 1024;
 
 pub(super) fn compile(
@@ -51,21 +51,25 @@
     if check.faults.is_empty() { Ok(Change { edits: check.edits }) } else { Err(check.faults) }
 }
 
-/// What a pool will be once the file is in force, as far as services need it.
+/// A pool as it will be after the edits; services are checked against it.
 struct PlannedPool {
     pool: Pool,
-    /// Boxes in it, with those that the file claims.
+    /// Number of boxes, including those that the file claims.
     boxes: u32,
 }
 
+/// State of one validation run.
 struct Check<'a> {
     fleet: &'a Fleet,
     shapes: &'a Shapes,
     scope: &'a Scope,
     edits: Vec<Edit>,
     faults: Vec<Fault>,
+    /// Accounts of the file.
     accounts: BTreeSet<&'a str>,
+    /// Pools of the file, by name.
     pools: BTreeMap<&'a str, PlannedPool>,
+    /// Boxes that the file lists, with the pool that lists them.
     claims: BTreeMap<&'a str, &'a str>,
 }
 
@@ -118,9 +122,9 @@
     }
 
     fn check_range(&mut self, key: &str, value: &Spanned<u32>, min: u32, max: u32) {
-        let given = *value.as_ref();
-        if given < min || given > max {
-            let kind = FaultKind::Range { key: key.into(), value: given, min, max };
+        let number = *value.as_ref();
+        if number < min || number > max {
+            let kind = FaultKind::Range { key: key.into(), value: number, min, max };
             self.report(value, kind);
         }
     }
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Adds the pool's edit if it changes. Returns the pool as it will be.
+    /// Adds an edit if the pool changes. Returns the pool as it will be.
     fn edit_pool(&mut self, section: &PoolSection, budget: Budget) -> Pool {
         let id: PoolId = section.name.as_ref().as_str().into();
         let current = self.fleet.pools.get(&id);
@@ -211,7 +215,7 @@
 
     fn check_budget(&mut self, section: &PoolSection, boxes: u32) -> Budget {
         let max_out = *section.max_out.as_ref();
-        // A pool that is still empty is filled by an intent later.
+        // An empty pool may have any budget: an intent adds its boxes later.
         if boxes > 0 && (max_out < 1 || max_out >= boxes) {
             self.report(&section.max_out, FaultKind::Budget { max_out, boxes });
         }
@@ -232,7 +236,7 @@
         }
     }
 
-    /// Claims of boxes that are in no pool yet.
+    /// Returns the claims of the listed boxes that are in no pool yet.
     fn compile_claims(&mut self, section: &'a PoolSection) -> Vec<Edit> {
         let pool = section.name.as_ref().as_str();
         let mut claims = Vec::new();
@@ -264,8 +268,8 @@
         self.check_name(&section.name);
         self.check_range("slots", &section.slots, 1, MAX_SLOTS);
         let account = section.account.as_ref().as_str();
-        let known = self.accounts.contains(account) || self.fleet.accounts.contains_key(account);
-        if !known || !self.scope.includes(account) {
+        let exists = self.accounts.contains(account) || self.fleet.accounts.contains_key(account);
+        if !exists || !self.scope.includes(account) {
             let kind = FaultKind::UnknownAccount { name: account.into() };
             self.report(&section.account, kind);
             return;
@@ -285,7 +289,8 @@
         self.edit_service(section, min_up);
     }
 
-    /// Boxes and budget that a pool open to `account` will have; none if it has no such pool.
+    /// Number of boxes and `max_out` that a pool will have; `None` if there is no such pool or
+    /// `account` may not place services on it.
     fn pool_size(&self, pool: &str, account: &str) -> Option<(u32, u32)> {
         let (pool, boxes) = match self.pools.get(pool) {
             Some(planned) => (&planned.pool, planned.boxes),
--- a/lib/src/state/config/file.rs
+++ b/lib/src/state/config/file.rs
@@ -9,7 +9,7 @@
 use crate::state::config::FaultKind;
 use crate::state::fleet::Objective;
 
-/// A configuration file as written, with the place of each name.
+/// A parsed configuration file, with the byte ranges of its names.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
@@ -78,14 +78,14 @@
 }
 
 pub(super) fn parse(text: &str) -> Result<Document, Fault> {
-    let read = toml::from_str(text);
-    read.map_err(|error: toml::de::Error| {
+    let parsed = toml::from_str(text);
+    parsed.map_err(|error: toml::de::Error| {
         let message = error.message().into();
         Fault { kind: FaultKind::Syntax { message }, span: error.span() }
     })
 }
 
-/// Place of a value in the file.
+/// Byte range of a value in the file.
 pub(super) fn span_of<T>(value: &Spanned<T>) -> Option<Range<usize>> {
     Some(value.span())
 }
--- a/lib/src/state/fleet.rs
+++ b/lib/src/state/fleet.rs
@@ -1,4 +1,4 @@
-//! The agreed state: accounts, pools, services, boxes and plans.
+//! The replicated state: accounts, pools, services, boxes and plans.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,7 +28,7 @@
 pub struct Fleet {
     /// Offset of the first batch not yet applied.
     pub next: Offset,
-    /// Offset of the last batch that changed configuration (accounts, pools, services).
+    /// Position of the last batch that changed configuration (accounts, pools, services).
     pub configured: Offset,
     /// Accounts by name.
     pub accounts: BTreeMap<AccountId, Account>,
@@ -38,26 +38,27 @@
     pub services: BTreeMap<ServiceKey, Service>,
     /// Boxes that are in a pool, by name.
     pub boxes: BTreeMap<BoxId, Entry>,
-    /// Plans by id; bounded by the rule in [`crate::state::fold`].
+    /// Plans by id; [`crate::state::fold`] limits their number.
     pub plans: BTreeMap<PlanId, Plan>,
     /// Each daemon's last batch.
     pub writers: BTreeMap<DaemonId, Writer>,
     /// Verdicts of the latest records, oldest first.
     pub verdicts: VecDeque<(RecordId, Verdict)>,
-    /// Offset of the last snapshot mark.
+    /// Position of the last snapshot mark.
     pub marked: Offset,
 }
 
 /// A client account.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Account {
-    /// Hashes of the keys that may send requests.
+    /// Hashes of the keys of callers.
     pub caller_keys: Vec<KeyHash>,
-    /// Hashes of the keys that may operate.
+    /// Hashes of the keys of operators.
     pub operator_keys: Vec<KeyHash>,
-    /// Slots that the account's jobs may take up on boxes, over all its services; none for no limit.
+    /// Maximum number of slots that the account's jobs may use, over all its services; `None` for no
+    /// limit.
     pub quota_slots: Option<u32>,
-    /// Offset of the last change; set by the fold.
+    /// Position of the last change; set by the fold.
     pub version: Offset,
 }
 
@@ -70,38 +71,38 @@
     pub shared_with: BTreeSet<AccountId>,
     /// The availability budget.
     pub budget: Budget,
-    /// Which measure comes first when a plan is made.
+    /// Which measure comes first when a plan is computed.
     #[serde(rename = "weigh")]
     pub objective: Objective,
-    /// How long a box may take to become idle, in seconds.
+    /// Drain timeout of a box, in seconds.
     pub drain_limit_s: u32,
-    /// Declared time one box's maintenance takes, in seconds.
+    /// Declared duration of the maintenance of one box, in seconds.
     pub maintenance_s: u32,
-    /// The boxes in the pool; kept by the fold, and the same as [`Entry::pool`] says.
+    /// The boxes in the pool; maintained by the fold, consistent with [`Entry::pool`].
     pub boxes: BTreeSet<BoxId>,
-    /// Offset of the last change of the pool or of the set of its boxes.
+    /// Position of the last change of the pool or of the set of its boxes.
     pub version: Offset,
 }
 
 /// How many boxes of a pool may be out of service at once, whatever the cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
-    /// In the whole pool.
+    /// Limit for the whole pool.
     pub max_out: u32,
-    /// In one hall, if limited.
+    /// Limit for each hall; `None` for no limit.
     pub max_out_per_hall: Option<u32>,
-    /// In one rack, if limited.
+    /// Limit for each rack; `None` for no limit.
     pub max_out_per_rack: Option<u32>,
 }
 
-/// Which measure comes first.
+/// The measure that a plan minimizes first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Objective {
-    /// Least capacity held back.
+    /// Capacity held back.
     #[default]
     Buffer,
-    /// Shortest time.
+    /// Duration of the roll-out.
     Rollout,
 }
 
@@ -114,26 +115,26 @@
     pub slots: u32,
     /// Memory it uses on each box, in MB.
     pub memory_mb: u32,
-    /// Replicas that must stay in service; a plan never goes below.
+    /// Minimum number of replicas in service; a plan never goes below it.
     pub min_up: u32,
-    /// Boxes it runs on; kept by the fold.
+    /// Boxes it runs on; maintained by the fold.
     pub placed: BTreeSet<BoxId>,
-    /// Boxes on which it is being started; no requests go there yet. Kept by the fold.
+    /// Boxes on which it is being started; they get no requests yet. Maintained by the fold.
     pub starting: BTreeSet<BoxId>,
-    /// Offset of the last change of the service or of its places.
+    /// Position of the last change of the service or of the boxes it runs on.
     pub version: Offset,
 }
 
-/// What the box list says of a box, as it was when the box was claimed.
+/// Properties of a box from the box list, as of the time the box was claimed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shape {
-    /// Where it serves.
+    /// Address at which it serves requests.
     pub addr: SocketAddr,
     /// Its hall.
     pub hall: HallId,
     /// Its rack.
     pub rack: RackId,
-    /// How many requests it runs at a time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Its memory, in MB.
     pub memory_mb: u32,
@@ -142,20 +143,20 @@
 /// A box that is in a pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The one pool it belongs to.
+    /// The pool it belongs to.
     pub pool: PoolId,
-    /// What it is.
+    /// Its properties.
     pub shape: Shape,
-    /// The plan that has taken it out of service, with the offset of the permit.
+    /// The plan that has taken it out of service, with the position of the permit.
     pub out: Option<(PlanId, Offset)>,
-    /// Whether it does not answer.
+    /// Whether it is unresponsive.
     pub down: bool,
-    /// Offset of the last change; fences commands to the box.
+    /// Position of the last change; fencing token of commands to the box.
     pub version: Offset,
 }
 
 impl Service {
-    /// Whether it runs, or is being started, anywhere.
+    /// Whether it runs, or is being started, on any box.
     pub fn is_placed(&self) -> bool {
         !self.placed.is_empty() || !self.starting.is_empty()
     }
@@ -174,7 +175,7 @@
 }
 
 impl Entry {
-    /// A box that has just come into `pool`.
+    /// A box that is in service and was added to `pool` at `version`.
     pub fn new(pool: PoolId, shape: Shape, version: Offset) -> Entry {
         Entry { pool, shape, out: None, down: false, version }
     }
@@ -188,37 +189,37 @@
 /// A daemon's last batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Writer {
-    /// Its latest life.
+    /// Its latest incarnation.
     pub incarnation: Incarnation,
-    /// The last sequence applied from that life.
+    /// The last sequence number applied from that incarnation.
     pub sequence: u64,
 }
 
 impl Fleet {
     /// Services that run, or are being started, on `target`.
     pub fn jobs_on<'a>(&'a self, target: &'a str) -> impl Iterator<Item = &'a ServiceKey> {
-        let on = self.services.iter().filter(move |(_, service)| service.is_on(target));
-        on.map(|(key, _)| key)
+        let running = self.services.iter().filter(move |(_, service)| service.is_on(target));
+        running.map(|(key, _)| key)
     }
 
-    /// Boxes of `pool` that are out of service for any cause.
+    /// Boxes of `pool` that are out of service, whatever the cause.
     pub fn boxes_out<'a>(&'a self, pool: &'a Pool) -> impl Iterator<Item = (&'a BoxId, &'a Entry)> {
         let entries = pool.boxes.iter().filter_map(|id| Some((id, self.boxes.get(id)?)));
         entries.filter(|(_, entry)| !entry.is_serving())
     }
 
-    /// Replicas of `service` on boxes that serve.
+    /// Number of replicas of `service` on boxes that are in service.
     pub fn replicas_up(&self, service: &Service) -> u32 {
         let entries = service.placed.iter().filter_map(|id| self.boxes.get(id));
         entries.filter(|entry| entry.is_serving()).count() as u32
     }
 
-    /// An account's quota of slots, if it has one.
+    /// An account's quota of slots; `None` if it has no limit or does not exist.
     pub fn quota_slots(&self, account: &str) -> Option<u32> {
         self.accounts.get(account)?.quota_slots
     }
 
-    /// Slots that an account's jobs take up, over all its services.
+    /// Slots that an account's jobs use, over all its services.
     pub fn slots_used(&self, account: &str) -> u32 {
         let own = self.services.iter().filter(|(key, _)| key.0.as_ref() == account);
         let slots = own.map(|(_, service)| {
@@ -228,7 +229,7 @@
         slots.fold(0, u32::saturating_add)
     }
 
-    /// Slots of `target` not yet taken by a job, with the memory left in MB.
+    /// Free slots and free memory, in MB, of `target`.
     pub fn free_resources(&self, target: &str, shape: &Shape) -> (u32, u32) {
         let mut slots = shape.slots;
         let mut memory_mb = shape.memory_mb;
@@ -240,9 +241,9 @@
         (slots, memory_mb)
     }
 
-    /// The verdict on a record, if it is recent.
+    /// The verdict on a record; `None` if it is not among the latest [`crate::state::fold::MAX_VERDICTS`].
     pub fn verdict(&self, id: RecordId) -> Option<&Verdict> {
-        let entry = self.verdicts.iter().rev().find(|(own, _)| *own == id);
+        let entry = self.verdicts.iter().rev().find(|(record, _)| *record == id);
         entry.map(|(_, verdict)| verdict)
     }
 }
--- a/lib/src/state/fold.rs
+++ b/lib/src/state/fold.rs
@@ -1,11 +1,12 @@
-//! The rule by which every daemon judges every record, in offset order.
+//! The state transition that every daemon applies to every record, in offset order.
 //!
-//! A record is accepted or refused by what the records before it have made of the [`Fleet`]; its
-//! writer learns which by reading it back. Judging uses the record and the state only, so that
-//! all readers decide alike, and a refused record changes nothing.
+//! Whether a record is accepted depends only on the record and on the [`Fleet`] that the records
+//! before it produced, so all readers reach the same verdict. The writer learns the verdict by
+//! reading the record back. A refused record changes nothing.
 //!
-//! Versions, permits and fences are positions: the position of a batch is the offset right after
-//! it. A daemon whose next offset has reached a position has applied it, and 0 comes before all.
+//! Versions, permits and fences are positions. The position of a batch is its offset plus one: a
+//! daemon has applied the batch once its next offset is at least the position. Position 0 precedes
+//! all batches.
 
 mod publish;
 mod step;
@@ -33,25 +34,25 @@
 use crate::state::record::Body;
 use crate::state::record::Control;
 
-/// How many of the latest verdicts are kept for operators that ask again.
+/// Number of latest verdicts that are kept for later queries by operators.
 pub const MAX_VERDICTS: usize = 4096;
-/// How many plans that are over are kept, the latest ones.
+/// Number of ended plans that are kept; the oldest are dropped.
 pub const MAX_ENDED_PLANS: usize = 64;
-/// How many unconfirmed plans an account may have; the oldest gives way to a new one.
+/// Maximum number of unconfirmed plans of an account; a new plan replaces the oldest.
 pub const MAX_PROPOSED_PLANS: usize = 8;
-/// How many confirmed plans an account may have under way.
+/// Maximum number of confirmed plans in progress of an account.
 pub const MAX_RUNNING_PLANS: usize = 32;
-/// How many steps a plan may have.
+/// Maximum number of steps of a plan.
 pub const MAX_STEPS: usize = 10_000;
 
-/// What became of a record: the position at which it was accepted, or why it was refused.
+/// The result of a record: the position at which it was accepted, or why it was refused.
 pub type Verdict = Result<Offset, Refusal>;
 
 /// Why a record was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// The writer has been followed by a later life of the same daemon.
+    /// A later incarnation of the daemon has written since.
     #[error("the daemon that wrote this has been replaced")]
     Superseded,
     /// An object changed after it was read.
@@ -59,36 +60,36 @@
     Stale {
         /// The object.
         object: Object,
-        /// The version the change was made from.
+        /// The version on which the change is based.
         read: Offset,
-        /// The version it has.
+        /// The current version.
         now: Offset,
     },
     /// There is no such plan.
     #[error("there is no such plan")]
     UnknownPlan,
-    /// The plan's id is taken.
+    /// Another plan has the same id.
     #[error("the plan's id is taken")]
     PlanExists,
-    /// The plan is not in a phase in which this can be done.
+    /// The plan's phase does not allow the action.
     #[error("the plan is {}", describe_phase(*phase))]
     Phase {
-        /// Where the plan stands.
+        /// The current phase.
         phase: Phase,
     },
-    /// A later driver has taken over.
+    /// The epoch is not the current one of the plan's driver, or not the next one for a takeover.
     #[error("a later driver has taken over in epoch {epoch}")]
     Epoch {
-        /// The epoch in force.
+        /// The current epoch.
         epoch: u32,
     },
-    /// The step has already gone past this point.
+    /// The step does not exist, or its progress or action does not allow the change.
     #[error("the step has already gone past this point")]
     Step,
-    /// Another daemon has marked a snapshot meanwhile.
+    /// Another daemon has marked a snapshot since.
     #[error("a snapshot was marked at {at}")]
     Marked {
-        /// Position of that mark.
+        /// Position of the latest mark.
         at: Offset,
     },
     /// The box is not in a pool.
@@ -109,7 +110,7 @@
         /// The box.
         target: BoxId,
     },
-    /// The box does not answer.
+    /// The box is unresponsive.
     #[error("box {target} is down")]
     Down {
         /// The box.
@@ -120,11 +121,11 @@
     Budget {
         /// The pool.
         pool: PoolId,
-        /// Which limit.
+        /// The area of the limit.
         area: Area,
         /// The limit.
         limit: u32,
-        /// How many are out.
+        /// Number of boxes that are out.
         out: u32,
     },
     /// A service would fall below the replicas that must stay up.
@@ -132,12 +133,12 @@
     MinUp {
         /// The service.
         service: ServiceId,
-        /// How many are up.
+        /// Number of replicas up.
         up: u32,
-        /// How many must stay.
+        /// Minimum number of replicas up.
         min_up: u32,
     },
-    /// The box has no room for the job.
+    /// The box is not in the service's pool, or has too few free slots or too little memory.
     #[error("box {target} has no room for {service}")]
     NoRoom {
         /// The box.
@@ -145,27 +146,27 @@
         /// The service.
         service: ServiceId,
     },
-    /// The account's jobs would take up more slots than its quota.
+    /// The account's jobs would use more slots than its quota.
     #[error("the account's jobs take up {used} slots, and its quota is {quota}")]
     Quota {
-        /// Slots taken up already.
+        /// Slots in use.
         used: u32,
         /// The quota.
         quota: u32,
     },
-    /// An object named does not exist.
+    /// An object that the record refers to does not exist.
     #[error("there is no {object}")]
     Missing {
         /// The object.
         object: Object,
     },
-    /// The pool's owner or a placed service's pool cannot be changed by publishing.
+    /// Publishing cannot change the owner of a pool or the pool of a placed service.
     #[error("{object} is in use; its owner and place change by an intent only")]
     InUse {
         /// The object.
         object: Object,
     },
-    /// The account has too many plans under way, or the plan too many steps.
+    /// The account has too many plans in progress, or the plan has too many steps.
     #[error("over the limit of {limit}")]
     TooMany {
         /// The limit.
@@ -173,7 +174,7 @@
     },
 }
 
-/// Names an object in a refusal.
+/// The object that a refusal is about.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum Object {
@@ -191,7 +192,7 @@
     Box(Box<str>),
 }
 
-/// The area a budget limit is for.
+/// The area that a budget limit applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum Area {
@@ -220,8 +221,8 @@
 impl Fleet {
     /// Applies the batch at `offset` and returns the verdict on each of its records.
     ///
-    /// A batch seen before, or from a life of a daemon that another has followed, changes
-    /// nothing; for the first the answer is empty, since the verdicts were given the first time.
+    /// A batch that was applied before changes nothing and returns no verdicts. The records of a
+    /// batch from an earlier incarnation of its writer are all refused.
     ///
     /// ```
     /// use spokelift_lib::state::fleet::Fleet;
@@ -230,7 +231,7 @@
     /// let record = Record { id: 9, body: Body::Confirm(1) };
     /// let batch = Batch { writer: 0, incarnation: 1, sequence: 1, records: vec![record] };
     /// assert!(fleet.apply(0, &batch)[0].1.is_err());
-    /// assert!(fleet.apply(1, &batch).is_empty(), "the same batch again");
+    /// assert!(fleet.apply(1, &batch).is_empty(), "a duplicate batch");
     /// assert_eq!(fleet.next, 2);
     /// ```
     pub fn apply(&mut self, offset: Offset, batch: &Batch) -> Vec<(RecordId, Verdict)> {
@@ -276,8 +277,8 @@
 
     fn keep_verdicts(&mut self, verdicts: &[(RecordId, Verdict)]) {
         self.verdicts.extend(verdicts.iter().cloned());
-        let surplus = self.verdicts.len().saturating_sub(MAX_VERDICTS);
-        self.verdicts.drain(..surplus);
+        let excess = self.verdicts.len().saturating_sub(MAX_VERDICTS);
+        self.verdicts.drain(..excess);
     }
 
     fn apply_record(&mut self, at: Offset, body: &Body) -> Result<(), Refusal> {
@@ -297,7 +298,8 @@
         }
     }
 
-    /// Two daemons that both mean to write a snapshot are kept from doing so at the same time.
+    /// Refuses a mark that does not follow the latest one, so that only one daemon writes a snapshot
+    /// at a time.
     fn mark_snapshot(&mut self, at: Offset, after: Offset) -> Result<(), Refusal> {
         if self.marked != after {
             return Err(Refusal::Marked { at: self.marked });
@@ -323,25 +325,25 @@
         Ok(())
     }
 
-    /// Lets go of the oldest proposals of each account and the oldest plans that are over.
+    /// Drops the oldest ended plans and each account's oldest unconfirmed plans beyond the limits.
     fn drop_old_plans(&mut self) {
-        let mut over: Vec<(Offset, PlanId)> = Vec::new();
+        let mut ended: Vec<(Offset, PlanId)> = Vec::new();
         let mut proposed: Vec<(&Option<AccountId>, Offset, PlanId)> = Vec::new();
         for plan in self.plans.values() {
             if plan.phase.is_over() {
-                over.push((plan.version, plan.id));
+                ended.push((plan.version, plan.id));
             }
             if plan.phase == Phase::Proposed {
                 proposed.push((&plan.account, plan.version, plan.id));
             }
         }
-        over.sort_unstable();
-        let surplus = over.len().saturating_sub(MAX_ENDED_PLANS);
-        let mut dropped: Vec<PlanId> = over[..surplus].iter().map(|(_, id)| *id).collect();
+        ended.sort_unstable();
+        let excess = ended.len().saturating_sub(MAX_ENDED_PLANS);
+        let mut dropped: Vec<PlanId> = ended[..excess].iter().map(|(_, id)| *id).collect();
         proposed.sort_unstable();
         for group in proposed.chunk_by(|a, b| a.0 == b.0) {
-            let surplus = group.len().saturating_sub(MAX_PROPOSED_PLANS);
-            dropped.extend(group[..surplus].iter().map(|(_, _, id)| *id));
+            let excess = group.len().saturating_sub(MAX_PROPOSED_PLANS);
+            dropped.extend(group[..excess].iter().map(|(_, _, id)| *id));
         }
         for id in dropped {
             self.plans.remove(&id);
@@ -356,8 +358,9 @@
         for base in &plan.base {
             self.check_base(base)?;
         }
-        let same = |other: &&Plan| other.account == plan.account && other.phase.needs_driver();
-        if self.plans.values().filter(same).count() >= MAX_RUNNING_PLANS {
+        let in_progress =
+            |other: &&Plan| other.account == plan.account && other.phase.needs_driver();
+        if self.plans.values().filter(in_progress).count() >= MAX_RUNNING_PLANS {
             return Err(Refusal::TooMany { limit: MAX_RUNNING_PLANS as u32 });
         }
         self.start_plan(at, id);
@@ -384,8 +387,8 @@
         Err(Refusal::Stale { object, read, now })
     }
 
-    /// Puts a checked plan in force. Its pools and services get a new version, so that another
-    /// plan computed from the same state is stale from here on.
+    /// Starts a plan whose bases were checked. Its pools and services get a new version, so that
+    /// other plans computed from the same state become stale.
     fn start_plan(&mut self, at: Offset, id: PlanId) {
         let plan = self.plans.get_mut(&id).expect("confirm looked the plan up");
         plan.version = at;
@@ -445,7 +448,7 @@
             let Some(entry) = self.boxes.get_mut(target) else {
                 continue;
             };
-            // A box that a plan has taken out is its driver's to judge.
+            // While a plan has the box out, the plan's driver determines its state.
             if entry.out.is_none() && entry.down != down {
                 entry.down = down;
                 entry.version = at;
@@ -455,9 +458,11 @@
     }
 }
 
+/// How a batch relates to its writer's last one.
 enum Admission {
     New,
     Duplicate,
+    /// From an incarnation before the writer's latest.
     Superseded,
 }
 
--- a/lib/src/state/fold/publish.rs
+++ b/lib/src/state/fold/publish.rs
@@ -1,4 +1,4 @@
-//! Judges changes of configuration.
+//! Checks and applies changes of configuration.
 
 use std::collections::BTreeSet;
 
@@ -69,8 +69,8 @@
         if current.is_some_and(|current| current.account != pool.account) {
             return Err(Refusal::InUse { object });
         }
-        let added = |edit: &Edit| matches!(edit, Edit::Account(id, ..) if *id == pool.account);
-        if self.accounts.contains_key(&pool.account) || change.edits.iter().any(added) {
+        let is_added = |edit: &Edit| matches!(edit, Edit::Account(id, ..) if *id == pool.account);
+        if self.accounts.contains_key(&pool.account) || change.edits.iter().any(is_added) {
             return Ok(());
         }
         let object = Object::Account(pool.account.as_ref().into());
@@ -87,24 +87,24 @@
         let object = Object::Service(key.1.as_ref().into());
         let current = self.services.get(key);
         check_version(object.clone(), base, current.map_or(0, |current| current.version))?;
-        let moved = |current: &Service| current.pool != service.pool && current.is_placed();
-        if current.is_some_and(moved) {
+        let is_moved = |current: &Service| current.pool != service.pool && current.is_placed();
+        if current.is_some_and(is_moved) {
             return Err(Refusal::InUse { object });
         }
         self.check_pool_exists(change, &service.pool)
     }
 
     fn check_pool_exists(&self, change: &Change, pool: &PoolId) -> Result<(), Refusal> {
-        let added = |edit: &Edit| matches!(edit, Edit::Pool(id, ..) if id == pool);
-        if self.pools.contains_key(pool) || change.edits.iter().any(added) {
+        let is_added = |edit: &Edit| matches!(edit, Edit::Pool(id, ..) if id == pool);
+        if self.pools.contains_key(pool) || change.edits.iter().any(is_added) {
             return Ok(());
         }
         let object = Object::Pool(pool.as_ref().into());
         Err(Refusal::Missing { object })
     }
 
-    /// Puts a checked edit in force. What the fold itself keeps (a pool's boxes, a service's
-    /// places) stays as it is.
+    /// Applies a checked edit. The fields that the fold maintains (a pool's boxes, the boxes a
+    /// service runs on) keep their values.
     fn apply_edit(&mut self, at: Offset, edit: &Edit) {
         match edit {
             Edit::Account(id, _, account) => {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Adds a box that is in no pool; keeps [`Pool::boxes`] and [`Entry::pool`] the same.
+    /// Adds a box that is in no pool to [`Fleet::boxes`] and to the [`Pool::boxes`] of its pool.
     pub(super) fn insert_box(&mut self, at: Offset, target: &BoxId, entry: Entry) {
         if let Some(pool) = self.pools.get_mut(&entry.pool) {
             pool.boxes.insert(target.clone());
--- a/lib/src/state/fold/step.rs
+++ b/lib/src/state/fold/step.rs
@@ -1,4 +1,4 @@
-//! Judges the steps of a plan: permission, effect and end.
+//! Checks and applies the progress of a plan's steps: permit, assignment and end.
 
 use crate::state::fleet::Entry;
 use crate::state::fleet::Fleet;
@@ -19,23 +19,23 @@
 use crate::state::record::StepRef;
 
 impl Fleet {
-    /// Takes a step's box out of service, if the budget allows it.
-    pub(super) fn permit(&mut self, at: Offset, claim: StepRef) -> Result<(), Refusal> {
-        let step = self.claimed_step(claim)?;
+    /// Takes the box of a step out of service if the budget allows it.
+    pub(super) fn permit(&mut self, at: Offset, step_ref: StepRef) -> Result<(), Refusal> {
+        let step = self.resolve_step(step_ref)?;
         let target = step.target.clone();
         if step.progress != Progress::Waiting || !step.action.is_disruptive() {
             return Err(Refusal::Step);
         }
-        self.check_running(claim)?;
+        self.check_running(step_ref)?;
         self.check_budget(&target)?;
         let entry = self.boxes.get_mut(&target).expect("check_budget looked it up");
-        entry.out = Some((claim.plan, at));
+        entry.out = Some((step_ref.plan, at));
         entry.version = at;
-        self.set_progress(claim, Progress::Out { permit: at });
+        self.set_progress(step_ref, Progress::Out { permit: at });
         Ok(())
     }
 
-    /// Whether `target` may be taken out of service as the fleet stands.
+    /// Checks whether `target` may be taken out of service now.
     pub fn check_budget(&self, target: &BoxId) -> Result<(), Refusal> {
         let target = target.clone();
         let Some(entry) = self.boxes.get(&target) else {
@@ -51,7 +51,7 @@
         self.check_min_up(&target)
     }
 
-    /// How many boxes are out in the pool, in the hall and in the rack of `entry`, in its pool.
+    /// Number of boxes of `entry`'s pool that are out of service: in all, in its hall, in its rack.
     fn count_out_by_area(&self, entry: &Entry) -> [u32; 3] {
         let mut out = [0; 3];
         for (_, other) in self.boxes_out(&self.pools[&entry.pool]) {
@@ -93,13 +93,13 @@
         Ok(())
     }
 
-    /// Puts a step's lasting effect in force.
-    pub(super) fn assign(&mut self, at: Offset, claim: StepRef) -> Result<(), Refusal> {
-        let step = self.claimed_step(claim)?.clone();
+    /// Applies the permanent effect of a step.
+    pub(super) fn assign(&mut self, at: Offset, step_ref: StepRef) -> Result<(), Refusal> {
+        let step = self.resolve_step(step_ref)?.clone();
         let permit = match (&step.progress, step.action.is_disruptive()) {
             (Progress::Out { permit }, true) => *permit,
             (Progress::Waiting, false) => {
-                self.check_running(claim)?;
+                self.check_running(step_ref)?;
                 at
             }
             _ => return Err(Refusal::Step),
@@ -112,7 +112,7 @@
             Action::Start { job } => self.start_job(at, &step.target, job)?,
             Action::Stop { job } => self.stop_job(at, &step.target, job),
         }
-        self.set_progress(claim, Progress::Assigned { permit });
+        self.set_progress(step_ref, Progress::Assigned { permit });
         Ok(())
     }
 
@@ -130,9 +130,9 @@
         entry.pool = to.clone();
         entry.version = at;
         self.insert_box(at, target, entry);
-        // A job that has meanwhile gone, or no longer fits, is left out; the box serves the rest.
-        let fitting = jobs.iter().filter(|job| self.services.contains_key(*job));
-        for job in fitting.cloned().collect::<Vec<_>>() {
+        // A job whose service no longer exists or that no longer fits is skipped; the others start.
+        let existing = jobs.iter().filter(|job| self.services.contains_key(*job));
+        for job in existing.cloned().collect::<Vec<_>>() {
             if self.check_resources(target, &job).is_ok() && self.check_quota(&job).is_ok() {
                 self.place_job(at, target, &job);
             }
@@ -148,9 +148,9 @@
             pool.version = at;
         }
         for service in self.services.values_mut() {
-            let placed = service.placed.remove(target);
-            let starting = service.starting.remove(target);
-            if placed || starting {
+            let was_placed = service.placed.remove(target);
+            let was_starting = service.starting.remove(target);
+            if was_placed || was_starting {
                 service.version = at;
             }
         }
@@ -187,7 +187,7 @@
         Ok(())
     }
 
-    /// Judged for each job that is started; a quota lowered later takes nothing away.
+    /// Checked when a job is started; lowering a quota stops no running jobs.
     fn check_quota(&self, job: &ServiceKey) -> Result<(), Refusal> {
         let used = self.slots_used(&job.0);
         match self.quota_slots(&job.0) {
@@ -239,34 +239,35 @@
         self.pools.get(id).ok_or_else(|| Refusal::Missing { object: object() })
     }
 
-    /// Ends a step and gives its share of the budget back.
+    /// Ends a step and returns its box to service.
     pub(super) fn finish(
         &mut self,
         at: Offset,
-        claim: StepRef,
+        step_ref: StepRef,
         outcome: Outcome,
     ) -> Result<(), Refusal> {
-        let step = self.claimed_step(claim)?.clone();
-        let early = outcome != Outcome::Done && step.progress == Progress::Waiting;
-        if !step.progress.is_under_way() && !early {
+        let step = self.resolve_step(step_ref)?.clone();
+        let is_skipped = outcome != Outcome::Done && step.progress == Progress::Waiting;
+        if !step.progress.is_under_way() && !is_skipped {
             return Err(Refusal::Step);
         }
-        self.return_box(at, claim, &step.target, outcome);
+        self.return_box(at, step_ref, &step.target, outcome);
         if let Action::Start { job } = &step.action {
             self.finish_start(at, &step, job, outcome);
         }
-        self.set_progress(claim, Progress::Over { outcome });
-        self.end_plan_if_finished(at, claim);
+        self.set_progress(step_ref, Progress::Over { outcome });
+        self.end_plan_if_finished(at, step_ref);
         Ok(())
     }
 
-    /// A box that did not come back stays out as down, and so keeps its share of the budget.
-    fn return_box(&mut self, at: Offset, claim: StepRef, target: &BoxId, outcome: Outcome) {
+    /// Returns the box to service if the plan has it out. After [`Outcome::Lost`] the box is down
+    /// instead, so it still counts against the budget.
+    fn return_box(&mut self, at: Offset, step_ref: StepRef, target: &BoxId, outcome: Outcome) {
         let Some(entry) = self.boxes.get_mut(target) else {
             return;
         };
-        let held = entry.out.is_some_and(|(plan, _)| plan == claim.plan);
-        if held {
+        let is_out_for_plan = entry.out.is_some_and(|(plan, _)| plan == step_ref.plan);
+        if is_out_for_plan {
             entry.out = None;
             entry.down = outcome == Outcome::Lost;
             entry.version = at;
@@ -277,15 +278,15 @@
         let Some(service) = self.services.get_mut(job) else {
             return;
         };
-        let starting = service.starting.remove(&step.target);
-        if starting && outcome == Outcome::Done {
+        let was_starting = service.starting.remove(&step.target);
+        if was_starting && outcome == Outcome::Done {
             self.place_job(at, &step.target, job);
         }
         self.bump_version(at, &step.target);
     }
 
-    fn end_plan_if_finished(&mut self, at: Offset, claim: StepRef) {
-        let plan = self.plans.get_mut(&claim.plan).expect("step looked the plan up");
+    fn end_plan_if_finished(&mut self, at: Offset, step_ref: StepRef) {
+        let plan = self.plans.get_mut(&step_ref.plan).expect("resolve_step looked the plan up");
         if !plan.is_finished() {
             return;
         }
@@ -297,28 +298,28 @@
         self.drop_old_plans();
     }
 
-    fn claimed_step(&self, claim: StepRef) -> Result<&Step, Refusal> {
-        let plan = self.plans.get(&claim.plan).ok_or(Refusal::UnknownPlan)?;
+    fn resolve_step(&self, step_ref: StepRef) -> Result<&Step, Refusal> {
+        let plan = self.plans.get(&step_ref.plan).ok_or(Refusal::UnknownPlan)?;
         if !plan.phase.needs_driver() {
             return Err(Refusal::Phase { phase: plan.phase });
         }
-        if plan.driver.epoch != claim.epoch {
+        if plan.driver.epoch != step_ref.epoch {
             return Err(Refusal::Epoch { epoch: plan.driver.epoch });
         }
-        plan.steps.get(claim.step as usize).ok_or(Refusal::Step)
+        plan.steps.get(step_ref.step as usize).ok_or(Refusal::Step)
     }
 
-    fn check_running(&self, claim: StepRef) -> Result<(), Refusal> {
-        let phase = self.plans[&claim.plan].phase;
+    fn check_running(&self, step_ref: StepRef) -> Result<(), Refusal> {
+        let phase = self.plans[&step_ref.plan].phase;
         if phase == Phase::Running {
             return Ok(());
         }
         Err(Refusal::Phase { phase })
     }
 
-    fn set_progress(&mut self, claim: StepRef, progress: Progress) {
-        if let Some(plan) = self.plans.get_mut(&claim.plan) {
-            plan.steps[claim.step as usize].progress = progress;
+    fn set_progress(&mut self, step_ref: StepRef, progress: Progress) {
+        if let Some(plan) = self.plans.get_mut(&step_ref.plan) {
+            plan.steps[step_ref.step as usize].progress = progress;
         }
     }
 }
--- a/lib/src/state/hash.rs
+++ b/lib/src/state/hash.rs
@@ -1,8 +1,9 @@
-//! Stable hashing: the same input gives the same number on every daemon and every build.
+//! Stable hashing: equal inputs have equal hashes on every daemon and in every build.
 
 use blake3::Hasher;
 
-/// Hash of `parts`, each kept apart from the next by its length.
+/// Hash of `parts`; each part is prefixed by its length, so that moving bytes between parts changes
+/// the hash.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = Hasher::new();
     for part in parts {
@@ -14,8 +15,8 @@
     u64::from_le_bytes(head)
 }
 
-/// The member of `members` that owns `key`, by rendezvous hashing: losing a member moves only the
-/// keys that member owned.
+/// The member of `members` that owns `key`, by rendezvous hashing: the removal of a member moves only
+/// the keys that it owned. `None` if there are no members.
 ///
 /// ```
 /// use spokelift_lib::state::hash::owner;
@@ -28,7 +29,7 @@
     members.iter().copied().max_by_key(|member| stable_hash(&[key, &member.to_le_bytes()]))
 }
 
-/// Position of `member` among `members` in the rendezvous order of `key`, best first.
+/// Rank of `member` among `members` in the rendezvous order of `key`; 0 is the owner.
 pub fn rank(key: &[u8], member: u16, members: &[u16]) -> usize {
     let own = stable_hash(&[key, &member.to_le_bytes()]);
     members.iter().filter(|other| stable_hash(&[key, &other.to_le_bytes()]) > own).count()
--- a/lib/src/state/id.rs
+++ b/lib/src/state/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers and the limits on names.
+//! Identifiers and the syntax of names.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 pub type ServiceId = Arc<str>;
 /// A service together with the account that owns it.
 pub type ServiceKey = (AccountId, ServiceId);
-/// Name of a box, as the platform's box list gives it.
+/// Name of a box in the platform's box list.
 pub type BoxId = Arc<str>;
 /// Name of a data hall.
 pub type HallId = Arc<str>;
@@ -20,14 +20,14 @@
 pub type DaemonId = u16;
 /// Position of a batch on the platform's log.
 pub type Offset = u64;
-/// Random id of one record, chosen by its writer; an operator can ask for its verdict.
+/// Random id of a record, chosen by its writer; operators query its verdict by it.
 pub type RecordId = u128;
 /// Random id of a plan, chosen by the daemon that computed it.
 pub type PlanId = u64;
-/// Microseconds since the Unix epoch at which a daemon started; orders a daemon's lives.
+/// Start time of a daemon in microseconds since the Unix epoch; orders a daemon's incarnations.
 pub type Incarnation = u64;
 
-/// Longest name accepted, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME: usize = 64;
 
 /// Whether `name` may be used for an account, pool, service or box.
@@ -39,15 +39,15 @@
 /// assert!(!is_name(""));
 /// ```
 pub fn is_name(name: &str) -> bool {
-    let sized = !name.is_empty() && name.len() <= MAX_NAME;
-    sized && name.bytes().all(is_name_byte)
+    let is_length_valid = !name.is_empty() && name.len() <= MAX_NAME;
+    is_length_valid && name.bytes().all(is_name_byte)
 }
 
 fn is_name_byte(byte: u8) -> bool {
     byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-'
 }
 
-/// Writes a plan id the way operators see it.
+/// Formats a plan id for operators.
 ///
 /// ```
 /// use spokelift_lib::state::id::{format_plan, parse_plan};
@@ -58,17 +58,17 @@
     format!("{plan:016x}")
 }
 
-/// Reads a plan id written by [`format_plan`].
+/// Parses a plan id written by [`format_plan`].
 pub fn parse_plan(text: &str) -> Option<PlanId> {
     PlanId::from_str_radix(text, 16).ok()
 }
 
-/// Writes a record id the way operators see it.
+/// Formats a record id for operators.
 pub fn format_record(record: RecordId) -> String {
     format!("{record:032x}")
 }
 
-/// Reads a record id written by [`format_record`].
+/// Parses a record id written by [`format_record`].
 pub fn parse_record(text: &str) -> Option<RecordId> {
     RecordId::from_str_radix(text, 16).ok()
 }
--- a/lib/src/state/plan.rs
+++ b/lib/src/state/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what an operator asked for, the steps that lead there, and how far they are.
+//! Plans: an operator's intent, the steps that carry it out, and their progress.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,24 +14,24 @@
 use crate::state::id::ServiceId;
 use crate::state::id::ServiceKey;
 
-/// What an operator wants.
+/// A change that an operator requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Intent {
-    /// Bring a pool to a number of boxes, from or to the boxes that are in no pool.
+    /// Resize a pool by claiming boxes that are in no pool or by releasing boxes.
     Resize {
         /// The pool.
         pool: PoolId,
-        /// How many boxes it should hold.
+        /// The number of boxes it should have.
         boxes: u32,
     },
     /// Move boxes to another pool.
     Move {
-        /// Where from.
+        /// The pool the boxes are taken from.
         from: PoolId,
-        /// Where to.
+        /// The pool the boxes go to.
         to: PoolId,
-        /// How many boxes, chosen by the planner.
+        /// The number of boxes; the planner chooses which.
         boxes: u32,
     },
     /// Run a service on a number of boxes of its pool.
@@ -40,83 +40,83 @@
         account: AccountId,
         /// The service.
         service: ServiceId,
-        /// On how many boxes.
+        /// The number of boxes.
         replicas: u32,
     },
-    /// Reboot every box of the pools named, within their budgets.
+    /// Reboot every box of some pools, within their budgets.
     Maintain {
         /// The pools.
         pools: Vec<PoolId>,
     },
 }
 
-/// A plan as the log keeps it.
+/// A plan, as stored on the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
     /// Chosen at random by the daemon that computed it.
     pub id: PlanId,
-    /// The account whose operator asked, none for the site operator.
+    /// The account whose operator requested it; `None` for the site operator.
     pub account: Option<AccountId>,
-    /// What was asked for.
+    /// The requested change.
     pub intent: Intent,
     /// The steps, in the order in which they start.
     pub steps: Vec<Step>,
-    /// What the plan was computed from.
+    /// The objects and versions from which the plan was computed.
     pub base: Vec<Base>,
-    /// How many steps may be under way at a time in each pool.
+    /// Maximum number of concurrent steps in each pool.
     pub width: Vec<(PoolId, u32)>,
-    /// What the plan is expected to take.
+    /// The predicted cost.
     pub predicted: Cost,
-    /// Where the plan stands.
+    /// The current phase.
     pub phase: Phase,
-    /// Who drives it.
+    /// The daemon that drives it.
     pub driver: Driver,
-    /// Offset of the record that last changed the plan.
+    /// Position of the record that last changed the plan.
     pub version: Offset,
 }
 
 /// The daemon that drives a plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Driver {
-    /// None until the first one took the duty.
+    /// The daemon; `None` until the first one has taken over.
     pub holder: Option<DaemonId>,
     /// Counts the takeovers.
     pub epoch: u32,
-    /// Offset of the record by which this epoch began; fences the driver's commands.
+    /// Position of the record that started this epoch; fencing token of the driver's commands.
     pub fence: Offset,
 }
 
-/// One object a plan was computed from, and its version then.
+/// An object from which a plan was computed, and its version at that time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Base {
-    /// A pool, which also stands for the set of boxes in it.
+    /// A pool, including the set of boxes in it.
     Pool(PoolId, Offset),
-    /// A service, which also stands for the boxes it runs on.
+    /// A service, including the set of boxes it runs on.
     Service(ServiceKey, Offset),
-    /// A box; version 0 is a box in no pool.
+    /// A box; version 0 means that it is in no pool.
     Box(BoxId, Offset),
 }
 
-/// Where a plan stands.
+/// The state of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Waits for the operator to confirm it; nothing has changed.
+    /// Not yet confirmed by the operator; has no effect.
     Proposed,
-    /// Confirmed; steps are started.
+    /// Confirmed; steps are being carried out.
     Running,
-    /// Confirmed; steps begun are finished and no other is started.
+    /// Paused: steps in progress are finished and no others are started.
     Paused,
-    /// Being aborted: steps begun are finished.
+    /// Being aborted: steps in progress are finished and the others are skipped.
     Aborting,
-    /// Every step has ended.
+    /// All steps have ended.
     Done,
-    /// Ended before every step was started.
+    /// Aborted, and all steps in progress have ended.
     Aborted,
 }
 
 impl Phase {
-    /// Whether nothing more will happen.
+    /// Whether the plan has ended.
     pub fn is_over(self) -> bool {
         matches!(self, Phase::Done | Phase::Aborted)
     }
@@ -130,44 +130,44 @@
 /// One step: an action on one box.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// The box acted on.
+    /// The box that the step acts on.
     pub target: BoxId,
-    /// What is done.
+    /// The action.
     pub action: Action,
     /// Why the planner chose it.
     pub reason: Reason,
-    /// How far it is.
+    /// The current progress.
     pub progress: Progress,
 }
 
-/// What a step does to its box.
+/// The action of a step on its box.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// Drain, reboot, start the jobs again.
+    /// Drain the box, reboot it and restart its jobs.
     Reboot,
-    /// Drain, stop the jobs, change the pool, start the jobs named.
+    /// Drain the box, stop its jobs, change its pool and start `jobs`.
     Move {
         /// The pool the box goes to.
         to: PoolId,
         /// The jobs to start there.
         jobs: Vec<ServiceKey>,
     },
-    /// Drain, stop the jobs, leave the pool.
+    /// Drain the box, stop its jobs and remove it from its pool.
     Release,
-    /// Take a box that is in no pool.
+    /// Add a box that is in no pool to a pool.
     Claim {
         /// The pool it goes to.
         to: PoolId,
-        /// What the box list says of it.
+        /// Its properties in the box list.
         shape: Shape,
     },
-    /// Start a job.
+    /// Start a job on the box.
     Start {
         /// The job's service.
         job: ServiceKey,
     },
-    /// Drain, then stop a job.
+    /// Drain the box and stop a job.
     Stop {
         /// The job's service.
         job: ServiceKey,
@@ -175,12 +175,12 @@
 }
 
 impl Action {
-    /// Whether the box serves nothing while the step is under way.
+    /// Whether the box is out of service while the step is in progress.
     pub fn is_disruptive(&self) -> bool {
         !matches!(self, Action::Claim { .. } | Action::Start { .. })
     }
 
-    /// Whether the step counts as a move of a box or a job.
+    /// Whether the step counts as a move in [`Cost::moves`].
     pub fn is_move(&self) -> bool {
         !matches!(self, Action::Reboot)
     }
@@ -192,41 +192,41 @@
 pub enum Reason {
     /// The box is due for maintenance.
     Due,
-    /// The box holds fewest jobs among those that may go.
+    /// The box has the fewest jobs among those that may be taken.
     FewestJobs,
     /// The box is in no pool.
     Free,
-    /// The box's hall and rack hold fewest replicas of the service.
+    /// The box's hall and rack have the fewest replicas of the service.
     Spread,
-    /// The service has more replicas than asked for.
+    /// The service has more replicas than requested.
     Surplus,
 }
 
-/// How far a step is.
+/// The progress of a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Progress {
-    /// Not begun.
+    /// Not started.
     Waiting,
-    /// Permitted at this offset; the box counts as out of service.
+    /// Permitted; the box is out of service.
     Out {
-        /// Offset of the permit.
+        /// Position of the permit.
         permit: Offset,
     },
-    /// The lasting effect is in force; the step still has to be finished.
+    /// The permanent effect has been applied; the step is not yet finished.
     Assigned {
-        /// Offset of the permit, or of the assignment where none is needed.
+        /// Position of the permit, or of the assignment if the step needs no permit.
         permit: Offset,
     },
     /// Ended.
     Over {
-        /// How.
+        /// The outcome.
         outcome: Outcome,
     },
 }
 
 impl Progress {
-    /// Whether the step is under way.
+    /// Whether the step is in progress.
     pub fn is_under_way(&self) -> bool {
         matches!(self, Progress::Out { .. } | Progress::Assigned { .. })
     }
@@ -236,7 +236,7 @@
         matches!(self, Progress::Over { .. })
     }
 
-    /// Offset at which the step began, if it is under way.
+    /// Position at which the step started; `None` if it is not in progress.
     pub fn permit(&self) -> Option<Offset> {
         match self {
             Progress::Out { permit } | Progress::Assigned { permit } => Some(*permit),
@@ -245,43 +245,45 @@
     }
 }
 
-/// How a step ended.
+/// The outcome of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// As planned.
+    /// Carried out as planned.
     #[error("done")]
     Done,
-    /// The box did not become idle within its pool's drain limit; it was left as it was.
+    /// The box was not idle within its pool's drain limit; the step's action was not carried out.
     #[error("requests still ran when the drain limit passed")]
     DrainLimit,
-    /// The box was down when its turn came, and still at the end.
+    /// The step could not start: its box stayed down, or in no pool, until only such steps were left
+    /// and the driver's grace time had passed.
     #[error("the box is down")]
     Down,
-    /// The box did not come back; it stays out and counts against the budget.
+    /// The box rejected or did not answer the commands, or did not return to service in time. It is
+    /// marked as down and counts against the budget.
     #[error("the box did not come back")]
     Lost,
-    /// What the plan was made from has changed, and the log's rule refused the step.
+    /// The state from which the plan was computed has changed, and the fold refused the step.
     #[error("refused: what the plan was made from has changed")]
     Refused,
-    /// The plan was aborted first.
+    /// The plan was aborted before the step started.
     #[error("the plan was aborted")]
     Aborted,
 }
 
-/// The three measures that operators weigh.
+/// The cost of a plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
-    /// Capacity held back, in box-seconds.
+    /// Capacity out of service, in box-seconds.
     pub buffer_box_seconds: u64,
     /// Time from confirmation to the last step's end, in seconds.
     pub rollout_seconds: u64,
-    /// Boxes and jobs shifted.
+    /// Number of boxes and jobs that are moved.
     pub moves: u32,
 }
 
 impl Plan {
-    /// How many steps may be under way in `pool`.
+    /// Maximum number of concurrent steps in `pool`; 1 if the plan names no limit.
     pub fn width_of(&self, pool: &str) -> u32 {
         let entry = self.width.iter().find(|(id, _)| id.as_ref() == pool);
         entry.map_or(1, |(_, width)| *width)
@@ -292,9 +294,9 @@
         self.steps.iter().all(|step| step.progress.is_over())
     }
 
-    /// How many steps have ended.
+    /// Number of steps that have ended.
     pub fn count_ended_steps(&self) -> usize {
-        let over = self.steps.iter().filter(|step| step.progress.is_over());
-        over.count()
+        let ended = self.steps.iter().filter(|step| step.progress.is_over());
+        ended.count()
     }
 }
--- a/lib/src/state/planner.rs
+++ b/lib/src/state/planner.rs
@@ -1,4 +1,4 @@
-//! From an intent to a plan: which boxes, in which order, how many at a time, and at what cost.
+//! Computes a plan for an intent: which boxes, in which order, how many at a time, and at what cost.
 
 mod choose;
 mod cost;
@@ -29,80 +29,80 @@
 use crate::state::plan::Reason;
 use crate::state::plan::Step;
 
-/// Why an intent has no plan: the constraint that stops it, and what would have to give.
+/// Why there is no plan for an intent: the constraint that prevents it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[serde(tag = "reason", rename_all = "kebab-case")]
 pub enum PlanError {
-    /// There is no such pool, or it is not the operator's.
+    /// There is no such pool, or it is not in the operator's scope.
     #[error("there is no pool {pool}")]
     UnknownPool {
         /// The name given.
         pool: PoolId,
     },
-    /// There is no such service, or it is not the operator's.
+    /// There is no such service, or it is not in the operator's scope.
     #[error("there is no service {service}")]
     UnknownService {
         /// The name given.
         service: ServiceId,
     },
-    /// The boxes would go to the pool they are in.
+    /// The boxes would be moved to the pool they are in.
     #[error("both pools are {pool}")]
     SamePool {
         /// The pool.
         pool: PoolId,
     },
-    /// The fleet is as the intent wants it.
+    /// The fleet already matches the intent.
     #[error("nothing has to change")]
     Nothing,
-    /// Not enough boxes can be taken.
+    /// Too few boxes are available.
     #[error("{asked} boxes are asked for, but only {available} can be taken; {blocker}")]
     TooFew {
-        /// How many are asked for.
+        /// Requested number of boxes.
         asked: u32,
-        /// How many can be had.
+        /// Available number of boxes.
         available: u32,
-        /// What stops the others.
+        /// Why no others are available.
         blocker: Blocker,
     },
-    /// Not enough boxes have room for a service.
+    /// Too few boxes have the resources for another replica of the service.
     #[error("{asked} replicas are asked for, but only {available} boxes of the pool have room")]
     NoRoom {
-        /// How many are asked for.
+        /// Requested number of replicas.
         asked: u32,
-        /// How many can be had.
+        /// Number of replicas that can run.
         available: u32,
     },
-    /// The account's jobs would take up more slots than its quota.
+    /// The account's jobs would use more slots than its quota.
     #[error("the account's jobs would take up {asked} slots, and its quota is {quota}")]
     Quota {
-        /// Slots that all of the account's jobs would take up.
+        /// Slots that all jobs of the account would use.
         asked: u32,
         /// The quota.
         quota: u32,
     },
-    /// The service would have fewer replicas than must stay up.
+    /// The service would have fewer replicas than its minimum.
     #[error("{asked} replicas are asked for, but min_up of {service} is {min_up}")]
     MinUp {
         /// The service.
         service: ServiceId,
-        /// How many are asked for.
+        /// Requested number of replicas.
         asked: u32,
-        /// How many must stay up.
+        /// Minimum number of replicas up.
         min_up: u32,
     },
 }
 
-/// What keeps boxes from being taken.
+/// Why no more boxes are available.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[serde(tag = "blocker", rename_all = "kebab-case")]
 pub enum Blocker {
-    /// No more boxes are free.
+    /// The box list has no more boxes that are in no pool.
     #[error("no others are in the box list without a pool")]
     NoneFree,
-    /// The pool has no more boxes.
+    /// The pool has no more boxes in service.
     #[error("the pool has no others")]
     NoneLeft,
-    /// A service of the pool would fall below its least number of replicas.
+    /// A service of the pool would fall below its minimum number of replicas.
     #[error("lower min_up of {service} or place more of it first")]
     MinUp {
         /// The service.
@@ -110,17 +110,17 @@
     },
 }
 
-/// What the planner looks at.
+/// The inputs of planning.
 pub struct Planner<'a> {
-    /// The agreed state.
+    /// The replicated state.
     pub fleet: &'a Fleet,
-    /// Boxes of the box list that are not leaving.
+    /// Boxes of the box list, without those that are leaving.
     pub shapes: &'a Shapes,
-    /// Whose objects may be named.
+    /// The objects that the intent may refer to.
     pub scope: &'a Scope,
 }
 
-/// Steps together with what they were computed from.
+/// The steps of a plan, with the state they were computed from and their cost.
 #[derive(Default)]
 struct Draft {
     steps: Vec<Step>,
@@ -130,7 +130,11 @@
 }
 
 impl Planner<'_> {
-    /// Computes a plan; nothing changes until it is confirmed.
+    /// Computes a plan with the given id. It has no effect until it is proposed and confirmed.
+    ///
+    /// # Errors
+    ///
+    /// The constraint that prevents it, or [`PlanError::Nothing`] if no step is needed.
     pub fn plan(&self, id: PlanId, intent: Intent) -> Result<Plan, PlanError> {
         let draft = match &intent {
             Intent::Resize { pool, boxes } => self.draft_resize(pool, *boxes)?,
@@ -163,14 +167,14 @@
 
     fn pool(&self, id: &PoolId) -> Result<&Pool, PlanError> {
         let pool = self.fleet.pools.get(id);
-        let seen = pool.filter(|pool| self.scope.includes(&pool.account));
-        seen.ok_or_else(|| PlanError::UnknownPool { pool: id.clone() })
+        let visible = pool.filter(|pool| self.scope.includes(&pool.account));
+        visible.ok_or_else(|| PlanError::UnknownPool { pool: id.clone() })
     }
 
     fn service(&self, key: &ServiceKey) -> Result<&Service, PlanError> {
         let service = self.fleet.services.get(key);
-        let seen = service.filter(|_| self.scope.includes(&key.0));
-        seen.ok_or_else(|| PlanError::UnknownService { service: key.1.clone() })
+        let visible = service.filter(|_| self.scope.includes(&key.0));
+        visible.ok_or_else(|| PlanError::UnknownService { service: key.1.clone() })
     }
 
     fn draft_maintenance(&self, pools: &[PoolId]) -> Result<Draft, PlanError> {
@@ -195,20 +199,20 @@
             return Err(PlanError::SamePool { pool: from.clone() });
         }
         let source = self.pool(from)?;
-        let sink = self.pool(to)?;
-        let taken = choose::removable_boxes(self.fleet, source, boxes)?;
-        let mut jobs = choose::JobAssigner::new(self.fleet, to);
-        let mut draft = self.removal_draft(from, source, taken.len() as u32);
-        draft.base.push(Base::Pool(to.clone(), sink.version));
-        for target in taken {
+        let destination = self.pool(to)?;
+        let removed = choose::removable_boxes(self.fleet, source, boxes)?;
+        let mut assigner = choose::JobAssigner::new(self.fleet, to);
+        let mut draft = self.removal_draft(from, source, removed.len() as u32);
+        draft.base.push(Base::Pool(to.clone(), destination.version));
+        for target in removed {
             let shape = &self.fleet.boxes[&target].shape;
-            let action = Action::Move { to: to.clone(), jobs: jobs.assign(shape) };
+            let action = Action::Move { to: to.clone(), jobs: assigner.assign(shape) };
             draft.steps.push(waiting_step(target, action, Reason::FewestJobs));
         }
         Ok(draft)
     }
 
-    /// A draft for taking `count` boxes out of `pool`, without its steps.
+    /// A draft, without steps, for taking `count` boxes of `pool` out of service.
     fn removal_draft(&self, id: &PoolId, pool: &Pool, count: u32) -> Draft {
         let width = cost::width(self.fleet, pool).min(count);
         Draft {
@@ -221,18 +225,18 @@
 
     fn draft_resize(&self, id: &PoolId, boxes: u32) -> Result<Draft, PlanError> {
         let pool = self.pool(id)?;
-        let now = pool.boxes.len() as u32;
-        if boxes < now {
-            let taken = choose::removable_boxes(self.fleet, pool, now - boxes)?;
-            let mut draft = self.removal_draft(id, pool, now - boxes);
+        let current = pool.boxes.len() as u32;
+        if boxes < current {
+            let removed = choose::removable_boxes(self.fleet, pool, current - boxes)?;
+            let mut draft = self.removal_draft(id, pool, current - boxes);
             let release = |target| waiting_step(target, Action::Release, Reason::FewestJobs);
-            draft.steps = taken.into_iter().map(release).collect();
+            draft.steps = removed.into_iter().map(release).collect();
             return Ok(draft);
         }
-        let chosen = choose::unassigned_boxes(self.fleet, self.shapes, pool, boxes - now)?;
+        let chosen = choose::unassigned_boxes(self.fleet, self.shapes, pool, boxes - current)?;
         let mut draft = Draft::default();
         draft.base.push(Base::Pool(id.clone(), pool.version));
-        draft.cost.moves = boxes - now;
+        draft.cost.moves = boxes - current;
         for (target, shape) in chosen {
             draft.base.push(Base::Box(target.clone(), 0));
             let action = Action::Claim { to: id.clone(), shape };
@@ -255,11 +259,11 @@
             let min_up = found.min_up;
             return Err(PlanError::MinUp { service, asked: replicas, min_up });
         }
-        let now = (found.placed.len() + found.starting.len()) as u32;
-        let mut draft = if replicas >= now {
-            self.draft_starts(&key, found, pool, replicas - now)?
+        let current = (found.placed.len() + found.starting.len()) as u32;
+        let mut draft = if replicas >= current {
+            self.draft_starts(&key, found, pool, replicas - current)?
         } else {
-            self.draft_stops(&key, found, pool, now - replicas)
+            self.draft_stops(&key, found, pool, current - replicas)
         };
         draft.base.push(Base::Service(key, found.version));
         Ok(draft)
@@ -272,16 +276,16 @@
         pool: &Pool,
         count: u32,
     ) -> Result<Draft, PlanError> {
-        let more = count.saturating_mul(service.slots);
-        let asked = self.fleet.slots_used(&key.0).saturating_add(more);
+        let additional = count.saturating_mul(service.slots);
+        let asked = self.fleet.slots_used(&key.0).saturating_add(additional);
         if let Some(quota) = self.fleet.quota_slots(&key.0)
             && asked > quota
         {
             return Err(PlanError::Quota { asked, quota });
         }
-        let places = choose::placement_boxes(self.fleet, service, pool, count);
-        if (places.len() as u32) < count {
-            let available = (service.placed.len() + places.len()) as u32;
+        let targets = choose::placement_boxes(self.fleet, service, pool, count);
+        if (targets.len() as u32) < count {
+            let available = (service.placed.len() + targets.len()) as u32;
             let asked = service.placed.len() as u32 + count;
             return Err(PlanError::NoRoom { asked, available });
         }
@@ -289,7 +293,7 @@
         draft.cost.moves = count;
         draft.cost.rollout_seconds = u64::from(count > 0) * cost::START_S;
         draft.width.push((service.pool.clone(), count.max(1)));
-        for target in places {
+        for target in targets {
             let action = Action::Start { job: key.clone() };
             draft.steps.push(waiting_step(target, action, Reason::Spread));
         }
--- a/lib/src/state/planner/choose.rs
+++ b/lib/src/state/planner/choose.rs
@@ -1,4 +1,4 @@
-//! Which boxes a plan acts on, and in which order.
+//! Chooses the boxes that a plan acts on, and their order.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,10 +17,10 @@
 use crate::state::planner::Blocker;
 use crate::state::planner::PlanError;
 
-/// Boxes of `pool`, each next one from the hall, and in it the rack, with the most left.
+/// Boxes of `pool`, each from the hall, and in it from the rack, with the most boxes left.
 ///
-/// Taking from the fullest first keeps limits per hall and rack from leaving a tail of boxes
-/// that can only go one by one.
+/// With limits per hall or rack, another order could leave the last boxes all in one hall or rack,
+/// where they can be taken out only one by one.
 pub fn maintenance_order(fleet: &Fleet, pool: &Pool) -> Vec<BoxId> {
     let mut halls: BTreeMap<&HallId, BTreeMap<&RackId, Vec<&BoxId>>> = BTreeMap::new();
     for id in pool.boxes.iter().rev() {
@@ -40,21 +40,27 @@
 fn pop_from_fullest<'a>(
     halls: &mut BTreeMap<&HallId, BTreeMap<&RackId, Vec<&'a BoxId>>>,
 ) -> Option<&'a BoxId> {
-    let left = |racks: &BTreeMap<&RackId, Vec<&BoxId>>| racks.values().map(Vec::len).sum::<usize>();
-    let racks = halls.values_mut().max_by_key(|racks| left(racks))?;
+    let count =
+        |racks: &BTreeMap<&RackId, Vec<&BoxId>>| -> usize { racks.values().map(Vec::len).sum() };
+    let racks = halls.values_mut().max_by_key(|racks| count(racks))?;
     racks.values_mut().max_by_key(|boxes| boxes.len())?.pop()
 }
 
-/// `count` boxes that may leave `pool`, those with the fewest jobs first.
+/// `count` boxes that may be removed from `pool`, those with the fewest jobs first.
+///
+/// # Errors
+///
+/// [`PlanError::TooFew`] if removing more would take a service below its minimum of replicas, or if
+/// no more boxes are in service.
 pub fn removable_boxes(fleet: &Fleet, pool: &Pool, count: u32) -> Result<Vec<BoxId>, PlanError> {
     let mut up: BTreeMap<&ServiceKey, u32> = BTreeMap::new();
     for (key, service) in &fleet.services {
         up.insert(key, fleet.replicas_up(service));
     }
-    let mut taken = Vec::new();
+    let mut removed = Vec::new();
     let mut blocker = Blocker::NoneLeft;
     for id in serving_boxes_by_jobs(fleet, pool) {
-        if taken.len() == count as usize {
+        if removed.len() == count as usize {
             break;
         }
         match first_at_min_up(fleet, id, &up) {
@@ -63,60 +69,64 @@
                 for key in fleet.jobs_on(id) {
                     *up.entry(key).or_default() -= 1;
                 }
-                taken.push(id.clone());
+                removed.push(id.clone());
             }
         }
     }
-    if taken.len() < count as usize {
-        let available = taken.len() as u32;
+    if removed.len() < count as usize {
+        let available = removed.len() as u32;
         return Err(PlanError::TooFew { asked: count, available, blocker });
     }
-    Ok(taken)
+    Ok(removed)
 }
 
 fn serving_boxes_by_jobs<'a>(fleet: &'a Fleet, pool: &'a Pool) -> Vec<&'a BoxId> {
-    let serving = |id: &&BoxId| fleet.boxes.get(*id).is_some_and(Entry::is_serving);
-    let mut boxes: Vec<&BoxId> = pool.boxes.iter().filter(serving).collect();
+    let is_serving = |id: &&BoxId| fleet.boxes.get(*id).is_some_and(Entry::is_serving);
+    let mut boxes: Vec<&BoxId> = pool.boxes.iter().filter(is_serving).collect();
     boxes.sort_by_key(|id| fleet.jobs_on(id).count());
     boxes
 }
 
-/// A service on `target` that has no replica to spare.
+/// A service on `target` that has no more replicas up than its minimum.
 fn first_at_min_up<'a>(
     fleet: &'a Fleet,
     target: &'a str,
     up: &BTreeMap<&ServiceKey, u32>,
 ) -> Option<&'a ServiceKey> {
-    let short = |key: &&ServiceKey| up[*key] <= fleet.services[*key].min_up;
-    fleet.jobs_on(target).find(short)
+    let is_at_min_up = |key: &&ServiceKey| up[*key] <= fleet.services[*key].min_up;
+    fleet.jobs_on(target).find(is_at_min_up)
 }
 
-/// `count` boxes that are in no pool, spread over the halls that have fewest boxes of `pool`.
+/// `count` boxes that are in no pool, from the halls and racks with the fewest boxes of `pool`.
+///
+/// # Errors
+///
+/// [`PlanError::TooFew`] if there are not as many.
 pub fn unassigned_boxes(
     fleet: &Fleet,
     shapes: &Shapes,
     pool: &Pool,
     count: u32,
 ) -> Result<Vec<(BoxId, Shape)>, PlanError> {
-    let mut left: Vec<(&BoxId, &Shape)> =
+    let mut candidates: Vec<(&BoxId, &Shape)> =
         shapes.iter().filter(|(id, _)| !fleet.boxes.contains_key(*id)).collect();
-    let mut load = AreaCounts::of(fleet, &pool.boxes);
+    let mut counts = AreaCounts::of(fleet, &pool.boxes);
     let mut chosen = Vec::new();
     while chosen.len() < count as usize {
-        let best = (0..left.len()).min_by_key(|index| load.at(left[*index].1));
+        let best = (0..candidates.len()).min_by_key(|index| counts.at(candidates[*index].1));
         let Some(best) = best else {
             let available = chosen.len() as u32;
             let blocker = Blocker::NoneFree;
             return Err(PlanError::TooFew { asked: count, available, blocker });
         };
-        let (id, shape) = left.swap_remove(best);
-        load.add(shape);
+        let (id, shape) = candidates.swap_remove(best);
+        counts.add(shape);
         chosen.push((id.clone(), shape.clone()));
     }
     Ok(chosen)
 }
 
-/// How many boxes of a set each hall and rack holds.
+/// Number of boxes of a set in each hall and rack.
 #[derive(Default)]
 struct AreaCounts {
     halls: BTreeMap<HallId, u32>,
@@ -125,11 +135,11 @@
 
 impl AreaCounts {
     fn of(fleet: &Fleet, boxes: &BTreeSet<BoxId>) -> AreaCounts {
-        let mut load = AreaCounts::default();
+        let mut counts = AreaCounts::default();
         for entry in boxes.iter().filter_map(|id| fleet.boxes.get(id)) {
-            load.add(&entry.shape);
+            counts.add(&entry.shape);
         }
-        load
+        counts
     }
 
     fn add(&mut self, shape: &Shape) {
@@ -144,10 +154,10 @@
     }
 }
 
-/// Up to `count` boxes of `pool` with room for one more job of `service`, spread over halls and
-/// racks.
+/// Up to `count` boxes of `pool` with the resources for another replica of `service`, spread over
+/// halls and racks.
 pub fn placement_boxes(fleet: &Fleet, service: &Service, pool: &Pool, count: u32) -> Vec<BoxId> {
-    let mut left: Vec<(&BoxId, &Entry, u32)> = Vec::new();
+    let mut candidates: Vec<(&BoxId, &Entry, u32)> = Vec::new();
     for id in &pool.boxes {
         let Some(entry) = fleet.boxes.get(id) else {
             continue;
@@ -155,64 +165,66 @@
         let (slots, memory_mb) = fleet.free_resources(id, &entry.shape);
         let fits = slots >= service.slots && memory_mb >= service.memory_mb;
         if fits && !entry.down && !service.is_on(id) {
-            left.push((id, entry, slots));
+            candidates.push((id, entry, slots));
         }
     }
-    let mut load = AreaCounts::of(fleet, &service.placed);
+    let mut counts = AreaCounts::of(fleet, &service.placed);
     let mut chosen = Vec::new();
     while chosen.len() < count as usize {
         let key = |index: &usize| {
-            let (_, entry, slots) = left[*index];
-            (load.at(&entry.shape), u32::MAX - slots)
+            let (_, entry, slots) = candidates[*index];
+            (counts.at(&entry.shape), u32::MAX - slots)
         };
-        let Some(best) = (0..left.len()).min_by_key(key) else {
+        let Some(best) = (0..candidates.len()).min_by_key(key) else {
             break;
         };
-        let (id, entry, _) = left.swap_remove(best);
-        load.add(&entry.shape);
+        let (id, entry, _) = candidates.swap_remove(best);
+        counts.add(&entry.shape);
         chosen.push(id.clone());
     }
     chosen
 }
 
-/// `count` boxes on which `service` has a replica too many, from the fullest halls first.
+/// Up to `count` boxes whose replica of `service` is to be stopped, first from the halls, and then
+/// the racks, with the most replicas.
 pub fn surplus_boxes(fleet: &Fleet, service: &Service, count: u32) -> Vec<BoxId> {
-    let mut load = AreaCounts::of(fleet, &service.placed);
-    let mut left: Vec<&BoxId> = service.placed.iter().collect();
+    let mut counts = AreaCounts::of(fleet, &service.placed);
+    let mut candidates: Vec<&BoxId> = service.placed.iter().collect();
     let mut chosen = Vec::new();
     while chosen.len() < count as usize {
         let key = |index: &usize| {
-            let entry = fleet.boxes.get(left[*index]);
-            entry.map(|entry| load.at(&entry.shape))
+            let entry = fleet.boxes.get(candidates[*index]);
+            entry.map(|entry| counts.at(&entry.shape))
         };
-        let Some(best) = (0..left.len()).max_by_key(key) else {
+        let Some(best) = (0..candidates.len()).max_by_key(key) else {
             break;
         };
-        let id = left.swap_remove(best);
+        let id = candidates.swap_remove(best);
         if let Some(entry) = fleet.boxes.get(id) {
-            let halls = load.halls.entry(entry.shape.hall.clone()).or_default();
-            *halls = halls.saturating_sub(1);
+            let in_hall = counts.halls.entry(entry.shape.hall.clone()).or_default();
+            *in_hall = in_hall.saturating_sub(1);
         }
         chosen.push(id.clone());
     }
     chosen
 }
 
-/// Fills boxes that come into a pool with its services, the one with fewest replicas first.
+/// Assigns jobs of a pool's services to boxes that join it, services with the fewest replicas first.
 pub struct JobAssigner<'a> {
+    /// Services with their number of replicas.
     services: Vec<(&'a ServiceKey, &'a Service, usize)>,
 }
 
 impl<'a> JobAssigner<'a> {
-    /// The services that run on `pool`.
+    /// An assigner of jobs of the services that are placed on `pool`.
     pub fn new(fleet: &'a Fleet, pool: &PoolId) -> JobAssigner<'a> {
-        let own = fleet.services.iter().filter(|(_, service)| service.pool == *pool);
-        let running = own.filter(|(_, service)| service.is_placed());
-        let services = running.map(|(key, service)| (key, service, service.placed.len()));
+        let on_pool = fleet.services.iter().filter(|(_, service)| service.pool == *pool);
+        let placed = on_pool.filter(|(_, service)| service.is_placed());
+        let services = placed.map(|(key, service)| (key, service, service.placed.len()));
         JobAssigner { services: services.collect() }
     }
 
-    /// The jobs to start on the next box.
+    /// The jobs to start on the next box, which has no others.
     pub fn assign(&mut self, shape: &Shape) -> Vec<ServiceKey> {
         let mut slots = shape.slots;
         let mut memory_mb = shape.memory_mb;
--- a/lib/src/state/planner/cost.rs
+++ b/lib/src/state/planner/cost.rs
@@ -1,4 +1,4 @@
-//! How wide a wave may be, and what it is expected to take.
+//! Width and predicted cost of plans.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,11 +13,12 @@
 /// Time expected for starting jobs, in seconds.
 pub const START_S: u64 = 2;
 
-/// How many boxes of `pool` a plan should have out at a time: the most that the budgets let out when
-/// none has failed.
+/// Number of boxes of `pool` that a plan takes out of service at a time: the maximum that the budgets
+/// allow while no box has failed.
 ///
-/// Roll-out is shortest at the widest. So is the buffer no larger there: spare is given back as soon
-/// as fewer boxes are left than the width, so that every width holds each box's own time and no more.
+/// The maximum width has the shortest roll-out. It needs no more buffer than a smaller one: spare
+/// capacity is released once fewer boxes than the width are left, so every width holds back the
+/// maintenance time of each box and no more.
 pub fn width(fleet: &Fleet, pool: &Pool) -> u32 {
     let halls = count_distinct(fleet, pool, |entry| &entry.shape.hall);
     let racks = count_distinct(fleet, pool, |entry| &entry.shape.rack);
--- a/lib/src/state/record.rs
+++ b/lib/src/state/record.rs
@@ -1,4 +1,4 @@
-//! Records on the platform's log: every change that the daemons must agree on.
+//! Records on the platform's log: the changes of the replicated state.
 
 use postcard::from_bytes;
 use postcard::to_stdvec;
@@ -23,26 +23,27 @@
 use crate::state::plan::Plan;
 use crate::state::snapshot::Chunk;
 
-/// Largest encoded batch, in bytes; the log's own limit is above it.
+/// Maximum size of an encoded batch, in bytes; the log's own limit is higher.
 pub const MAX_BATCH_BYTES: usize = 512 * 1024;
 
-/// What one append carries.
+/// The records of one append.
 ///
-/// `(writer, incarnation, sequence)` makes an append whose answer was lost safe to send again:
-/// readers drop a sequence they have seen and an incarnation that has been followed by another.
+/// `(writer, incarnation, sequence)` makes it safe to repeat an append whose answer was lost: readers
+/// ignore a sequence number that they have applied and refuse an incarnation that a later one has
+/// replaced.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
     /// The daemon that wrote it.
     pub writer: DaemonId,
-    /// That daemon's life.
+    /// That daemon's incarnation.
     pub incarnation: Incarnation,
-    /// Counts this life's batches from 1.
+    /// Sequence number of the batch in this incarnation, from 1.
     pub sequence: u64,
-    /// The records, judged in this order.
+    /// The records, applied in this order.
     pub records: Vec<Record>,
 }
 
-/// One change, with the id by which its verdict can be asked for.
+/// A change, with the id by which its verdict can be queried.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// Chosen at random by the writer.
@@ -51,99 +52,100 @@
     pub body: Body,
 }
 
-/// The changes there are.
+/// The kinds of changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// Sets configuration objects, if none changed since the operator read it.
+    /// Sets configuration objects, if none of them has changed since the versions that the edits name.
     Publish(Change),
-    /// Keeps a plan for confirmation; changes nothing else.
+    /// Stores a plan for confirmation; changes nothing else.
     Propose(Plan),
-    /// Puts a proposed plan in force, if nothing it was computed from has changed.
+    /// Starts a proposed plan, if none of the objects it was computed from has changed.
     Confirm(PlanId),
-    /// Takes over the duty to drive a plan; ends every earlier epoch.
+    /// Takes over the driving of a plan; earlier epochs are refused from then on.
     Drive {
-        /// The plan driven.
+        /// The plan.
         plan: PlanId,
-        /// The daemon that drives it from here on.
+        /// The new driver.
         holder: DaemonId,
-        /// One more than the epoch that ends.
+        /// The current epoch plus one.
         epoch: u32,
     },
-    /// Asks for permission to take a step's box out of service.
+    /// Takes the box of a step out of service, if the budget allows it.
     Permit(StepRef),
-    /// Puts a step's lasting effect in force: the box's new pool, or a job's place.
+    /// Applies the permanent effect of a step: the new pool of a box, or where a job runs.
     Assign(StepRef),
-    /// Ends a step and gives its share of the budget back.
+    /// Ends a step; its box no longer counts against the budget, unless the outcome is
+    /// [`Outcome::Lost`].
     Finish(StepRef, Outcome),
-    /// An operator pauses, resumes or aborts a confirmed plan, or drops a proposed one.
+    /// Pauses, resumes or aborts a confirmed plan, or aborts a proposed one.
     Control {
         /// The plan.
         plan: PlanId,
-        /// What to do.
+        /// The action.
         action: Control,
     },
-    /// A box no longer answers.
+    /// Boxes became unresponsive.
     Down(Vec<BoxId>),
-    /// A box answers again.
+    /// Boxes respond again.
     Up(Vec<BoxId>),
-    /// A daemon writes a snapshot of the state right after this record's batch, if no other has
-    /// marked one since the mark it names.
+    /// Announces that the writer writes a snapshot of the state after this record's batch. Refused if
+    /// another mark was accepted since the one it names.
     Mark {
-        /// Position of the last mark that the writer knows of.
+        /// Position of the last mark that the writer has applied.
         after: Offset,
     },
     /// Part of a snapshot.
     Snapshot(Chunk),
 }
 
-/// Names a step of a plan on behalf of an epoch of its driver.
+/// A reference to a step of a plan by the driver of an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepRef {
     /// The plan.
     pub plan: PlanId,
-    /// The driver's epoch; an earlier one is refused.
+    /// The driver's epoch; refused unless it is the current one.
     pub epoch: u32,
     /// Index of the step.
     pub step: u32,
 }
 
-/// What an operator does to a plan under way.
+/// An operator's action on a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Control {
-    /// Start no further step.
+    /// Start no more steps.
     Pause,
-    /// Go on after a pause.
+    /// Continue after a pause.
     Resume,
-    /// Finish the steps begun and start no other.
+    /// Finish the steps in progress and skip the others.
     Abort,
 }
 
-/// A set of edits that are accepted or refused together.
+/// A set of edits that is accepted or refused as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The edits; an object's edit names the version it was made from.
+    /// The edits; each names the version of its object on which it is based.
     pub edits: Vec<Edit>,
 }
 
-/// One edit; `base` is the version of the object it replaces, 0 for a new one.
+/// An edit. The offset is the version of the object that it replaces, 0 for a new object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Edit {
     /// Sets an account.
     Account(AccountId, Offset, Account),
-    /// Sets a pool; the boxes it holds are not part of this.
+    /// Sets a pool, except for its set of boxes.
     Pool(PoolId, Offset, Pool),
-    /// Sets a service of an account.
+    /// Sets a service of an account, except for the boxes it runs on.
     Service(AccountId, ServiceId, Offset, Service),
-    /// Puts a box that is in no pool into one.
+    /// Adds a box that is in no pool to a pool.
     Claim(BoxId, PoolId, Shape),
 }
 
-/// Why bytes from the log are not a batch.
+/// Why a batch cannot be encoded or decoded.
 #[derive(Debug, Error)]
 pub enum CodecError {
-    /// The bytes do not decode.
-    #[error("not a batch: {0}")]
+    /// The serialization failed.
+    #[error("cannot encode or decode the batch: {0}")]
     Postcard(#[from] postcard::Error),
     /// The encoded batch is larger than [`MAX_BATCH_BYTES`].
     #[error("a batch of {0} bytes is over the limit of {MAX_BATCH_BYTES}")]
--- a/lib/src/state/snapshot.rs
+++ b/lib/src/state/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the fleet: split for the log, checked by a hash.
+//! Snapshots of the fleet: encoding, splitting into records and verification by a hash.
 
 use std::collections::BTreeMap;
 
@@ -12,28 +12,28 @@
 /// Hash of a fleet's encoding.
 pub type Digest = [u8; 32];
 
-/// Bytes of a snapshot that one record carries.
+/// Maximum size of the part of a snapshot in one record, in bytes.
 pub const CHUNK_BYTES: usize = 256 * 1024;
 
-/// Part of a snapshot of the state right after the record at [`Chunk::mark`].
+/// Part of a snapshot of the state at the position [`Chunk::mark`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
     /// Position of the [`crate::state::record::Body::Mark`] record.
     pub mark: Offset,
     /// Hash of the whole encoding.
     pub digest: Digest,
-    /// Index of this part.
+    /// Index of this part, from 0.
     pub part: u32,
-    /// How many parts there are.
+    /// Number of parts.
     pub parts: u32,
-    /// This part of the encoding.
+    /// The bytes of this part.
     pub bytes: Vec<u8>,
 }
 
-/// Why a set of chunks is not a fleet.
+/// Why a snapshot cannot be loaded.
 #[derive(Debug, Error)]
 pub enum SnapshotError {
-    /// The parts do not hash to what they say.
+    /// The encoding does not match its hash.
     #[error("the snapshot of offset {0} does not match its hash")]
     Digest(Offset),
     /// The encoding does not decode.
@@ -46,7 +46,7 @@
     postcard::to_stdvec(fleet).expect("a fleet holds only types that postcard can encode")
 }
 
-/// Hash by which daemons compare their states.
+/// Hash of an encoded fleet; daemons compare their states by it.
 pub fn digest(encoded: &[u8]) -> Digest {
     *blake3::hash(encoded).as_bytes()
 }
@@ -73,7 +73,7 @@
     pieces.map(chunk).collect()
 }
 
-/// Puts chunks together, in whatever order and however often they come.
+/// Assembles a snapshot from chunks, which may come in any order and repeatedly.
 #[derive(Debug, Default)]
 pub struct Assembly {
     mark: Offset,
@@ -81,8 +81,12 @@
 }
 
 impl Assembly {
-    /// Adds a chunk; returns the fleet when its snapshot is complete. Chunks of an older
-    /// snapshot than the newest one seen are passed over.
+    /// Adds a chunk; returns the fleet once its snapshot is complete, otherwise `None`. Chunks of an
+    /// older snapshot than the newest one received are ignored.
+    ///
+    /// # Errors
+    ///
+    /// If the complete snapshot does not match its hash or does not decode.
     pub fn add(&mut self, chunk: Chunk) -> Result<Option<Fleet>, SnapshotError> {
         if chunk.mark < self.mark {
             return Ok(None);
@@ -108,7 +112,7 @@
     }
 }
 
-/// Decodes an encoded fleet after checking its hash.
+/// Verifies the hash of an encoded fleet and decodes it.
 pub fn decode(encoded: &[u8], mark: Offset, expected: Digest) -> Result<Fleet, SnapshotError> {
     if digest(encoded) != expected {
         return Err(SnapshotError::Digest(mark));
--- a/lib/src/state/wave.rs
+++ b/lib/src/state/wave.rs
@@ -1,4 +1,4 @@
-//! Which steps of a plan may begin now: the decision that the driver makes, as a rule of the state.
+//! Chooses the steps of a plan that the driver may start now, from the replicated state.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,29 +14,29 @@
 use crate::state::plan::Progress;
 use crate::state::plan::Step;
 
-/// What to do with a plan's waiting steps.
+/// The waiting steps of a plan that may start or are blocked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Choice {
-    /// Steps that may begin, in order; the log judges each when it does.
+    /// Steps that may start, in order; the fold checks each again when it applies the step's permit.
     pub ready: Vec<u32>,
-    /// Steps whose box is down or gone, passed over for now.
+    /// Steps that are skipped for now, because their box is down or no longer in a pool.
     pub blocked: Vec<u32>,
 }
 
-/// Chooses the steps to begin. `begun` are those under way that the plan does not show yet.
+/// Chooses the steps to start. `started` are steps in progress that the plan does not show yet.
 ///
-/// A box is passed over while its hall, rack or service has nothing to spare, and the next one is
-/// looked at; a pool is left alone once its budget or the plan's width is used up. Each pool is
-/// counted once, whatever the number of steps, and only if a step of it may begin at all.
-pub fn choose_steps(fleet: &Fleet, plan: &Plan, begun: &BTreeSet<u32>) -> Choice {
-    let mut room = WidthLimits::new(fleet, plan, begun);
-    let mut tallies: BTreeMap<&PoolId, PoolUsage<'_>> = BTreeMap::new();
+/// A box is skipped while the limit of its hall or rack is reached or one of its services has no
+/// spare replica. A pool is skipped once its budget or the plan's width is used up. The usage of each
+/// pool is computed at most once, and only if one of its steps may start.
+pub fn choose_steps(fleet: &Fleet, plan: &Plan, started: &BTreeSet<u32>) -> Choice {
+    let mut limits = WidthLimits::new(fleet, plan, started);
+    let mut usages: BTreeMap<&PoolId, PoolUsage<'_>> = BTreeMap::new();
     let mut choice = Choice::default();
     for (index, step) in indexed_steps(plan) {
-        if room.is_exhausted() {
+        if limits.is_exhausted() {
             break;
         }
-        if step.progress != Progress::Waiting || begun.contains(&index) {
+        if step.progress != Progress::Waiting || started.contains(&index) {
             continue;
         }
         if !step.action.is_disruptive() {
@@ -47,52 +47,52 @@
             choice.blocked.push(index);
             continue;
         };
-        if !room.has_capacity(plan, &entry.pool) {
+        if !limits.has_capacity(plan, &entry.pool) {
             continue;
         }
-        let tally =
-            tallies.entry(&entry.pool).or_insert_with(|| PoolUsage::new(fleet, &entry.pool));
-        match tally.eligibility(&step.target, entry) {
+        let usage = usages.entry(&entry.pool).or_insert_with(|| PoolUsage::new(fleet, &entry.pool));
+        match usage.eligibility(&step.target, entry) {
             Eligibility::Eligible => {
-                room.count_step(&entry.pool);
-                tally.take_out(&step.target, entry);
+                limits.count_step(&entry.pool);
+                usage.take_out(&step.target, entry);
                 choice.ready.push(index);
             }
             Eligibility::BoxDown => choice.blocked.push(index),
             Eligibility::BoxIneligible => {}
-            Eligibility::PoolExhausted => room.mark_exhausted(&entry.pool),
+            Eligibility::PoolExhausted => limits.mark_exhausted(&entry.pool),
         }
     }
     choice
 }
 
-/// The steps of a plan with their numbers.
+/// The steps of a plan with their indexes.
 pub fn indexed_steps(plan: &Plan) -> impl Iterator<Item = (u32, &Step)> {
     plan.steps.iter().enumerate().map(|(index, step)| (index as u32, step))
 }
 
-/// How many more steps may be under way in each pool.
+/// Number of steps in progress in each pool, limited by the plan's width.
 struct WidthLimits<'a> {
     under_way: BTreeMap<&'a PoolId, u32>,
+    /// Pools in which no more steps may start.
     exhausted: BTreeSet<&'a PoolId>,
+    /// Number of pools in the plan's widths.
     pool_count: usize,
 }
 
 impl<'a> WidthLimits<'a> {
-    fn new(fleet: &'a Fleet, plan: &Plan, begun: &BTreeSet<u32>) -> WidthLimits<'a> {
-        let pools = plan.width.len();
-        let mut room = WidthLimits {
+    fn new(fleet: &'a Fleet, plan: &Plan, started: &BTreeSet<u32>) -> WidthLimits<'a> {
+        let mut limits = WidthLimits {
             under_way: BTreeMap::new(),
             exhausted: BTreeSet::new(),
-            pool_count: pools,
+            pool_count: plan.width.len(),
         };
         for (index, step) in indexed_steps(plan) {
-            let under_way = step.progress.is_under_way() || begun.contains(&index);
-            if let Some(entry) = fleet.boxes.get(&step.target).filter(|_| under_way) {
-                room.count_step(&entry.pool);
+            let is_under_way = step.progress.is_under_way() || started.contains(&index);
+            if let Some(entry) = fleet.boxes.get(&step.target).filter(|_| is_under_way) {
+                limits.count_step(&entry.pool);
             }
         }
-        room
+        limits
     }
 
     fn count_step(&mut self, pool: &'a PoolId) {
@@ -103,51 +103,56 @@
         self.exhausted.insert(pool);
     }
 
-    /// Whether no pool of the plan has room any more. A plan without widths takes nothing out.
+    /// Whether no more steps may start in any pool. Always false for a plan without widths, which
+    /// takes no box out of service.
     fn is_exhausted(&self) -> bool {
         self.pool_count > 0 && self.exhausted.len() >= self.pool_count
     }
 
+    /// Whether another step may start in `pool`; marks the pool as exhausted if not.
     fn has_capacity(&mut self, plan: &Plan, pool: &'a PoolId) -> bool {
         if self.exhausted.contains(pool) {
             return false;
         }
-        let taken = self.under_way.get(pool).copied().unwrap_or(0);
-        let has = taken < plan.width_of(pool);
-        if !has {
+        let under_way = self.under_way.get(pool).copied().unwrap_or(0);
+        let is_below_width = under_way < plan.width_of(pool);
+        if !is_below_width {
             self.mark_exhausted(pool);
         }
-        has
+        is_below_width
     }
 }
 
-/// Whether a box can be spared now.
+/// Whether a box may be taken out of service now.
 enum Eligibility {
-    /// It can.
+    /// It may.
     Eligible,
     /// It is down.
     BoxDown,
-    /// Not this one; another of the pool may.
+    /// It may not, but other boxes of the pool may.
     BoxIneligible,
-    /// No box of the pool.
+    /// No box of the pool may.
     PoolExhausted,
 }
 
-/// What is out in a pool and up of its services, with the boxes chosen a moment ago.
+/// Boxes of a pool that are out of service and spare replicas of its services, after the steps chosen
+/// so far.
 struct PoolUsage<'a> {
     pool: &'a Pool,
+    /// Boxes that are out, in all.
     out: u32,
     halls: BTreeMap<&'a HallId, u32>,
     racks: BTreeMap<&'a RackId, u32>,
+    /// For each box, the indexes of its services in `spare_replicas`.
     jobs: BTreeMap<&'a BoxId, Vec<usize>>,
-    /// For each service of the pool, how many replicas may still go.
+    /// For each service of the pool, the number of replicas up beyond its minimum.
     spare_replicas: Vec<u32>,
 }
 
 impl<'a> PoolUsage<'a> {
     fn new(fleet: &'a Fleet, id: &PoolId) -> PoolUsage<'a> {
         let pool = &fleet.pools[id];
-        let mut tally = PoolUsage {
+        let mut usage = PoolUsage {
             pool,
             out: 0,
             halls: BTreeMap::new(),
@@ -156,16 +161,16 @@
             spare_replicas: Vec::new(),
         };
         for (_, entry) in fleet.boxes_out(pool) {
-            tally.count_out(entry);
+            usage.count_out(entry);
         }
         for service in fleet.services.values().filter(|service| service.pool == *id) {
-            let number = tally.spare_replicas.len();
-            tally.spare_replicas.push(fleet.replicas_up(service).saturating_sub(service.min_up));
+            let index = usage.spare_replicas.len();
+            usage.spare_replicas.push(fleet.replicas_up(service).saturating_sub(service.min_up));
             for target in service.placed.iter().chain(&service.starting) {
-                tally.jobs.entry(target).or_default().push(number);
+                usage.jobs.entry(target).or_default().push(index);
             }
         }
-        tally
+        usage
     }
 
     fn count_out(&mut self, entry: &'a Entry) {
@@ -184,11 +189,11 @@
         }
         let in_hall = self.halls.get(&entry.shape.hall).copied().unwrap_or(0);
         let in_rack = self.racks.get(&entry.shape.rack).copied().unwrap_or(0);
-        let full = budget.max_out_per_hall.is_some_and(|limit| in_hall >= limit)
+        let is_area_full = budget.max_out_per_hall.is_some_and(|limit| in_hall >= limit)
             || budget.max_out_per_rack.is_some_and(|limit| in_rack >= limit);
         let jobs = self.jobs.get(target).map_or(&[][..], Vec::as_slice);
-        let short = jobs.iter().any(|number| self.spare_replicas[*number] == 0);
-        if full || short || entry.out.is_some() {
+        let is_at_min_up = jobs.iter().any(|index| self.spare_replicas[*index] == 0);
+        if is_area_full || is_at_min_up || entry.out.is_some() {
             Eligibility::BoxIneligible
         } else {
             Eligibility::Eligible
@@ -197,8 +202,8 @@
 
     fn take_out(&mut self, target: &BoxId, entry: &'a Entry) {
         self.count_out(entry);
-        for number in self.jobs.get(target).map_or(&[][..], Vec::as_slice) {
-            self.spare_replicas[*number] = self.spare_replicas[*number].saturating_sub(1);
+        for index in self.jobs.get(target).map_or(&[][..], Vec::as_slice) {
+            self.spare_replicas[*index] = self.spare_replicas[*index].saturating_sub(1);
         }
     }
 }
