--- a/lib/src/operator_api.rs
+++ b/lib/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface.
+//! Serves the operators' HTTP API, see [`crate::protocol::api`].
 
 mod change;
 mod view;
@@ -29,10 +29,10 @@
 use crate::transport::dial::Body;
 use crate::transport::dial::full;
 
-/// An answer's body.
+/// The body of a response.
 type Json = Vec<u8>;
 
-/// Answers one request of an operator.
+/// Handles a request of an operator.
 pub async fn handle(node: Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     match route_request(&node, request).await {
         Ok(json) => json_response(200, json),
@@ -97,12 +97,12 @@
     std::str::from_utf8(body).map_err(|_| ApiError::Malformed)
 }
 
-/// Whose objects the request's credential may see and change.
+/// Verifies the request's credential and returns the objects that it may see and change.
 fn authorize(node: &Node, head: &Parts) -> Result<Scope, ApiError> {
     let credential = bearer_credential(head)?;
     if credential.account == SITE {
-        let valid = credential.matches(&[node.settings.site_key_hash]);
-        return if valid { Ok(Scope::Site) } else { Err(ApiError::Credential) };
+        let is_valid = credential.matches(&[node.settings.site_key_hash]);
+        return if is_valid { Ok(Scope::Site) } else { Err(ApiError::Credential) };
     }
     let fleet = node.replica.fleet();
     Ok(Scope::Account(credential.authenticate(&fleet, Role::Operator)?))
--- a/lib/src/operator_api/change.rs
+++ b/lib/src/operator_api/change.rs
@@ -1,4 +1,4 @@
-//! Changes: publishing, proposing, confirming.
+//! Requests that change the state: publishing configuration, proposing and controlling plans.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,13 +26,14 @@
 use crate::state::record::Control;
 use crate::transport::clock;
 
-/// How long an accepted change waits to be seen in force on every live daemon before the answer
-/// says where it is so far.
+/// How long the answer to an accepted change waits until every live daemon has applied it; then it
+/// lists those that have.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause between two looks at where it is in force.
+/// Interval of checking which daemons have applied a change.
 const IN_FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A change may be tried only from the state in force: one that reads the log itself.
+/// Checks that this daemon's state is current by its own reads of the log; other daemons accept no
+/// changes.
 fn check_fresh(node: &Node) -> Result<(), ApiError> {
     match node.basis() {
         Basis::Log => Ok(()),
@@ -72,21 +73,21 @@
 }
 
 async fn wait_in_force(node: &Node, position: Offset) -> Vec<DaemonId> {
-    let begun = clock::now();
+    let started = clock::now();
     loop {
         let in_force = daemons_in_force(node, position);
         let live = node.members.live_offsets(clock::now()).len() + 1;
-        if in_force.len() >= live || clock::since(begun) > IN_FORCE_TIMEOUT {
+        if in_force.len() >= live || clock::since(started) > IN_FORCE_TIMEOUT {
             return in_force;
         }
         sleep(IN_FORCE_CHECK_INTERVAL).await;
     }
 }
 
-/// Live daemons that have applied everything before a position.
+/// Live daemons that have applied all batches before `position`, sorted.
 fn daemons_in_force(node: &Node, position: Offset) -> Vec<DaemonId> {
     let peers = node.members.live_offsets(clock::now());
-    let applied = peers.into_iter().filter(|(_, own)| *own >= position);
+    let applied = peers.into_iter().filter(|(_, next)| *next >= position);
     let mut daemons: Vec<DaemonId> = applied.map(|(id, _)| id).collect();
     if node.replica.next() >= position {
         daemons.push(node.settings.id);
@@ -95,7 +96,7 @@
     daemons
 }
 
-/// What became of a record whose verdict was not yet known.
+/// Returns the verdict on a record that was submitted earlier.
 pub(super) fn record_status(node: &Node, id: RecordId) -> Result<Published, ApiError> {
     let fleet = node.replica.fleet();
     match fleet.verdict(id) {
@@ -109,7 +110,7 @@
     }
 }
 
-/// Computes a plan for an intent and keeps it for confirmation.
+/// Computes a plan for an intent and stores it for confirmation.
 pub(super) async fn propose(
     node: &Arc<Node>,
     scope: &Scope,
@@ -129,7 +130,7 @@
     view::plan(node, scope, id)
 }
 
-/// Confirms a plan, or pauses, resumes or aborts it.
+/// Confirms, pauses, resumes or aborts a plan; `None` confirms it.
 pub(super) async fn control(
     node: &Arc<Node>,
     scope: &Scope,
@@ -137,7 +138,7 @@
     action: Option<Control>,
 ) -> Result<PlanView, ApiError> {
     check_fresh(node)?;
-    // A plan that is not the operator's is one that does not exist.
+    // A plan outside of the operator's scope is reported as one that does not exist.
     view::plan(node, scope, plan)?;
     let body = match action {
         None => Body::Confirm(plan),
--- a/lib/src/operator_api/view.rs
+++ b/lib/src/operator_api/view.rs
@@ -1,4 +1,4 @@
-//! What operators see; an account's operator sees only what is the account's.
+//! Views for operators; an account's operator sees only objects of the account.
 
 use crate::coordination::node::Node;
 use crate::metrics::Totals;
@@ -31,20 +31,20 @@
     }
 }
 
-/// All counters for the site operator; its own for an account's.
+/// All counters for the site operator; only those of the account for an account's operator.
 pub(super) fn counters(node: &Node, scope: &Scope) -> Totals {
     let mut totals = node.counters.totals();
     if let Scope::Account(account) = scope {
-        let own = format!("account.{account}.");
-        totals.retain(|name, _| name.starts_with(&own));
+        let prefix = format!("account.{account}.");
+        totals.retain(|name, _| name.starts_with(&prefix));
     }
     totals
 }
 
 pub(super) fn pools(node: &Node, scope: &Scope) -> Vec<PoolView> {
     let fleet = node.replica.fleet();
-    let seen = fleet.pools.iter().filter(|(_, pool)| is_pool_visible(scope, pool));
-    let view = seen.map(|(name, pool)| PoolView {
+    let visible = fleet.pools.iter().filter(|(_, pool)| is_pool_visible(scope, pool));
+    let view = visible.map(|(name, pool)| PoolView {
         name: name.clone(),
         account: pool.account.clone(),
         boxes: pool.boxes.len(),
@@ -83,8 +83,8 @@
 
 pub(super) fn jobs(node: &Node, scope: &Scope) -> Vec<JobView> {
     let fleet = node.replica.fleet();
-    let seen = fleet.services.iter().filter(|(key, _)| scope.includes(&key.0));
-    let view = seen.map(|(key, service)| JobView {
+    let visible = fleet.services.iter().filter(|(key, _)| scope.includes(&key.0));
+    let view = visible.map(|(key, service)| JobView {
         name: key.1.clone(),
         account: key.0.clone(),
         pool: service.pool.clone(),
@@ -97,7 +97,7 @@
     view.collect()
 }
 
-/// Whether the operator's account may place services on the pool.
+/// Whether the operator's scope may place services on the pool.
 fn is_pool_visible(scope: &Scope, pool: &Pool) -> bool {
     match scope {
         Scope::Site => true,
@@ -113,14 +113,14 @@
     }
 }
 
-/// The plans in the scope, the latest first, without their steps.
+/// The plans in the scope, latest change first, without their steps.
 pub(super) fn plans(node: &Node, scope: &Scope) -> Vec<PlanView> {
     let fleet = node.replica.fleet();
-    let mut seen: Vec<&Plan> =
+    let mut visible: Vec<&Plan> =
         fleet.plans.values().filter(|plan| is_plan_visible(scope, plan)).collect();
-    seen.sort_by_key(|plan| std::cmp::Reverse(plan.version));
+    visible.sort_by_key(|plan| std::cmp::Reverse(plan.version));
     let view = |plan: &&Plan| PlanView { steps: Vec::new(), ..plan_view(plan) };
-    seen.iter().map(view).collect()
+    visible.iter().map(view).collect()
 }
 
 pub(super) fn plan(node: &Node, scope: &Scope, id: PlanId) -> Result<PlanView, ApiError> {
--- a/lib/src/protocol.rs
+++ b/lib/src/protocol.rs
@@ -1,4 +1,4 @@
-//! Protocol layer: the messages exchanged with callers, operators, peers and the platform.
+//! Protocol layer: messages exchanged with callers, operators, peers and the platform.
 
 pub mod api;
 pub mod bearer;
--- a/lib/src/protocol/api.rs
+++ b/lib/src/protocol/api.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP protocol, in JSON. Every request carries `authorization: Bearer
+//! The operators' HTTP API, with JSON bodies. Every request carries `authorization: Bearer
 //! account:secret`.
 //!
 //! | method and path | body | answer |
@@ -34,39 +34,39 @@
 use crate::state::plan::Step;
 use crate::state::planner::PlanError;
 
-/// An accepted change.
+/// The answer to a published configuration or to a query of a record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Published {
     /// Id of the record.
     pub record: String,
-    /// Position at which it was accepted; none if there was nothing to change.
+    /// Position at which it was accepted; `None` if there was nothing to change.
     pub position: Option<Offset>,
-    /// How many objects it changed.
+    /// Number of objects that it changed; 0 in the answer to a query of a record.
     pub changes: usize,
-    /// Daemons known to have it in force, this one included.
+    /// Daemons known to have applied it, including this one.
     pub in_force: Vec<DaemonId>,
 }
 
 /// A plan as operators see it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PlanView {
-    /// Its id, as the other requests take it.
+    /// Its id, for use in other requests.
     pub id: String,
-    /// The account that asked, none for the site operator.
+    /// The account whose operator requested it; `None` for the site operator.
     pub account: Option<AccountId>,
-    /// What was asked for.
+    /// The requested change.
     pub intent: Intent,
-    /// Where it stands.
+    /// The current phase.
     pub phase: Phase,
-    /// How many steps have ended.
+    /// Number of steps that have ended.
     pub finished: usize,
-    /// What it is expected to take.
+    /// The predicted cost.
     pub predicted: Cost,
-    /// How many boxes may be out at a time in each pool.
+    /// Maximum number of concurrent steps in each pool.
     pub width: Vec<(PoolId, u32)>,
-    /// The daemon that drives it.
+    /// The daemon that drives it; `None` until one has taken over.
     pub holder: Option<DaemonId>,
-    /// The steps.
+    /// The steps; empty in the list of plans.
     pub steps: Vec<Step>,
 }
 
@@ -77,16 +77,16 @@
     pub name: PoolId,
     /// Its owner.
     pub account: AccountId,
-    /// Boxes in it.
+    /// Number of boxes in it.
     pub boxes: usize,
-    /// Boxes out of service for any cause.
+    /// Number of boxes out of service, whatever the cause.
     pub out: usize,
-    /// Boxes that may be out.
+    /// Maximum number of boxes out of service.
     pub max_out: u32,
-    /// Which measure comes first.
+    /// Which measure plans minimize first.
     #[serde(rename = "weigh")]
     pub objective: Objective,
-    /// Offset of the last change.
+    /// Position of the last change.
     pub version: Offset,
 }
 
@@ -97,15 +97,15 @@
     pub name: BoxId,
     /// Its pool.
     pub pool: PoolId,
-    /// Where it serves.
+    /// Address at which it serves requests.
     pub addr: SocketAddr,
     /// Its hall.
     pub hall: HallId,
     /// Its rack.
     pub rack: RackId,
-    /// The plan that has taken it out.
+    /// The plan that has taken it out of service.
     pub out: Option<String>,
-    /// Whether it does not answer.
+    /// Whether it is unresponsive.
     pub down: bool,
     /// The jobs on it.
     pub jobs: Vec<ServiceId>,
@@ -120,99 +120,99 @@
     pub account: AccountId,
     /// Its pool.
     pub pool: PoolId,
-    /// Replicas placed.
+    /// Number of boxes it runs on.
     pub placed: usize,
-    /// Replicas being started.
+    /// Number of boxes on which it is being started.
     pub starting: usize,
-    /// Replicas on boxes that serve.
+    /// Number of replicas on boxes in service.
     pub up: u32,
-    /// Replicas that must stay up.
+    /// Minimum number of replicas up.
     pub min_up: u32,
-    /// Slots on each box.
+    /// Slots it uses on each box.
     pub slots: u32,
 }
 
-/// A daemon's own state.
+/// The state of the daemon that answers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StatusView {
-    /// Its number.
+    /// Its id.
     pub id: DaemonId,
     /// Whether it serves callers.
     pub serving: bool,
-    /// Why it may or may not: `log`, `peer`, `quorum` or `stale`.
+    /// On what it bases that its state is current: `log`, `peer` or `quorum`; `stale` if on nothing.
     pub basis: String,
     /// Offset of the first batch not yet applied.
     pub next: Offset,
-    /// Offset of the last change of configuration.
+    /// Position of the last change of configuration.
     pub configured: Offset,
-    /// Peers heard of lately, with the first offset each has not applied.
+    /// Live peers, with the offset of the first batch that each has not applied.
     pub peers: Vec<(DaemonId, Offset)>,
-    /// Requests in flight to targets.
+    /// Number of requests in flight to targets.
     pub inflight: u32,
 }
 
-/// Why an operator's request was not carried out.
+/// Why an operator's request failed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Error)]
 #[serde(tag = "error", rename_all = "kebab-case")]
 pub enum ApiError {
-    /// The credential is missing or not valid.
+    /// The credential is missing or invalid.
     #[error("the credential is missing or not valid")]
     Credential,
-    /// There is no such path, or the body is not as it should be.
+    /// There is no such path, or the body is malformed.
     #[error("the request is not as the protocol has it")]
     Malformed,
-    /// There is no such object, or it is not the operator's.
+    /// There is no such object, or it is not in the operator's scope.
     #[error("there is no such {what}")]
     NotFound {
         /// The kind of object.
         what: Box<str>,
     },
-    /// The body is over the limit.
+    /// The body is larger than the limit.
     #[error("the request is larger than the limit")]
     TooLarge,
-    /// The configuration file has faults; nothing was sent.
+    /// The configuration file has errors; nothing was appended to the log.
     #[error("the configuration has {} fault(s)", faults.len())]
     Config {
-        /// All of them.
+        /// All errors found.
         faults: Vec<Fault>,
     },
-    /// The intent has no plan; nothing was sent.
+    /// There is no plan for the intent; nothing was appended to the log.
     #[error("{cause}")]
     Plan {
-        /// The constraint that stops it.
+        /// The constraint that prevents it.
         cause: PlanError,
     },
-    /// The job cannot be used; nothing was sent.
+    /// The job is invalid; nothing was sent to the store.
     #[error("{cause}")]
     Job {
-        /// What is wrong with it.
+        /// The error.
         cause: Box<str>,
     },
-    /// The store did not take the job; it never will run.
+    /// The store rejected the job; it will never run.
     #[error("the store did not take the job; nothing was changed")]
     JobRefused,
-    /// The job may have been taken: the store has not answered in time.
+    /// The store has not answered in time; the job may have been accepted.
     #[error("not known whether job {job} was taken")]
     JobUnknown {
         /// Its id.
         job: Box<str>,
     },
-    /// The change was refused by the rule that every daemon applies; nothing was changed.
+    /// The fold refused the change; nothing was changed.
     #[error("{refusal}")]
     Refused {
-        /// Why.
+        /// The reason.
         refusal: Refusal,
     },
-    /// The change may yet take effect: the log has not shown it in time.
+    /// The record was not read back from the log in time; the change may still take effect.
     #[error("not yet known; ask again with record {record}")]
     Unknown {
-        /// Id to ask with.
+        /// Id by which to query the verdict.
         record: String,
     },
-    /// The daemon cannot tell that its state is the one in force; nothing was sent.
+    /// The daemon's state may be out of date; nothing was appended to the log.
     #[error("this entry box is cut off; nothing was changed")]
     Stale,
-    /// Too many changes wait for the log; nothing was sent.
+    /// Too many changes wait for the log; nothing was appended.
     #[error("too many changes wait for the log; nothing was changed")]
     Busy,
 }
@@ -224,7 +224,7 @@
 }
 
 impl ApiError {
-    /// HTTP status of the answer.
+    /// HTTP status of the response.
     pub fn status(&self) -> u16 {
         match self {
             ApiError::Credential => 401,
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Name of the counter.
+    /// Name of the counter of such errors.
     pub fn counter(&self) -> &'static str {
         match self {
             ApiError::Credential => "operate.refused.credential",
--- a/lib/src/protocol/bearer.rs
+++ b/lib/src/protocol/bearer.rs
@@ -1,16 +1,16 @@
-//! What a call shows to say who it is from: `Authorization: Bearer TOKEN`, in both homes.
+//! The bearer token of a request: `Authorization: Bearer TOKEN`.
 
 use hyper::HeaderMap;
 use hyper::header::AUTHORIZATION;
 
 use crate::state::account::CredentialError;
 
-/// The scheme; its letters may be of either case.
+/// The authentication scheme; compared without regard to case.
 const SCHEME: &str = "bearer";
-/// Longest token that is looked at, in bytes; keys are far shorter, and whatever is sent would be hashed.
+/// Maximum length of a token, in bytes. Keys are far shorter; the limit bounds the cost of hashing.
 const MAX_TOKEN_BYTES: usize = 1_024;
 
-/// The token of a call. Two of them name nobody.
+/// Returns the token of a request. A request with two `Authorization` headers is rejected.
 ///
 /// ```
 /// use hyper::HeaderMap;
@@ -26,7 +26,8 @@
 ///
 /// # Errors
 ///
-/// [`CredentialError::Missing`], or [`CredentialError::Malformed`] where there is something else.
+/// [`CredentialError::Missing`] if there is no header, [`CredentialError::Malformed`] if it is not a
+/// single bearer token.
 pub fn token(headers: &HeaderMap) -> Result<&str, CredentialError> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next().ok_or(CredentialError::Missing)?;
@@ -36,7 +37,7 @@
     let text = value.to_str().map_err(|_| CredentialError::Malformed)?;
     let (scheme, token) = text.split_once(' ').ok_or(CredentialError::Malformed)?;
     let token = token.trim();
-    let is_sound =
+    let is_well_formed =
         scheme.eq_ignore_ascii_case(SCHEME) && (1..=MAX_TOKEN_BYTES).contains(&token.len());
-    if is_sound { Ok(token) } else { Err(CredentialError::Malformed) }
+    if is_well_formed { Ok(token) } else { Err(CredentialError::Malformed) }
 }
--- a/lib/src/protocol/boxes.rs
+++ b/lib/src/protocol/boxes.rs
@@ -1,7 +1,7 @@
-//! The platform's box list. It lags behind the truth.
+//! The platform's box list. It may be out of date.
 //!
-//! `GET /v1/boxes?after=V` answers a [`List`] of the boxes that changed after version `V`, or of all
-//! boxes if the platform no longer knows which those are; `V` is 0 at first.
+//! `GET /v1/boxes?after=V` returns a [`List`] of the boxes that changed after version `V`, or of all
+//! boxes if the platform no longer knows the changes since then; `V` is 0 in the first request.
 
 use std::net::SocketAddr;
 
@@ -16,20 +16,20 @@
 /// Path of the box list.
 pub const BOXES: &str = "/v1/boxes";
 
-/// Boxes the platform knows.
+/// Boxes, or changes of boxes, that the platform lists.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct List {
     /// Version of the whole list.
     pub version: u64,
-    /// Whether all boxes are here; those that are not are gone.
+    /// Whether this lists all boxes, so that a box that is missing here no longer exists.
     pub whole: bool,
     /// Boxes.
     pub boxes: Vec<ListedBox>,
-    /// Boxes that are gone.
+    /// Boxes that no longer exist.
     pub gone: Vec<BoxId>,
 }
 
-/// Path and query for what changed after a version.
+/// Path and query for the changes after a version.
 pub fn boxes_path(after: u64) -> String {
     format!("{BOXES}?after={after}")
 }
@@ -39,22 +39,22 @@
 pub struct ListedBox {
     /// Its name.
     pub name: BoxId,
-    /// Where it serves.
+    /// Address at which it serves requests.
     pub addr: SocketAddr,
     /// Its hall.
     pub hall: HallId,
     /// Its rack.
     pub rack: RackId,
-    /// Requests it runs at a time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Its memory, in MB.
     pub memory_mb: u32,
-    /// Whether it is on its way out.
+    /// Whether it is about to be removed.
     pub leaving: bool,
 }
 
 impl ListedBox {
-    /// What a plan or a claim keeps of the box.
+    /// The properties that plans and claims store.
     pub fn shape(&self) -> Shape {
         Shape {
             addr: self.addr,
--- a/lib/src/protocol/call.rs
+++ b/lib/src/protocol/call.rs
@@ -1,41 +1,41 @@
 //! The callers' HTTP protocol: `POST /v1/call/<service>`.
 //!
-//! Every answer carries [`OUTCOME`]. A refusal's body is a [`Refused`] in JSON; the same reason is
-//! in a header, so that a caller need not read the body to know whether the request was run.
+//! Every response has the header [`OUTCOME`]. The body of a refusal is a [`Refused`] in JSON. The
+//! header [`REASON`] repeats its reason, so that a caller need not read the body.
 
 use serde::Deserialize;
 use serde::Serialize;
 use thiserror::Error;
 
-/// Prefix of a call's path.
+/// Prefix of the path of calls.
 pub const CALL: &str = "/v1/call/";
-/// Path at which the balancer asks whether this daemon takes requests.
+/// Path of the load balancer's health check.
 pub const HEALTH: &str = "/healthz";
-/// Header of an answer: what is known of the request.
+/// Response header: the [`Outcome`] of the request.
 pub const OUTCOME: &str = "spokelift-outcome";
-/// Header of a refusal: the reason.
+/// Response header of refusals: the [`Reason`].
 pub const REASON: &str = "spokelift-reason";
-/// Header of a request: `true` if running it twice does no harm; without it, it runs at most once.
+/// Request header: `true` if the request is idempotent. Without it, the request runs at most once.
 pub const REPEATABLE: &str = "spokelift-repeatable";
-/// Header of a request to a target and of its answer: an id that must come back unchanged.
+/// Header of a request to a target and of its response: a request id that the target must echo.
 pub const REQUEST: &str = "spokelift-request";
-/// Header of a request: how long the caller waits, in milliseconds.
+/// Request header: how long the caller waits, in milliseconds.
 pub const DEADLINE: &str = "spokelift-deadline-ms";
 
-/// What is known of a request.
+/// Whether a target has run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The answer is the target's own.
+    /// A target has answered it.
     Answered,
-    /// No target has run the request, and none will.
+    /// No target has run it, and none will.
     NotRun,
     /// A target may or may not have run it.
     Unknown,
 }
 
 impl Outcome {
-    /// The value of [`OUTCOME`].
+    /// Value of the header [`OUTCOME`].
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Answered => "answered",
@@ -45,33 +45,33 @@
     }
 }
 
-/// Why a request has no answer of a target.
+/// Why a request has no response from a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// No credential, or one that is not valid.
+    /// The credential is missing or invalid.
     #[error("the credential is missing or not valid")]
     Credential,
-    /// The path or a header is not as the protocol has it.
+    /// The path or a header is malformed.
     #[error("the request is not as the protocol has it")]
     Malformed,
     /// The account has no such service.
     #[error("the account has no such service")]
     UnknownService,
-    /// The body is over the limit.
+    /// The body is larger than the limit.
     #[error("the request is larger than the limit")]
     TooLarge,
     /// The caller did not send the whole request.
     #[error("the request was not sent whole")]
     #[serde(rename = "half-sent")]
     Incomplete,
-    /// The daemon cannot tell that its state is the one in force.
+    /// The daemon's state may be out of date.
     #[error("this entry box is cut off; another one may serve")]
     Stale,
     /// The daemon is stopping.
     #[error("this entry box is stopping")]
     Stopping,
-    /// Too many requests of the account wait already.
+    /// The account's queue of waiting requests is full.
     #[error("too many requests of the account wait already")]
     QueueFull,
     /// No target became free in time.
@@ -83,23 +83,23 @@
     /// No target could be reached.
     #[error("no target could be reached")]
     Unreachable,
-    /// The targets tried turned the request away.
+    /// All targets that were tried refused the request.
     #[error("the targets tried turned the request away")]
     TurnedAway,
-    /// The connection to the target was cut after the request was begun.
+    /// The connection to the target was lost after sending had started.
     #[error("the connection to the target was cut")]
     Cut,
     /// The target did not answer in time.
     #[error("the target did not answer in time")]
     Timeout,
-    /// The target answered another request than the one it was sent.
+    /// The target's response has the id of another request.
     #[error("the target answered with another request's id")]
     #[serde(rename = "crossed")]
     IdMismatch,
 }
 
 impl Reason {
-    /// The value of [`REASON`], and the last part of the counter's name.
+    /// Value of the header [`REASON`], and last part of the counter's name.
     pub fn as_str(self) -> &'static str {
         match self {
             Reason::Credential => "credential",
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The HTTP status of a refusal for this reason.
+    /// HTTP status of refusals for this reason.
     pub fn status(self) -> u16 {
         match self {
             Reason::Credential => 401,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Seconds after which asking again makes sense, if it does.
+    /// Seconds after which the caller may retry; `None` if a retry is not advised.
     pub fn retry_after_s(self) -> Option<u32> {
         match self {
             Reason::Stale | Reason::Stopping | Reason::QueueFull | Reason::Busy => Some(1),
@@ -144,13 +144,13 @@
     }
 }
 
-/// A request that has no answer of a target.
+/// The refusal of a request: no target's response is returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[error("{reason}")]
 pub struct Refused {
-    /// Whether it was run.
+    /// Whether a target has run it.
     pub outcome: Outcome,
-    /// Why.
+    /// The reason.
     pub reason: Reason,
 }
 
@@ -165,12 +165,12 @@
         Refused { outcome: Outcome::Unknown, reason }
     }
 
-    /// Name of the counter.
+    /// Name of the counter of such refusals.
     pub fn counter(&self) -> String {
-        let word = match self.outcome {
+        let kind = match self.outcome {
             Outcome::Unknown => "unknown",
             Outcome::NotRun | Outcome::Answered => "refused",
         };
-        format!("call.{word}.{}", self.reason.as_str())
+        format!("call.{kind}.{}", self.reason.as_str())
     }
 }
--- a/lib/src/protocol/catch_up.rs
+++ b/lib/src/protocol/catch_up.rs
@@ -1,8 +1,9 @@
-//! Catching up from a peer over TCP: one request, one answer in pieces, each sealed.
+//! Catching up from a peer over TCP: one request, and a response in pieces. All messages are
+//! authenticated.
 //!
-//! The server speaks first, with a nonce; the client's request names it and brings a nonce of its
-//! own, which every piece of the answer names. So neither a request nor an answer can be replayed.
-//! Pieces are `postcard`, length-delimited, followed by a keyed hash.
+//! The server first sends a nonce, which the client's request repeats together with a nonce of its
+//! own, which every piece of the response repeats. So neither requests nor responses can be replayed.
+//! Messages are length-delimited, encoded by `postcard` and followed by a keyed hash.
 
 use postcard::from_bytes;
 use postcard::to_stdvec;
@@ -15,15 +16,15 @@
 use crate::protocol::wire::PeerKey;
 use crate::state::id::Offset;
 
-/// Bytes of the seal behind a piece.
+/// Length of the keyed hash after a message, in bytes.
 const SEAL_BYTES: usize = 32;
-/// Largest piece, in bytes.
+/// Maximum size of a message, in bytes.
 pub const MAX_PIECE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Random number that ties an answer to its request.
+/// Random number that ties a response to its request.
 pub type Nonce = u128;
 
-/// First piece, from the server.
+/// The first message, from the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Greeting {
     /// The server's nonce.
@@ -37,47 +38,47 @@
     pub server: Nonce,
     /// The client's nonce.
     pub client: Nonce,
-    /// First offset wanted.
+    /// The first offset that the client needs.
     pub from: Offset,
-    /// Whether the whole state is wanted, however recent the client's.
+    /// Whether the client needs the whole state, even if the server has the batches from that offset.
     pub whole: bool,
 }
 
-/// A piece of the answer.
+/// A piece of the response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
     /// The client's nonce.
     pub client: Nonce,
-    /// Counts the pieces from 0.
+    /// Index of the piece, from 0.
     pub index: u32,
     /// Whether it is the last one.
     pub last: bool,
-    /// What it carries.
+    /// The payload.
     #[serde(rename = "load")]
     pub payload: Payload,
 }
 
-/// What a piece carries.
+/// The payload of a piece.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Batches as they are on the log, in order.
+    /// Encoded batches of the log, in order of their offsets.
     Batches(Vec<(Offset, Vec<u8>)>),
     /// Part of an encoded fleet.
     State(Vec<u8>),
 }
 
-/// Why a piece was refused.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PieceError {
-    /// The seal is not that of the site's key.
-    #[error("the seal is wrong")]
+    /// The keyed hash does not match.
+    #[error("the keyed hash does not match")]
     Seal,
-    /// Sealed, but not what was expected.
-    #[error("not the piece expected")]
+    /// The message is authentic, but not the expected one.
+    #[error("unexpected message")]
     Decode,
 }
 
-/// Encodes and seals a piece.
+/// Encodes a message and appends its keyed hash.
 ///
 /// ```
 /// use spokelift_lib::protocol::catch_up::{Greeting, PieceError, open, seal};
@@ -93,7 +94,7 @@
     bytes
 }
 
-/// Checks the seal and decodes a piece.
+/// Verifies the keyed hash of a message and decodes it.
 pub fn open<T: DeserializeOwned>(key: &PeerKey, bytes: &[u8]) -> Result<T, PieceError> {
     let split = bytes.len().checked_sub(SEAL_BYTES).ok_or(PieceError::Decode)?;
     let (body, seal) = bytes.split_at(split);
--- a/lib/src/protocol/log.rs
+++ b/lib/src/protocol/log.rs
@@ -1,7 +1,7 @@
-//! The platform's log service, as its published HTTP protocol has it.
+//! The HTTP protocol of the platform's log service.
 //!
-//! - `POST /v1/append` with the record as the body answers [`Appended`].
-//! - `GET /v1/read?from=N&max=M&wait_ms=W` answers [`Page`]; it waits up to `W` ms for a record.
+//! - `POST /v1/append` with the record as the body returns [`Appended`].
+//! - `GET /v1/read?from=N&max=M&wait_ms=W` returns [`Page`]; it waits up to `W` ms for a record.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -15,35 +15,35 @@
 /// Path of a read.
 pub const READ: &str = "/v1/read";
 
-/// Answer to an append.
+/// Response to an append.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Appended {
-    /// Where the record is.
+    /// Offset of the record.
     pub offset: Offset,
 }
 
-/// Answer to a read.
+/// Response to a read.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Page {
     /// Offset of the oldest record still kept.
     pub first: Offset,
     /// Offset that the next append will get.
     pub next: Offset,
-    /// Records from the offset asked for, or from `first` if that is later.
+    /// Records from the requested offset, or from `first` if that is greater.
     pub records: Vec<Item>,
 }
 
 /// A record on the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Item {
-    /// Where it is.
+    /// Its offset.
     pub offset: Offset,
     /// The record in base64.
     pub data: String,
 }
 
 impl Item {
-    /// An item that carries `bytes`.
+    /// An item with the record `bytes`.
     pub fn new(offset: Offset, bytes: &[u8]) -> Item {
         Item { offset, data: STANDARD.encode(bytes) }
     }
--- a/lib/src/protocol/wire.rs
+++ b/lib/src/protocol/wire.rs
@@ -1,4 +1,5 @@
-//! Datagrams between daemons: `postcard`, sealed by a keyed hash, refused when replayed.
+//! Datagrams between daemons: encoded by `postcard`, authenticated by a keyed hash, protected against
+//! replay.
 
 use postcard::from_bytes;
 use postcard::to_stdvec;
@@ -11,14 +12,14 @@
 use crate::state::id::Incarnation;
 use crate::state::id::Offset;
 
-/// Key that the daemons of a site share.
+/// Key that is shared by the daemons of a site.
 pub type PeerKey = [u8; 32];
 
-/// Bytes of the seal behind a frame.
+/// Length of the keyed hash after a frame, in bytes.
 const SEAL_BYTES: usize = 16;
-/// Largest datagram, below the usual path limit.
+/// Maximum size of a datagram, below the usual path MTU.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Most boxes named as busy in one beat; with more, the beat says that all may be.
+/// Maximum number of busy boxes named in one heartbeat; the others are named once these are idle.
 pub const MAX_BUSY_BOXES: usize = 256;
 
 /// Derives the peers' key from a secret of any length.
@@ -26,33 +27,34 @@
     blake3::derive_key("spokelift 2026 peer key", secret.as_bytes())
 }
 
-/// What a datagram carries.
+/// The contents of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
     /// The sender.
     pub from: DaemonId,
-    /// The sender's life.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// Counts this life's datagrams to this receiver from 1; a lower or equal one is a replay.
+    /// Sequence number of the datagrams of this incarnation to this receiver, from 1. One that is not
+    /// greater than the last is a replay.
     pub sequence: u64,
-    /// The receiver's life as the sender knows it, 0 if it does not: a datagram recorded before
-    /// the receiver restarted does not name its new life.
+    /// The receiver's incarnation, 0 if the sender does not know it. So a datagram that was recorded
+    /// before the receiver restarted cannot be replayed to its new incarnation.
     #[serde(rename = "to")]
     pub receiver_incarnation: Incarnation,
-    /// The last datagram of the receiver that the sender had, if any: this one was sent after it.
+    /// The last datagram that the sender received from the receiver, if any.
     pub echo: Option<Echo>,
     /// The heartbeat.
     #[serde(rename = "beat")]
     pub heartbeat: Heartbeat,
 }
 
-/// Names a datagram that was received, so that its sender can tell the age of the answer by its
-/// own clock alone.
+/// Identifies a received datagram, so that its sender can compute the age of the answer by its own
+/// clock alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// Its sequence.
+    /// Its sequence number.
     pub sequence: u64,
-    /// Time from its receipt to the answer, in milliseconds.
+    /// Time between its receipt and the answer, in milliseconds.
     pub held_ms: u32,
 }
 
@@ -61,51 +63,52 @@
 pub struct Heartbeat {
     /// Offset of the first batch the sender has not applied.
     pub next: Offset,
-    /// Age of the sender's last read at the log's end, in milliseconds, if it has one.
+    /// Age of the sender's last read that reached the end of the log, in milliseconds; `None` without
+    /// one.
     pub log_age_ms: Option<u32>,
     /// Position and hash of the sender's state at the last snapshot mark.
     pub mark: Option<StateHash>,
-    /// Whether the sender has, in this life, had all that was in force.
+    /// Whether the sender has had the complete state at some time in this incarnation.
     pub complete: bool,
     /// Whether the sender serves callers.
     pub serving: bool,
-    /// Requests in flight to targets.
+    /// Number of requests in flight to targets.
     pub inflight: u32,
-    /// Short hashes of the boxes that are out of service and still have requests of the sender.
+    /// Short hashes of the boxes that are out of service but still run requests of the sender.
     pub busy: Vec<u32>,
 }
 
-/// The hash of a state, by which daemons find that they differ.
+/// The hash of a state, by which daemons detect that their states differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateHash {
     /// Position of the snapshot mark.
     pub position: Offset,
-    /// First bytes of the state's hash right after it.
+    /// First 8 bytes of the hash of the state at the mark, little-endian.
     pub head: u64,
 }
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// Too short or too long to be a frame.
-    #[error("not the size of a frame")]
+    /// The datagram is too short or too long.
+    #[error("the size of the datagram is out of range")]
     Size,
-    /// The seal is not that of the site's key.
-    #[error("the seal is wrong")]
+    /// The keyed hash does not match.
+    #[error("the keyed hash does not match")]
     Seal,
-    /// Sealed, but not a frame of this version.
-    #[error("not a frame")]
+    /// The datagram is authentic, but not a frame of this version.
+    #[error("the datagram does not decode as a frame")]
     Decode,
-    /// Seen before, or older than one seen.
+    /// The sequence number is not greater than the last, or the incarnation is an earlier one.
     #[error("replayed")]
     Replay,
     /// The sender is not one of the configured peers.
-    #[error("not a peer")]
+    #[error("the sender is not a configured peer")]
     UnknownPeer,
 }
 
 impl WireError {
-    /// Name of the counter.
+    /// Name of the counter of such datagrams.
     pub fn counter(self) -> &'static str {
         match self {
             WireError::Size => "peer.dropped.size",
@@ -118,7 +121,7 @@
 }
 
 impl Frame {
-    /// Encodes and seals the frame.
+    /// Encodes the frame and appends its keyed hash.
     ///
     /// ```
     /// use spokelift_lib::protocol::wire::{Heartbeat, Frame, WireError, derive_key};
@@ -136,7 +139,7 @@
         bytes
     }
 
-    /// Checks the seal and decodes the frame.
+    /// Verifies the keyed hash and decodes the frame.
     pub fn open(key: &PeerKey, bytes: &[u8]) -> Result<Frame, WireError> {
         if bytes.len() <= SEAL_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(WireError::Size);
--- a/lib/src/protocol/worker.rs
+++ b/lib/src/protocol/worker.rs
@@ -1,10 +1,10 @@
-//! The workers' published HTTP protocol.
+//! The HTTP protocol of workers.
 //!
-//! - `GET /platform/status` answers [`Status`].
-//! - `POST /platform/command` with a [`Command`] answers [`Status`], or 409 if the fence is lower
-//!   than one already seen.
-//! - `POST /run/<account>/<service>` runs a request of a job. A worker that does not run it says
-//!   why in the header [`REFUSED`].
+//! - `GET /platform/status` returns [`Status`].
+//! - `POST /platform/command` with a [`Command`] returns [`Status`], or 409 if the fence is lower
+//!   than the highest one received.
+//! - `POST /run/<account>/<service>` runs a request of a job. If a worker does not run it, the header
+//!   [`REFUSED`] has the reason.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,62 +12,62 @@
 use crate::state::id::Offset;
 use crate::state::id::ServiceKey;
 
-/// Path of the status.
+/// Path of status requests.
 pub const STATUS: &str = "/platform/status";
 /// Path of commands.
 pub const COMMAND: &str = "/platform/command";
-/// Prefix of requests to jobs.
+/// Prefix of the path of requests to jobs.
 pub const RUN: &str = "/run";
-/// Header of an answer that says the request was not run, and why.
+/// Response header: the reason why the request was not run.
 pub const REFUSED: &str = "x-platform-refused";
-/// Header of an answer from a box that is on its way out.
+/// Response header of a box that is about to be removed.
 pub const LEAVING: &str = "x-platform-leaving";
 
-/// What a worker says of itself.
+/// The state of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The highest fence seen.
+    /// The highest fence received.
     pub fence: Offset,
-    /// Whether it has been told to drain.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Requests running now.
+    /// Number of requests that are running.
     pub inflight: u32,
-    /// Jobs running now.
+    /// Jobs that are running.
     pub jobs: Vec<ServiceKey>,
-    /// The operation of the last reboot.
+    /// The operation of the last reboot; `None` before the first.
     pub rebooted_for: Option<Offset>,
 }
 
-/// A command, in the order of fences: one with a lower fence than the last is refused.
+/// A command. It is refused if its fence is lower than that of an earlier one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Command {
-    /// Fence of the sender.
+    /// Fencing token of the sender.
     pub fence: Offset,
-    /// What to do.
+    /// The action.
     pub action: Action,
 }
 
-/// What a worker can be told.
+/// The actions that a worker can be commanded to take.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Action {
-    /// Prepare to leave; requests are still run.
+    /// Start draining; requests are still run.
     Drain,
-    /// Serve again.
+    /// Stop draining.
     Resume,
-    /// Reboot, once for each operation.
+    /// Reboot, at most once for each operation.
     Reboot {
-        /// Names the operation; a second reboot for the same one is not carried out.
+        /// Id of the operation; a repeated command for it has no effect.
         operation: Offset,
     },
-    /// Run just these jobs.
+    /// Run exactly these jobs.
     Jobs {
         /// The jobs.
         jobs: Vec<ServiceKey>,
     },
 }
 
-/// Path at which a job's requests are sent.
+/// Path of requests to a job.
 ///
 /// ```
 /// use spokelift_lib::protocol::worker::run_path;
