--- a/lib/tests/test_fold.rs
+++ b/lib/tests/test_fold.rs
@@ -1,5 +1,5 @@
-//! Properties of the fold: any interleaving and duplication of records, every box in one pool, no
-//! budget exceeded.
+//! Properties of the fold under arbitrary interleaving and duplication of records: every box is in
+//! one pool and no budget is exceeded.
 
 use std::collections::BTreeSet;
 
@@ -62,9 +62,9 @@
     fleet
 }
 
-/// What a random actor does next, seen from the fleet as it is or as it was some time ago.
+/// The next step of a random writer, whose view of the fleet may be out of date.
 #[derive(Clone, Debug)]
-enum Move {
+enum Operation {
     Propose(Intent),
     Confirm(usize),
     Drive(usize, DaemonId),
@@ -75,7 +75,7 @@
     Down(usize),
     Up(usize),
     Mark,
-    Again,
+    Duplicate,
 }
 
 fn intents() -> impl Strategy<Value = Intent> {
@@ -92,7 +92,7 @@
     ]
 }
 
-fn moves() -> impl Strategy<Value = Move> {
+fn operations() -> impl Strategy<Value = Operation> {
     let outcome = prop_oneof![
         4 => Just(Outcome::Done),
         1 => Just(Outcome::Lost),
@@ -101,83 +101,85 @@
     ];
     let control = prop_oneof![Just(Control::Pause), Just(Control::Resume), Just(Control::Abort)];
     prop_oneof![
-        3 => intents().prop_map(Move::Propose),
-        4 => (0usize..4).prop_map(Move::Confirm),
-        4 => (0usize..4, 0u16..3).prop_map(|(plan, daemon)| Move::Drive(plan, daemon)),
-        9 => (0usize..4, 0u32..8).prop_map(|(plan, step)| Move::Permit(plan, step)),
-        6 => (0usize..4, 0u32..8).prop_map(|(plan, step)| Move::Assign(plan, step)),
-        6 => (0usize..4, 0u32..8, outcome).prop_map(|(plan, step, o)| Move::Finish(plan, step, o)),
-        1 => (0usize..4, control).prop_map(|(plan, action)| Move::Control(plan, action)),
-        2 => (0usize..BOXES).prop_map(Move::Down),
-        2 => (0usize..BOXES).prop_map(Move::Up),
-        1 => Just(Move::Mark),
-        2 => Just(Move::Again),
+        3 => intents().prop_map(Operation::Propose),
+        4 => (0usize..4).prop_map(Operation::Confirm),
+        4 => (0usize..4, 0u16..3).prop_map(|(plan, daemon)| Operation::Drive(plan, daemon)),
+        9 => (0usize..4, 0u32..8).prop_map(|(plan, step)| Operation::Permit(plan, step)),
+        6 => (0usize..4, 0u32..8).prop_map(|(plan, step)| Operation::Assign(plan, step)),
+        6 => (0usize..4, 0u32..8, outcome).prop_map(|(plan, step, o)| Operation::Finish(plan, step, o)),
+        1 => (0usize..4, control).prop_map(|(plan, action)| Operation::Control(plan, action)),
+        2 => (0usize..BOXES).prop_map(Operation::Down),
+        2 => (0usize..BOXES).prop_map(Operation::Up),
+        1 => Just(Operation::Mark),
+        2 => Just(Operation::Duplicate),
     ]
 }
 
-/// The record of a move; its epochs and bases come from `seen`, which may be out of date.
-fn body(step: &Move, seen: &Fleet, id: u64) -> Option<Body> {
-    let plan = |index: &usize| seen.plans.values().nth(*index);
-    let claim = |index: &usize, step: &u32| {
+/// The record of an operation; its epochs and bases come from `view`, which may be out of date.
+fn body(operation: &Operation, view: &Fleet, id: u64) -> Option<Body> {
+    let plan = |index: &usize| view.plans.values().nth(*index);
+    let step_ref = |index: &usize, step: &u32| {
         let plan = plan(index)?;
         Some(StepRef { plan: plan.id, epoch: plan.driver.epoch, step: *step })
     };
     let name = |index: &usize| vec![format!("box-{index}").into()];
-    Some(match step {
-        Move::Propose(intent) => {
-            let planner = Planner { fleet: seen, shapes: &shapes(), scope: &Scope::Site };
+    Some(match operation {
+        Operation::Propose(intent) => {
+            let planner = Planner { fleet: view, shapes: &shapes(), scope: &Scope::Site };
             Body::Propose(planner.plan(id, intent.clone()).ok()?)
         }
-        Move::Confirm(index) => Body::Confirm(plan(index)?.id),
-        Move::Drive(index, holder) => {
+        Operation::Confirm(index) => Body::Confirm(plan(index)?.id),
+        Operation::Drive(index, holder) => {
             let plan = plan(index)?;
             Body::Drive { plan: plan.id, holder: *holder, epoch: plan.driver.epoch + 1 }
         }
-        Move::Permit(index, step) => Body::Permit(claim(index, step)?),
-        Move::Assign(index, step) => Body::Assign(claim(index, step)?),
-        Move::Finish(index, step, outcome) => Body::Finish(claim(index, step)?, *outcome),
-        Move::Control(index, action) => Body::Control { plan: plan(index)?.id, action: *action },
-        Move::Down(index) => Body::Down(name(index)),
-        Move::Up(index) => Body::Up(name(index)),
-        Move::Mark => Body::Mark { after: seen.marked },
-        Move::Again => return None,
+        Operation::Permit(index, step) => Body::Permit(step_ref(index, step)?),
+        Operation::Assign(index, step) => Body::Assign(step_ref(index, step)?),
+        Operation::Finish(index, step, outcome) => Body::Finish(step_ref(index, step)?, *outcome),
+        Operation::Control(index, action) => {
+            Body::Control { plan: plan(index)?.id, action: *action }
+        }
+        Operation::Down(index) => Body::Down(name(index)),
+        Operation::Up(index) => Body::Up(name(index)),
+        Operation::Mark => Body::Mark { after: view.marked },
+        Operation::Duplicate => return None,
     })
 }
 
-/// Boxes of a pool that are out on a permit, and in all.
-fn out(fleet: &Fleet, pool: &str) -> (u32, u32) {
+/// Number of boxes of a pool that are out on a permit, and that are out in all.
+fn count_out(fleet: &Fleet, pool: &str) -> (u32, u32) {
     let pool = &fleet.pools[pool];
     let out: Vec<_> = fleet.boxes_out(pool).collect();
     let permitted = out.iter().filter(|(_, entry)| entry.out.is_some()).count();
     (permitted as u32, out.len() as u32)
 }
 
-fn check(before: &Fleet, after: &Fleet, body: &Body, accepted: bool) {
-    let mut seen = BTreeSet::new();
+fn check_invariants(before: &Fleet, after: &Fleet, body: &Body, is_accepted: bool) {
+    let mut pooled = BTreeSet::new();
     for (name, pool) in &after.pools {
         for id in &pool.boxes {
-            assert!(seen.insert(id.clone()), "{id} is in two pools");
+            assert!(pooled.insert(id.clone()), "{id} is in two pools");
             assert_eq!(after.boxes[id].pool, *name);
         }
     }
-    assert_eq!(seen.len(), after.boxes.len(), "every box is in a pool");
+    assert_eq!(pooled.len(), after.boxes.len(), "every box is in a pool");
     for service in after.services.values() {
         assert!(service.placed.is_disjoint(&service.starting));
         for id in service.placed.iter().chain(&service.starting) {
             assert_eq!(after.boxes[id].pool, service.pool, "a job runs outside of its pool");
         }
     }
-    if let (Body::Permit(claim), true) = (body, accepted) {
-        let target = &after.plans[&claim.plan].steps[claim.step as usize].target;
+    if let (Body::Permit(step_ref), true) = (body, is_accepted) {
+        let target = &after.plans[&step_ref.plan].steps[step_ref.step as usize].target;
         let pool = &after.boxes[target].pool;
         let budget = after.pools[pool].budget;
-        assert!(out(after, pool).1 <= budget.max_out, "{pool} is over its budget");
+        assert!(count_out(after, pool).1 <= budget.max_out, "{pool} is over its budget");
         for service in after.services.values() {
-            let fell = after.replicas_up(service) < before.replicas_up(service);
-            assert!(!fell || after.replicas_up(service) >= service.min_up);
+            let has_decreased = after.replicas_up(service) < before.replicas_up(service);
+            assert!(!has_decreased || after.replicas_up(service) >= service.min_up);
         }
     }
-    if !accepted {
+    if !is_accepted {
         let mut same = before.clone();
         same.next = after.next;
         same.verdicts = after.verdicts.clone();
@@ -190,16 +192,16 @@
     #![proptest_config(ProptestConfig {
         cases: 300,
         failure_persistence: None,
-        // The same runs each time: a verdict must not depend on luck.
+        // A fixed seed, so that every run checks the same cases.
         rng_seed: RngSeed::Fixed(20_261_202),
         ..ProptestConfig::default()
     })]
 
-    /// Actors that see the fleet late, and twice-sent batches, never break what must hold; a
-    /// reader that starts from a snapshot, or sees more copies, ends with the same state.
+    /// Writers with outdated views and duplicate batches never violate the invariants. A reader that
+    /// starts from a snapshot, or reads the whole log again, reaches the same state.
     #[test]
-    fn any_history_keeps_what_must_hold(
-        steps in prop::collection::vec((moves(), 0usize..6, 0u16..3), 1..120),
+    fn invariants_hold_for_any_history(
+        history in prop::collection::vec((operations(), 0usize..6, 0u16..3), 1..120),
         cut in 0usize..120,
     ) {
         let mut fleet = published();
@@ -207,16 +209,16 @@
         let mut log: Vec<(Offset, Batch)> = Vec::new();
         let mut sequences = [1u64, 0, 0];
         let mut snapshot = None;
-        for (index, (step, late, writer)) in steps.iter().enumerate() {
-            let seen = &past[past.len().saturating_sub(1 + late)];
-            let batch = match body(step, seen, index as u64 + 10) {
+        for (index, (operation, lag, writer)) in history.iter().enumerate() {
+            let view = &past[past.len().saturating_sub(1 + lag)];
+            let batch = match body(operation, view, index as u64 + 10) {
                 Some(body) => {
                     sequences[usize::from(*writer)] += 1;
                     let sequence = sequences[usize::from(*writer)];
                     let record = Record { id: index as u128 + 10, body };
                     Batch { writer: *writer, incarnation: 1, sequence, records: vec![record] }
                 }
-                // The answer was lost: an earlier batch is sent again.
+                // An earlier batch is repeated, as after a lost answer.
                 None => match log.get(index / 2) {
                     Some((_, batch)) => batch.clone(),
                     None => continue,
@@ -225,35 +227,35 @@
             let offset = fleet.next;
             let before = fleet.clone();
             let verdicts = fleet.apply(offset, &batch);
-            let accepted = verdicts.first().is_some_and(|(_, verdict)| verdict.is_ok());
-            check(&before, &fleet, &batch.records[0].body, accepted);
+            let is_accepted = verdicts.first().is_some_and(|(_, verdict)| verdict.is_ok());
+            check_invariants(&before, &fleet, &batch.records[0].body, is_accepted);
             log.push((offset, batch));
             past.push(fleet.clone());
             if index == cut {
                 snapshot = Some(snapshot::encode(&fleet));
             }
         }
-        let mut again = published();
+        let mut replayed = published();
         for (offset, batch) in &log {
-            again.apply(*offset, &Batch::decode(&batch.encode().unwrap()).unwrap());
+            replayed.apply(*offset, &Batch::decode(&batch.encode().unwrap()).unwrap());
         }
-        prop_assert_eq!(&again, &fleet);
+        prop_assert_eq!(&replayed, &fleet);
         if let Some(encoded) = snapshot {
             let digest = snapshot::digest(&encoded);
-            let mut late = snapshot::decode(&encoded, 0, digest).unwrap();
-            let from = late.next;
+            let mut restored = snapshot::decode(&encoded, 0, digest).unwrap();
+            let from = restored.next;
             for (offset, batch) in log.iter().filter(|(offset, _)| *offset >= from) {
-                late.apply(*offset, batch);
+                restored.apply(*offset, batch);
             }
-            prop_assert_eq!(&late, &fleet);
-            prop_assert_eq!(snapshot::encode(&late), snapshot::encode(&fleet));
+            prop_assert_eq!(&restored, &fleet);
+            prop_assert_eq!(snapshot::encode(&restored), snapshot::encode(&fleet));
         }
     }
 
-    /// Copies of batches, wherever they are put in after the first, change nothing.
+    /// Duplicates of a batch change nothing, wherever they follow it.
     #[test]
-    fn copies_change_nothing(copies in prop::collection::vec(0usize..8, 0..20)) {
-        let mut plain = published();
+    fn duplicate_batches_change_nothing(copies in prop::collection::vec(0usize..8, 0..20)) {
+        let mut without_copies = published();
         let mut with_copies = published();
         let batch = |sequence: u64| {
             let body = Body::Down(vec![format!("box-{sequence}").into()]);
@@ -261,20 +263,20 @@
             Batch { writer: 1, incarnation: 5, sequence, records }
         };
         for index in 0..8 {
-            plain.apply(plain.next, &batch(index + 1));
+            without_copies.apply(without_copies.next, &batch(index + 1));
             with_copies.apply(with_copies.next, &batch(index + 1));
             for copy in copies.iter().filter(|copy| **copy as u64 <= index) {
                 with_copies.apply(with_copies.next, &batch(*copy as u64 + 1));
             }
         }
-        prop_assert_eq!(plain.boxes.values().map(|e| e.down).collect::<Vec<_>>(),
+        prop_assert_eq!(without_copies.boxes.values().map(|e| e.down).collect::<Vec<_>>(),
                         with_copies.boxes.values().map(|e| e.down).collect::<Vec<_>>());
-        prop_assert_eq!(plain.verdicts.len(), with_copies.verdicts.len());
+        prop_assert_eq!(without_copies.verdicts.len(), with_copies.verdicts.len());
     }
 }
 
 #[test]
-fn an_earlier_life_of_a_daemon_is_refused() {
+fn a_batch_of_an_earlier_incarnation_is_refused() {
     let mut fleet = published();
     let batch = |incarnation, sequence| Batch {
         writer: 0,
@@ -284,5 +286,5 @@
     };
     assert!(fleet.apply(fleet.next, &batch(9, 1))[0].1.is_ok());
     let late = fleet.apply(fleet.next, &batch(1, 2));
-    assert!(late[0].1.is_err(), "an append of the life before lands late");
+    assert!(late[0].1.is_err(), "the append of an earlier incarnation arrives late");
 }
