--- a/cli/tests/test_accounts.rs
+++ b/cli/tests/test_accounts.rs
@@ -1,10 +1,10 @@
-//! Accounts on the users' platform, with real daemons: who may call, what each account may see, what it may have
-//! running, and how soon every node knows of a change.
+//! Accounts on the platform, with real daemons: authentication of calls, visibility of jobs, quotas, and the
+//! propagation of configuration changes to all nodes.
 //!
-//! On a site whose operator has configured accounts the daemons took jobs from anybody, showed and cancelled them for
-//! anybody, and ran as much of one account as there was room for: a call without a key was answered with 200, and so
-//! was one with a key that no configuration had ever held. A node that the store turned away learned of no later
-//! configuration for as long as that lasted.
+//! The tests guard against daemons that ignore the configured accounts: calls without a key, or with a key that no
+//! configuration holds, are answered with 200, jobs are shown to and cancelled by other accounts, and an account runs
+//! as much as there are resources for. They also guard against a node that learns of no later configuration while the
+//! store does not answer it.
 
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
 use tokio::time::sleep;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeliftd");
-/// Time between looks at what runs.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Interval of polling the number of running tasks.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 fn id(number: u64) -> String {
     format!("{number:016x}")
@@ -34,7 +34,7 @@
     json!({ "spec": format!("ms={millis} cpu=1000 mem=100"), "steps": [step] })
 }
 
-fn assert_sound(site: &Site) {
+fn assert_no_violations(site: &Site) {
     assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
 
@@ -45,8 +45,8 @@
     vec![first, Account::new("other", "key-of-other")]
 }
 
-/// Waits until each node asks for a key.
-async fn until_keys_count(site: &Site) {
+/// Waits until each node rejects calls without a key.
+async fn wait_until_keys_required(site: &Site) {
     for node in 0..site.nodes.len() {
         site.wait_until("a call without a key is refused", async |site| {
             site.call_with(&[], node, Method::GET, &path(99), Value::Null).await.0 == 401
@@ -56,10 +56,10 @@
 }
 
 #[tokio::test]
-async fn a_call_bears_a_key_of_an_account() {
+async fn a_call_needs_a_key_of_an_account() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     site.publish_config(2, &accounts());
-    until_keys_count(&site).await;
+    wait_until_keys_required(&site).await;
     let post = |headers: Vec<(&'static str, &'static [u8])>| {
         let site = &site;
         async move { site.call_with(&headers, 0, Method::POST, &path(1), job(1, 10)).await.0 }
@@ -70,43 +70,43 @@
     assert_eq!(post(vec![("authorization", b"Basic key-of-first")]).await, 401);
     assert_eq!(post(vec![("authorization", b"Bearer \xff\xfe")]).await, 401);
     let good: (&str, &[u8]) = ("authorization", b"Bearer key-of-first");
-    assert_eq!(post(vec![good, good]).await, 401, "two keys name nobody");
+    assert_eq!(post(vec![good, good]).await, 401, "two keys identify no account");
     assert_eq!(site.ledger.start_count(), 0);
     assert_eq!(post(vec![("authorization", b"bearer key-of-first")]).await, 200);
     assert_eq!(post(vec![good]).await, 200);
     site.wait_until("the job has run", async |site| site.ledger.done_count() == 1).await;
-    assert_sound(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
 async fn a_job_belongs_to_its_account() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     site.publish_config(2, &accounts());
-    until_keys_count(&site).await;
+    wait_until_keys_required(&site).await;
     let call = async |key: &str, method: Method, body: Value| {
         site.call_as(key, 1, method, &path(1), body).await.0
     };
-    let lasting = json!({
+    let long_running = json!({
         "spec": "cpu=500 mem=100",
         "steps": [{ "count": 1, "cpu": 500, "memMb": 100, "estimateMs": 100, "longRunning": true }],
     });
-    assert_eq!(call("key-of-first", Method::POST, lasting.clone()).await, 200);
+    assert_eq!(call("key-of-first", Method::POST, long_running.clone()).await, 200);
     site.wait_until("it runs", async |site| site.ledger.running_tasks(&id(1)) == 1).await;
     assert_eq!(call("key-of-first", Method::GET, Value::Null).await, 200);
     assert_eq!(call("second-key-of-first", Method::GET, Value::Null).await, 200);
     assert_eq!(call("key-of-other", Method::GET, Value::Null).await, 410);
     assert_eq!(call("key-of-other", Method::DELETE, Value::Null).await, 410);
-    // The job of another account is not to be seen at a public queue either.
+    // A public queue does not show the job of another account either.
     let (status, _) =
         site.call_with(&[], 0, Method::GET, &format!("/open/{}", id(1)), Value::Null).await;
     assert_eq!(status, 410);
-    // Nor after the holder of the lead has been replaced.
+    // The same holds after another node has become leader.
     site.nodes[site.leader().unwrap()].kill();
-    let seen = async |site: &Site| {
+    let is_known = async |site: &Site| {
         let node = usize::from(site.nodes[1].is_running());
         site.call_as("second-key-of-first", node, Method::GET, &path(1), Value::Null).await.0 == 200
     };
-    site.wait_until("the next holder knows it", seen).await;
+    site.wait_until("the next leader knows it", is_known).await;
     let node = usize::from(site.nodes[1].is_running());
     let (status, _) =
         site.call_as("key-of-other", node, Method::DELETE, &path(1), Value::Null).await;
@@ -114,55 +114,56 @@
     let (status, _) =
         site.call_as("second-key-of-first", node, Method::DELETE, &path(1), Value::Null).await;
     assert_eq!(status, 200);
-    site.wait_until("it is gone", async |site| site.ledger.running_tasks(&id(1)) == 0).await;
-    assert_sound(&site);
+    site.wait_until("it has ended", async |site| site.ledger.running_tasks(&id(1)) == 0).await;
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
-async fn an_account_runs_no_more_than_its_maximum() {
+async fn an_account_runs_no_more_than_its_quota() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     let mut accounts = accounts();
     accounts[0].maximum = (2_000, 0);
     site.publish_config(2, &accounts);
-    until_keys_count(&site).await;
+    wait_until_keys_required(&site).await;
     let (status, _) = site.call_as("key-of-first", 0, Method::POST, &path(1), job(8, 150)).await;
     assert_eq!(status, 200);
-    let mut most = 0;
+    let mut max_running = 0;
     while site.ledger.done_count() < 8 {
-        most = most.max(site.ledger.running_tasks(&id(1)));
-        sleep(PAUSE).await;
+        max_running = max_running.max(site.ledger.running_tasks(&id(1)));
+        sleep(POLL_INTERVAL).await;
     }
-    assert_eq!(most, 2, "tasks at once");
-    assert_sound(&site);
+    assert_eq!(max_running, 2, "concurrent tasks");
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
 async fn a_node_that_the_store_does_not_answer_learns_of_a_new_key() {
     let site = Site::start(PROGRAM, 3, 4, 0).await.unwrap();
     site.publish_config(2, &accounts());
-    until_keys_count(&site).await;
-    let cut = (0..3).find(|node| site.leader() != Some(*node)).unwrap();
-    site.nodes[cut].store_endpoint.set_fault(Fault::Unresponsive);
+    wait_until_keys_required(&site).await;
+    let cut_off = (0..3).find(|node| site.leader() != Some(*node)).unwrap();
+    site.nodes[cut_off].store_endpoint.set_fault(Fault::Unresponsive);
     let mut later = accounts();
     later[1].keys = vec!["new-key-of-other".to_owned()];
     site.publish_config(3, &later);
-    site.wait_until("the new key counts there", async |site| {
+    site.wait_until("the node accepts the new key", async |site| {
         let path = path(9);
-        site.call_as("new-key-of-other", cut, Method::GET, &path, Value::Null).await.0 == 410
+        site.call_as("new-key-of-other", cut_off, Method::GET, &path, Value::Null).await.0 == 410
     })
     .await;
-    let (status, _) = site.call_as("key-of-other", cut, Method::GET, &path(9), Value::Null).await;
+    let (status, _) =
+        site.call_as("key-of-other", cut_off, Method::GET, &path(9), Value::Null).await;
     assert_eq!(status, 401);
-    assert_sound(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
-async fn what_no_bound_allows_is_refused_at_once_and_operators_see_the_rest() {
+async fn a_gang_over_the_quota_is_refused_and_operators_see_what_waits() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
     let mut accounts = accounts();
     accounts[0].maximum = (2_000, 0);
     site.publish_config(2, &accounts);
-    until_keys_count(&site).await;
+    wait_until_keys_required(&site).await;
     let gang = json!({ "count": 3, "cpu": 1000, "memMb": 100, "estimateMs": 10, "gang": true });
     let gang = json!({ "spec": "ms=10 cpu=1000 mem=100", "steps": [gang] });
     let submit = async |key: &str, number: u64, job: Value| {
@@ -172,13 +173,13 @@
     assert_eq!(submit("key-of-other", 2, gang).await, 200);
     assert_eq!(submit("key-of-first", 3, job(5, 60_000)).await, 200);
     site.wait_until("two of five run", async |site| site.ledger.running_tasks(&id(3)) == 2).await;
-    let shown = site.operator_view("accounts").await.unwrap();
-    let shown: Accounts = serde_json::from_str(&shown).unwrap();
-    let first = &shown.accounts[0];
-    assert_eq!((shown.version, first.name.as_str(), first.keys), (2, "first", 2));
+    let json = site.operator_view("accounts").await.unwrap();
+    let view: Accounts = serde_json::from_str(&json).unwrap();
+    let first = &view.accounts[0];
+    assert_eq!((view.version, first.name.as_str(), first.keys), (2, "first", 2));
     assert_eq!((first.cores, first.most_cores, first.held), (2.0, 2.0, 3));
     let explained = site.operator_view(&format!("jobs/{}", id(3))).await.unwrap();
     assert!(explained.contains("its account is at its bound"), "{explained}");
-    assert!(!explained.contains("key-of-first") && !format!("{shown:?}").contains("key-of-first"));
-    assert_sound(&site);
+    assert!(!explained.contains("key-of-first") && !format!("{view:?}").contains("key-of-first"));
+    assert_no_violations(&site);
 }
--- a/cli/tests/test_bad_input.rs
+++ b/cli/tests/test_bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input from operators, callers and strangers: a typed error, a counter, and nobody else
-//! disturbed.
+//! Invalid input from operators, callers and unknown senders: it gets a typed error, is counted, and
+//! does not affect others.
 
 use std::io::Read;
 use std::io::Write;
@@ -22,14 +22,14 @@
     fixture
 }
 
-/// Another account's request is served as before.
+/// Checks that another account's request is still served.
 async fn assert_undisturbed(fixture: &Fixture, token: u64) {
     let call = fixture.build_call("donors", "recall", token);
     assert_matches!(fixture.call(0, &call).await, Outcome::Answered);
 }
 
 #[tokio::test]
-async fn each_fault_of_a_configuration_is_named_with_its_place() {
+async fn each_configuration_error_is_reported_with_its_position() {
     let fixture = small_site().await;
     let cases = [
         ("[[pool]\n", "syntax"),
@@ -61,16 +61,16 @@
         ("[[account]]\nname = \"a\"\n[[account]]\nname = \"a\"\n", "twice"),
     ];
     for (text, expected) in cases {
-        let before = fixture.log.next_offset();
+        let next_offset = fixture.log.next_offset();
         let (status, answer) = fixture.call_operator_api(0, "POST", "/v1/publish", text).await;
         assert_eq!((status, &answer["error"]), (422, &"config".into()), "{text}: {answer}");
         let faults = answer["faults"].as_array().unwrap();
         let found = faults.iter().find(|fault| fault["kind"]["fault"] == expected);
         assert!(found.is_some_and(|fault| !fault["span"].is_null()), "{text}: {answer}");
-        assert_eq!(fixture.log.next_offset(), before, "nothing is sent: {text}");
+        assert_eq!(fixture.log.next_offset(), next_offset, "nothing is appended: {text}");
     }
-    let counted = fixture.counter(0, "operate.refused.config").await;
-    assert_eq!(counted, cases.len() as u64);
+    let count = fixture.counter(0, "operate.refused.config").await;
+    assert_eq!(count, cases.len() as u64);
     assert_undisturbed(&fixture, 1).await;
 }
 
@@ -82,11 +82,11 @@
     assert_eq!(status, 422, "{answer}");
     assert_eq!(answer["faults"][0]["kind"]["fault"], "claimed-twice");
     let (_, boxes) = fixture.call_operator_api(0, "GET", "/v1/boxes", "").await;
-    assert_eq!(boxes.as_array().unwrap().len(), 0, "all or nothing");
+    assert_eq!(boxes.as_array().unwrap().len(), 0, "no part of the change was applied");
 }
 
 #[tokio::test]
-async fn an_intent_that_cannot_be_met_says_what_stops_it() {
+async fn an_impossible_intent_is_refused_with_its_constraint() {
     let fixture = small_site().await;
     let cases = [
         (r#"{"resize":{"pool":"front","boxes":40}}"#, "too-few"),
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn strangers_get_one_answer_whatever_exists() {
+async fn an_answer_does_not_reveal_objects_of_other_accounts() {
     let fixture = small_site().await;
     let plan = fixture.propose(0, r#"{"maintain":{"pools":["front"]}}"#).await;
     let donors = "donors:donors-operator-secret";
@@ -139,7 +139,7 @@
 }
 
 #[tokio::test]
-async fn callers_with_wrong_credentials_or_headers_are_told_not_run() {
+async fn calls_with_invalid_credentials_or_headers_are_not_run() {
     let fixture = small_site().await;
     let good = "Bearer clinics:clinics-caller-secret";
     let cases = [
@@ -170,7 +170,7 @@
 #[tokio::test]
 async fn an_oversized_request_is_refused_before_it_is_run() {
     let fixture = small_site().await;
-    // The rest of the body is not read, so nothing more may come on that connection.
+    // The daemon does not read the rest of the body, so it must close the connection.
     let request = Request::post("/v1/call/booking")
         .header(AUTHORIZATION, "Bearer clinics:clinics-caller-secret")
         .body(full(vec![b'x'; 100_001]))
@@ -189,7 +189,7 @@
 }
 
 #[tokio::test]
-async fn a_half_sent_request_reaches_no_target() {
+async fn an_incomplete_request_reaches_no_target() {
     let fixture = small_site().await;
     let addr = fixture.addrs(0).call;
     for announced in [100, 50_000] {
@@ -210,12 +210,12 @@
         })
         .await;
     let counts = fixture.ledger.counts();
-    assert_eq!(counts.requests, 0, "no worker has seen token 77: {counts:?}");
+    assert_eq!(counts.requests, 0, "no worker received token 77: {counts:?}");
     assert_undisturbed(&fixture, 1).await;
 }
 
 #[tokio::test]
-async fn garbage_on_every_port_is_dropped_and_counted() {
+async fn random_bytes_on_every_port_are_dropped_and_counted() {
     let mut fixture = small_site().await;
     let addrs = fixture.addrs(0);
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -241,7 +241,7 @@
 }
 
 #[tokio::test]
-async fn a_datagram_replayed_or_from_a_stranger_changes_nothing() {
+async fn replayed_datagrams_are_counted_and_change_nothing() {
     let fixture = Fixture::start(PROGRAM, 2, &[]).await.unwrap();
     let link = fixture.peer_links[1][0].clone().unwrap().datagrams;
     fixture.wait_until("heartbeats are recorded", async || link.received().len() > 20).await;
@@ -259,7 +259,7 @@
 }
 
 #[tokio::test]
-async fn a_quota_limits_what_an_account_places_and_no_other() {
+async fn a_quota_limits_only_the_jobs_of_its_account() {
     let fixture = small_site().await;
     let quota = "[[account]]\nname = \"clinics\"\nquota_slots = 50\n";
     let (status, answer) = fixture.call_operator_api(0, "POST", "/v1/publish", quota).await;
@@ -268,7 +268,7 @@
                    slots = 2\n";
     let (status, answer) = fixture.call_operator_api(0, "POST", "/v1/publish", service).await;
     assert_eq!(status, 200, "{answer}");
-    // Eight jobs of booking take up 48 slots.
+    // The eight jobs of booking use 48 slots.
     let place = |replicas| {
         format!(
             r#"{{"place":{{"account":"clinics","service":"screening","replicas":{replicas}}}}}"#
@@ -276,7 +276,7 @@
     };
     let (status, answer) = fixture.call_operator_api(0, "POST", "/v1/intents", &place(2)).await;
     assert_eq!((status, &answer["cause"]["reason"]), (422, &"quota".into()), "{answer}");
-    // A quota that is lowered after the plan was made ends the step; nothing is asked again.
+    // A quota that is lowered after planning makes the fold refuse the step; it is not retried.
     let plan = fixture.propose(0, &place(1)).await;
     let (status, _) =
         fixture.call_operator_api(0, "POST", "/v1/publish", &quota.replace("50", "48")).await;
