--- a/lib/src/batch/advice.rs
+++ b/lib/src/batch/advice.rs
@@ -26,8 +26,8 @@
 const MAX_WORKERS_PER_QUESTION: usize = 30;
 /// Timeout of a question: the service handles one question at a time.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Pause after a question without an answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a question without an answer.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// A ticket is not used in this last part of its validity, since the start with it takes a while.
 const TICKET_MARGIN: Duration = Duration::from_millis(300);
 
@@ -116,7 +116,7 @@
 pub async fn run(scheduler: Arc<Scheduler>) {
     let Some(addr) = scheduler.node.settings.advice else { return };
     loop {
-        let Some((step, workers)) = scheduler.cell().advices.take_question() else {
+        let Some((step, workers)) = scheduler.cell().advice.take_question() else {
             scheduler.advice_wake.notified().await;
             continue;
         };
@@ -126,9 +126,9 @@
         if let Err(error) = &answer {
             scheduler.node.counters.count("batch.advice.failed");
             log::info!(job = format!("{:016x}", step.0).as_str(), step = step.2; "question to the advice service failed: {error}");
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
-        scheduler.cell().advices.record_answer(step, workers, answer.ok(), clock::now());
+        scheduler.cell().advice.record_answer(step, workers, answer.ok(), clock::now());
         scheduler.wake();
     }
 }
--- a/lib/src/batch/availability.rs
+++ b/lib/src/batch/availability.rs
@@ -49,7 +49,8 @@
         counters: &Counters,
         result: &Result<T, CallError>,
     ) {
-        let mut outage = self.outage.lock().expect("no holder of the state panics");
+        let mut outage =
+            self.outage.lock().expect("no thread panics while it holds the state lock");
         if let Err(error) = result {
             counters.count(&format!("call.{service}.{}", error.kind()));
         }
@@ -72,7 +73,7 @@
 
     /// Whether the last call had no answer.
     pub fn is_unavailable(&self) -> bool {
-        self.outage.lock().expect("no holder of the state panics").is_some()
+        self.outage.lock().expect("no thread panics while it holds the state lock").is_some()
     }
 }
 
--- a/lib/src/batch/cell.rs
+++ b/lib/src/batch/cell.rs
@@ -116,7 +116,7 @@
         /// The run.
         run: Run,
     },
-    /// Limits a task to a fraction of its speed.
+    /// Limit a task to a fraction of its speed.
     Pace {
         /// The worker.
         peer: Peer,
@@ -127,17 +127,17 @@
         /// The fraction, in percent.
         percent: u32,
     },
-    /// Allows the worker's dispatcher to renew its leases from now on.
+    /// Allow the worker's dispatcher to renew its leases from now on.
     Grant {
         /// The worker.
         peer: Peer,
     },
-    /// Sets how often the worker is polled.
-    Watch {
+    /// Set how often the worker is polled.
+    SetPollRate {
         /// The worker.
         peer: Peer,
         /// Poll at the higher rate; otherwise at the normal one.
-        closely: bool,
+        fast: bool,
     },
 }
 
@@ -149,7 +149,7 @@
             | Order::Stop { peer, .. }
             | Order::Pace { peer, .. }
             | Order::Grant { peer }
-            | Order::Watch { peer, .. } => peer,
+            | Order::SetPollRate { peer, .. } => peer,
         }
     }
 }
@@ -179,7 +179,7 @@
     /// It was cancelled, so the store may hold a cancellation request.
     pub cancelled: bool,
     /// Partitions of the store that hold it.
-    pub kept_in: BTreeSet<u16>,
+    pub stored_in: BTreeSet<u16>,
 }
 
 /// What an earlier scheduler may have started on workers that this one has not polled yet.
@@ -215,7 +215,7 @@
     /// Something may have become placeable for a reason other than resources freed on a worker.
     pub(super) placement_pending: bool,
     /// Some worker may have an uncertain fencing state (`Worker::fencing_uncertain`).
-    pub(super) has_unfenced: bool,
+    pub(super) has_fencing_uncertain: bool,
     /// Some job may be marked as inherited from an earlier scheduler.
     has_inherited: bool,
     /// Jobs with long-running tasks that have not ended.
@@ -232,7 +232,7 @@
     /// one.
     pub unpolled: HashSet<Incarnation>,
     /// Invalid worker entries in the store, by worker id, with the reason.
-    pub unusable: BTreeMap<WorkerId, &'static str>,
+    pub invalid_entries: BTreeMap<WorkerId, &'static str>,
     /// Incarnations known to have ended, and when that became known. The store may list them for a
     /// while.
     ended_incarnations: HashMap<Incarnation, Instant>,
@@ -240,8 +240,8 @@
     tasks_on_unresponsive: HashMap<Incarnation, HashSet<TaskName>>,
     /// Unresponsive workers whose boxes were missing from the last list of boxes.
     missing_from_box_list: HashSet<Incarnation>,
-    /// CPU of long-running tasks without a place, by service, in millicores: they wait, or run on
-    /// boxes that should be emptied.
+    /// CPU of long-running tasks without a place, by service, in thousandths of a core: they wait,
+    /// or run on boxes that should be emptied.
     pub unplaced_cpu: BTreeMap<String, u64>,
     /// Machines whose maintenance has started, by wave.
     pub maintenance_started: HashMap<u64, HashSet<MachineId>>,
@@ -296,7 +296,7 @@
     /// Observed load.
     pub demand: Demand,
     /// Answers of the advice service.
-    pub advices: AdviceCache,
+    pub advice: AdviceCache,
 }
 
 impl Cell {
@@ -310,14 +310,14 @@
             quotas: Quotas::default(),
             allowances: Allowances::default(),
             placement_pending: false,
-            has_unfenced: false,
+            has_fencing_uncertain: false,
             has_inherited: false,
             long_running_jobs: HashSet::new(),
             unknown_jobs: HashSet::new(),
             predecessor_is_done: false,
             known_everywhere_from: None,
             unpolled: HashSet::new(),
-            unusable: BTreeMap::new(),
+            invalid_entries: BTreeMap::new(),
             ended_incarnations: HashMap::new(),
             tasks_on_unresponsive: HashMap::new(),
             missing_from_box_list: HashSet::new(),
@@ -347,7 +347,7 @@
             renewed_at: None,
             early_ends: Vec::new(),
             demand: Demand::default(),
-            advices: AdviceCache::default(),
+            advice: AdviceCache::default(),
         }
     }
 }
--- a/lib/src/batch/cell/answers.rs
+++ b/lib/src/batch/cell/answers.rs
@@ -49,7 +49,7 @@
     /// Handles an answer to a start whose clock value this incarnation cannot have: a later
     /// incarnation may have accepted the start. The lease requested with it then lasts as long as a
     /// worker grants, by the later incarnation's clock.
-    pub fn on_off_clock(&mut self, incarnation: &Incarnation, now: Instant) {
+    pub fn on_clock_mismatch(&mut self, incarnation: &Incarnation, now: Instant) {
         let longest_lease = self.longest_lease;
         if let Some(mut worker) = self.workers.get_mut(incarnation) {
             worker.record_possible_renewal(now, longest_lease);
@@ -86,7 +86,7 @@
             self.release_run(task, allocation);
         }
         if refusal == Some(Refusal::Ticket) {
-            self.advices.invalidate_ticket((task.job, task.repetition, task.step), incarnation);
+            self.advice.invalidate_ticket((task.job, task.repetition, task.step), incarnation);
         }
         if refusal == Some(Refusal::OtherLife) {
             self.mark_ended(incarnation, "another incarnation answers at its address");
--- a/lib/src/batch/cell/caller_jobs.rs
+++ b/lib/src/batch/cell/caller_jobs.rs
@@ -44,7 +44,7 @@
 
     /// Records that a partition of the store holds a job. The job is not removed before at least
     /// one partition is known: a record left behind would be a new job to the next scheduler.
-    pub fn record_kept(&mut self, key: JobKey, partition: u16) {
+    pub fn record_stored_in(&mut self, key: JobKey, partition: u16) {
         match self.jobs.get_mut(&key.id) {
             Some(entry) if entry.accepted.account == key.account => {
                 entry.stored_in.insert(partition);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Takes the records found by [`Self::record_id_conflict`] since the last call.
+    /// Takes the records that [`Self::record_id_conflict`] has recorded since the last call.
     pub fn take_id_conflicts(&mut self) -> BTreeSet<(JobKey, u16)> {
         std::mem::take(&mut self.id_conflicts)
     }
@@ -77,7 +77,7 @@
         let finished = old.map(|entry| FinishedJob {
             key: JobKey { id: entry.id, account: entry.accepted.account.clone() },
             cancelled: entry.cancelled,
-            kept_in: entry.stored_in.clone(),
+            stored_in: entry.stored_in.clone(),
         });
         finished.collect()
     }
@@ -86,7 +86,7 @@
     /// store forgot its end first, the next scheduler would run the job again.
     pub fn forget_job(&mut self, id: JobId) {
         if let Some(entry) = self.jobs.remove(&id) {
-            self.advices.forget_job(id);
+            self.advice.forget_job(id);
             self.pending_records.push(record::forget_progress(id));
             if entry.crashed_tasks().next().is_some() {
                 self.pending_records.push(record::forget_crashes(id));
--- a/lib/src/batch/cell/crashes.rs
+++ b/lib/src/batch/cell/crashes.rs
@@ -265,8 +265,7 @@
     }
 
     /// Forgets the crashes of a long-running task. Called when a run of it has ended without a
-    /// crash after `HARMLESS_RUNTIME`: earlier crashes then say nothing about the
-    /// task.
+    /// crash after `HARMLESS_RUN_TIME`: earlier crashes are then no evidence against the task.
     pub(super) fn clear_crashes(&mut self, name: TaskName) {
         let Some(task) = self.jobs.get_mut(&name.job).and_then(|entry| entry.task_mut(name)) else {
             return;
@@ -301,7 +300,8 @@
     let mut runs: Vec<(u64, TaskName)> = worker.allocations.iter().map(run_time).collect();
     runs.sort();
     let youngest = runs.iter().take(MAX_LOGGED_RUNS);
-    let youngest: Vec<String> = youngest.map(|(lived, task)| format!("{task}:{lived}")).collect();
+    let youngest: Vec<String> =
+        youngest.map(|(run_time, task)| format!("{task}:{run_time}")).collect();
     log::info!(
         worker:% = worker.peer.incarnation,
         runs = runs.len(),
--- a/lib/src/batch/cell/incarnations.rs
+++ b/lib/src/batch/cell/incarnations.rs
@@ -18,7 +18,7 @@
 use crate::batch::record::StoredWorker;
 use crate::batch::worker::Phase;
 use crate::batch::worker::Worker;
-use crate::batch::worker::compose_token as worker_token;
+use crate::batch::worker::compose_token;
 
 impl Cell {
     /// Applies a worker's entry in the store; returns whether its incarnation is new. An entry of
@@ -29,7 +29,7 @@
     /// [`Cell::end_other_incarnations`].
     pub fn discover(&mut self, peer: Peer, entry: worker::Entry, now: Instant) -> bool {
         let peer = Peer { incarnation: self.resolve_incarnation(peer.incarnation), ..peer };
-        self.unusable.remove(&peer.incarnation.id);
+        self.invalid_entries.remove(&peer.incarnation.id);
         if self.ended_incarnations.contains_key(&peer.incarnation) {
             return false;
         }
@@ -67,7 +67,7 @@
 
     /// Adds a worker. If its id has had another incarnation, it is not known yet which of them is
     /// the later one, and the later one may execute orders meant for the earlier: see
-    /// [`Worker::is_later_incarnation`].
+    /// [`Worker::may_be_later_incarnation`].
     pub(super) fn insert_worker(&mut self, worker: Worker) {
         let id = worker.peer.incarnation.id.clone();
         let has_others = self.workers.current(&id).is_some()
@@ -76,7 +76,7 @@
         if has_others {
             let longest_lease = self.longest_lease;
             self.update_incarnations(&id, |worker| {
-                worker.is_later_incarnation = true;
+                worker.may_be_later_incarnation = true;
                 worker.record_possible_renewal(worker.discovered_at, longest_lease);
             });
         }
@@ -143,7 +143,7 @@
     /// Ignored if this scheduler has raised the worker's token since.
     pub fn on_fenced(&mut self, incarnation: &Incarnation, token: Token) {
         let Some(worker) = self.workers.get(incarnation) else { return };
-        if token < worker_token(self.token, worker.fence) {
+        if token < compose_token(self.token, worker.fence) {
             return;
         }
         if self.workers.fence_of(&incarnation.id) > worker.fence {
@@ -165,7 +165,7 @@
     }
 
     /// Removes incarnations that have ended according to the answer of this one to a poll sent at
-    /// `sent_at`: those with its id, and those of other ids on its machine.
+    /// `sent_at`: those with its id, and those of other ids on its box.
     ///
     /// Only answers decide which of two incarnations is the later one: the store and the list of
     /// machines may be seconds old when read, and a birth time comes from a wall clock that may
--- a/lib/src/batch/cell/jobs.rs
+++ b/lib/src/batch/cell/jobs.rs
@@ -28,7 +28,7 @@
 
 impl Cell {
     /// Admits a job reported by the node that accepted it; returns false if it is known already.
-    pub fn admit_announced(&mut self, id: JobId, accepted: Accepted) -> bool {
+    pub fn admit_reported(&mut self, id: JobId, accepted: Accepted) -> bool {
         let is_known_everywhere =
             self.known_everywhere_from.is_some_and(|from| clock::now() >= from);
         self.admit_job(id, accepted, None, !is_known_everywhere)
--- a/lib/src/batch/cell/polls.rs
+++ b/lib/src/batch/cell/polls.rs
@@ -32,7 +32,7 @@
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 /// How long a run of a long-running task must have been on a worker to show that the task does not
 /// crash it.
-const HARMLESS_RUNTIME: Duration = Duration::from_millis(3_000);
+const HARMLESS_RUN_TIME: Duration = Duration::from_millis(3_000);
 /// Backoff of a worker that fails every task; one task then tries it again.
 const BACKOFF_FAILING: Duration = Duration::from_millis(6_000);
 
@@ -67,7 +67,7 @@
         if !worker.has_token {
             worker.has_token = true;
             worker.backoff_until = now;
-            if worker.is_later_incarnation {
+            if worker.may_be_later_incarnation {
                 // The worker may have executed an order meant for the earlier incarnation until it
                 // received this poll.
                 worker.record_possible_renewal(now, longest_lease);
@@ -144,9 +144,9 @@
         }
         if let Some(allocation) = allocation {
             task.runs = task.runs.saturating_sub(1);
-            self.learn_runtime(end, &step, &allocation, now);
+            self.record_run_time(end, &step, &allocation, now);
             if step.long_running
-                && now.saturating_duration_since(allocation.ordered_at) > HARMLESS_RUNTIME
+                && now.saturating_duration_since(allocation.ordered_at) > HARMLESS_RUN_TIME
             {
                 self.clear_crashes(end.task);
             }
@@ -161,7 +161,7 @@
 
     /// Compares the run time with the client's estimate. Runs resumed from a checkpoint are left
     /// out, as they may have done only a part of the work.
-    fn learn_runtime(&mut self, end: &End, step: &Step, allocation: &Allocation, now: Instant) {
+    fn record_run_time(&mut self, end: &End, step: &Step, allocation: &Allocation, now: Instant) {
         let is_whole_run = end.outcome == Outcome::Done && !step.long_running;
         if !is_whole_run || !allocation.checkpoint.is_empty() {
             return;
@@ -285,8 +285,8 @@
         }
     }
 
-    /// Counts a discovered run for its task; returns whether it may go on. It may if its job is not
-    /// known: the job's record may still be on its way from the store.
+    /// Counts a run found on a worker for its task; returns whether it may go on. It may if its job
+    /// is not known: the job's record may still be on its way from the store.
     fn count_found_run(&mut self, reported: &Running) -> bool {
         let Some(entry) = self.jobs.get_mut(&reported.task.job) else { return true };
         let is_active = entry.is_active();
@@ -299,7 +299,7 @@
         task.last_run = task.last_run.max(reported.run);
         let wanted = is_active && !task.done && task.runs == 0;
         task.runs += 1;
-        // The task does not wait for placement any more, now that this run was discovered.
+        // The task does not wait for placement any more, now that this run was found.
         task.waiting_since = None;
         if wanted
             && let Some(run) = entry.step_run_mut(reported.task.repetition, reported.task.step)
--- a/lib/src/batch/cell/workers.rs
+++ b/lib/src/batch/cell/workers.rs
@@ -1,5 +1,5 @@
 //! The life cycle of workers: removal, expiry and restoring after a takeover; and the maintenance
-//! waves that empty their machines.
+//! waves that empty their boxes.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,32 +23,34 @@
 use crate::batch::worker::Worker;
 use crate::transport::clock;
 
-/// How long an ended incarnation is remembered. The store lists a worker that died with its machine
+/// How long an ended incarnation is remembered. The store lists a worker that ended with its box
 /// for three heartbeats; a scheduler that starts within that time and does not know of its end
 /// would wait for its leases.
 const ENDED_RETENTION: Duration = Duration::from_millis(15_000);
 
-/// How long a new scheduler stops no long-running task on its own initiative, from when all nodes
-/// know of it, which is one second after its start. Within this time it has observed every stop of
-/// its predecessor, including late ones.
+/// Time in which a new scheduler evacuates long-running tasks only from draining workers, counted
+/// from when all nodes know of it, one second after its start. After it, the new scheduler has
+/// observed every stop that its predecessor ordered, including late ones.
 const SETTLE_TIME: Duration = Duration::from_millis(2_000);
 /// The same if the predecessor had stopped before it released the leader lease: each of its stops
-/// has been answered or abandoned, which takes 0.9 s at most. In a rolling restart each node leads
+/// was answered or timed out, which takes 0.9 s at most. In a rolling restart each node leads
 /// for about 2 s, so with the longer time a wave would make no progress during it.
 const SETTLE_TIME_PREDECESSOR_DONE: Duration = Duration::from_millis(500);
 
 /// Most invalid entries that are remembered and logged; more would add no information.
-const MAX_UNUSABLE_ENTRIES: usize = 256;
+const MAX_INVALID_ENTRIES: usize = 256;
 
 impl Cell {
     /// Records an invalid worker entry; returns whether it is new. A known worker with this id gets
     /// no new tasks and keeps its runs: something else has overwritten its entry.
-    pub fn record_unusable(&mut self, id: &str, reason: &'static str) -> bool {
-        self.update_incarnations(id, |worker| worker.unusable = true);
-        if !self.unusable.contains_key(id) && self.unusable.len() >= MAX_UNUSABLE_ENTRIES {
+    pub fn record_invalid_entry(&mut self, id: &str, reason: &'static str) -> bool {
+        self.update_incarnations(id, |worker| worker.has_invalid_entry = true);
+        if !self.invalid_entries.contains_key(id)
+            && self.invalid_entries.len() >= MAX_INVALID_ENTRIES
+        {
             return false;
         }
-        self.unusable.insert(id.to_owned(), reason) != Some(reason)
+        self.invalid_entries.insert(id.to_owned(), reason) != Some(reason)
     }
 
     /// The worker on a machine, according to the platform's list, which names workers by id only.
@@ -126,7 +128,7 @@
     /// Records that the store no longer lists a worker. It may still run its tasks. If the store
     /// was unavailable lately, the worker still gets tasks until `unlisted_grace_until`.
     pub fn mark_unlisted(&mut self, id: &str, unlisted_grace_until: Option<Instant>) {
-        self.unusable.remove(id);
+        self.invalid_entries.remove(id);
         self.update_incarnations(id, |worker| {
             worker.listed = false;
             worker.unlisted_grace_until = unlisted_grace_until;
@@ -218,9 +220,9 @@
         }
     }
 
-    /// Passes a worker from a dispatcher that may act until `last` to another one. Starts that the
-    /// first has not answered for are stopped, before the tasks are started elsewhere; unanswered
-    /// stops are sent again.
+    /// Passes a worker from a dispatcher that may act until `last` to another one. Starts whose
+    /// outcome the first has not reported are stopped before the tasks are started elsewhere, and
+    /// stops without an answer are sent again.
     pub fn hand_over(&mut self, incarnation: &Incarnation, last: Instant) {
         let Some(mut worker) = self.workers.get_mut(incarnation) else { return };
         worker.hand_over(last);
--- a/lib/src/batch/commit.rs
+++ b/lib/src/batch/commit.rs
@@ -181,7 +181,7 @@
 
 impl Queue {
     fn health(&self) -> MutexGuard<'_, StoreHealth> {
-        self.health.lock().expect("no holder of the store health panics")
+        self.health.lock().expect("no thread panics while it holds the store health lock")
     }
 }
 
@@ -254,7 +254,12 @@
 
 /// Writes the queued jobs in batches until the process ends.
 pub async fn run(node: Arc<Node>) {
-    let receiver = node.commit_queue.receiver.lock().expect("no holder of the queue panics").take();
+    let receiver = node
+        .commit_queue
+        .receiver
+        .lock()
+        .expect("no thread panics while it holds the queue lock")
+        .take();
     let mut queue = receiver.expect("the queue has one writer");
     let mut batch = Vec::new();
     loop {
--- a/lib/src/batch/config.rs
+++ b/lib/src/batch/config.rs
@@ -147,7 +147,7 @@
 #[error("step {0} exceeds the quota of its account")]
 pub struct OverQuota(pub usize);
 
-/// The stricter of two quotas, of which a part of 0 means no limit.
+/// The stricter of two quotas, of which a component of 0 means no limit.
 fn stricter_quota(one: Quota, other: Quota) -> Quota {
     let lower = |one: u64, other: u64| match (one, other) {
         (0, limit) | (limit, 0) => limit,
--- a/lib/src/batch/crash.rs
+++ b/lib/src/batch/crash.rs
@@ -38,7 +38,7 @@
 const HIGH_REPEAT_RATE: f64 = 0.25;
 /// Weight of the newest crash in that fraction.
 const REPEAT_RATE_WEIGHT: f64 = 0.1;
-/// The fraction before any crash: high enough that the first poison task is looked for.
+/// The fraction before any crash: high enough that a suspect is isolated after its first crash.
 const INITIAL_REPEAT_RATE: f64 = 0.5;
 
 /// How often crashes repeat under the same tasks, as this scheduler observes it. Where workers
--- a/lib/src/batch/demand.rs
+++ b/lib/src/batch/demand.rs
@@ -52,7 +52,7 @@
         arrival.at = now;
     }
 
-    /// Records a finished run that run_time `run_time`, with the client's estimate.
+    /// Records how long a finished run took, with the client's estimate.
     pub fn record_run(&mut self, queue: &str, estimate: Duration, run_time: Duration) {
         if estimate.is_zero() {
             return;
@@ -68,7 +68,7 @@
         self.run_time_ratios.get(queue).copied().unwrap_or(1.0)
     }
 
-    /// Processor that the arriving work of a service keeps busy, in thousandths of a core.
+    /// CPU that the arriving work of a service keeps busy, in thousandths of a core.
     pub fn rate(&self, service: &str, now: Instant) -> u64 {
         let Some(arrival) = self.arrivals.get(service) else { return 0 };
         let age = now.saturating_duration_since(arrival.at);
@@ -79,7 +79,7 @@
     }
 }
 
-/// A weighted sum after `age`.
+/// Decays a weighted sum by `age`.
 fn decayed(work: f64, age: Duration, decay_time: Duration) -> f64 {
     work * (-age.as_secs_f64() / decay_time.as_secs_f64()).exp()
 }
--- a/lib/src/batch/directory.rs
+++ b/lib/src/batch/directory.rs
@@ -79,7 +79,7 @@
     }
 
     fn entries(&self) -> MutexGuard<'_, Option<Vec<Entry>>> {
-        self.entries.lock().expect("no holder of the entries panics")
+        self.entries.lock().expect("no thread panics while it holds the entries lock")
     }
 
     /// Whether a node with this CPU, in thousandths of a core, is a preferred leader: no other node
@@ -114,18 +114,21 @@
 
     /// Records that a node has relayed a call to the store.
     pub fn set_preferred_relay(&self, addr: SocketAddr) {
-        *self.preferred_relay.lock().expect("no holder of the address panics") = Some(addr);
+        *self.preferred_relay.lock().expect("no thread panics while it holds the address lock") =
+            Some(addr);
     }
 
     /// Records that a node did not answer.
     pub fn mark_unresponsive(&self, addr: SocketAddr) {
-        let mut unresponsive = self.unresponsive.lock().expect("no holder of the addresses panics");
+        let mut unresponsive =
+            self.unresponsive.lock().expect("no thread panics while it holds the addresses lock");
         unresponsive.retain(|_, since| clock::since(*since) < UNRESPONSIVE_COOLDOWN);
         unresponsive.insert(addr, clock::now());
     }
 
     fn is_unresponsive(&self, addr: SocketAddr) -> bool {
-        let unresponsive = self.unresponsive.lock().expect("no holder of the addresses panics");
+        let unresponsive =
+            self.unresponsive.lock().expect("no thread panics while it holds the addresses lock");
         unresponsive.get(&addr).is_some_and(|since| clock::since(*since) < UNRESPONSIVE_COOLDOWN)
     }
 
@@ -159,7 +162,8 @@
     pub fn relay_peers(&self) -> Vec<SocketAddr> {
         let mut addrs = self.addrs();
         addrs.shuffle(&mut rand::rng());
-        let preferred = *self.preferred_relay.lock().expect("no holder of the address panics");
+        let preferred =
+            *self.preferred_relay.lock().expect("no thread panics while it holds the address lock");
         addrs.sort_by_key(|addr| (self.is_unresponsive(*addr), Some(*addr) != preferred));
         addrs.truncate(MAX_RELAY_PEERS);
         addrs
--- a/lib/src/batch/dispatch.rs
+++ b/lib/src/batch/dispatch.rs
@@ -81,12 +81,12 @@
     /// Carries out a command; its outcome is reported as an event.
     pub fn execute(self: &Arc<Self>, command: Command) {
         match command {
-            Command::AddWorker { number, peer, durable, token, grants } => {
-                self.add_worker(number, WorkerSession::new(peer, durable, token, grants));
+            Command::AddWorker { number, peer, durable_end, token, renews_lease } => {
+                self.add_worker(number, WorkerSession::new(peer, durable_end, token, renews_lease));
             }
             Command::Grant { number } => {
                 if let Some(session) = self.session(number) {
-                    session.enable_lease_extension();
+                    session.enable_lease_renewal();
                 }
             }
             Command::RemoveWorker { number } => self.remove_worker(number),
@@ -95,9 +95,9 @@
                     session.set_durable_end(end);
                 }
             }
-            Command::Watch { number, closely } => {
+            Command::SetPollRate { number, fast } => {
                 if let Some(session) = self.session(number) {
-                    session.state().polls_often = closely;
+                    session.state().fast_polling = fast;
                 }
             }
             Command::Start { spec, starts } => order::start(self, spec, starts),
--- a/lib/src/batch/dispatch/lease.rs
+++ b/lib/src/batch/dispatch/lease.rs
@@ -11,7 +11,7 @@
 /// if a dispatcher is lost, the tasks of its workers may have to wait that much longer.
 pub const DISPATCH_LEASE: Duration = Duration::from_millis(1_500);
 
-/// Until when a dispatcher may start tasks and extend worker leases.
+/// Until when a dispatcher may start tasks and renew worker leases.
 ///
 /// An acknowledged report extends it, from the time at which the report was sent. The scheduler acknowledged it later
 /// than that, so [`DISPATCH_LEASE`] after its last acknowledgement the lease has certainly expired.
--- a/lib/src/batch/dispatch/message.rs
+++ b/lib/src/batch/dispatch/message.rs
@@ -13,7 +13,7 @@
 
 use crate::batch::worker::table::WorkerNumber;
 
-/// Microseconds since a dispatcher was started, by its own steady clock.
+/// Microseconds since a dispatcher was started, by its own monotonic clock.
 pub type OffsetMicros = u64;
 
 /// A task to start.
@@ -25,9 +25,9 @@
     pub task: TaskName,
     /// Number of the run.
     pub run: Run,
-    /// Checkpoint to resume from.
+    /// Checkpoint to resume from; empty if there is none.
     pub checkpoint: String,
-    /// Permission to start, if the queue requires one.
+    /// Ticket of the advice service; empty if the queue needs none.
     pub ticket: String,
 }
 
@@ -41,12 +41,14 @@
         number: WorkerNumber,
         /// Its incarnation and address.
         peer: Peer,
-        /// The worker may forget its ends of runs up to this one.
-        durable: u64,
+        /// Number of the last end of a run that the worker may forget.
+        #[serde(rename = "durable")]
+        durable_end: u64,
         /// Fencing token of all calls to it; a worker that has seen a higher one refuses them.
         token: Token,
-        /// Whether its lease is extended from its first answer on, rather than only after a [`Command::Grant`].
-        grants: bool,
+        /// Whether its lease is renewed from its first answer on, rather than only after a [`Command::Grant`].
+        #[serde(rename = "grants")]
+        renews_lease: bool,
     },
     /// Stop polling a worker.
     #[serde(rename = "Leave")]
@@ -54,7 +56,7 @@
         /// The worker.
         number: WorkerNumber,
     },
-    /// A worker may forget its ends of runs up to this one.
+    /// Let a worker forget its ends of runs up to this one.
     #[serde(rename = "Durable")]
     AcknowledgeEnds {
         /// The worker.
@@ -62,17 +64,19 @@
         /// Number of the last end whose effect is in the store.
         end: u64,
     },
-    /// Extend the lease of a worker from now on.
+    /// Renew the lease of a worker from now on.
     Grant {
         /// The worker.
         number: WorkerNumber,
     },
     /// Set how often a worker is polled.
-    Watch {
+    #[serde(rename = "Watch")]
+    SetPollRate {
         /// The worker.
         number: WorkerNumber,
-        /// Poll it more often: services run there next to best-effort tasks.
-        closely: bool,
+        /// Poll at the higher rate: services run there next to best-effort tasks.
+        #[serde(rename = "closely")]
+        fast: bool,
     },
     /// Start tasks of one job.
     Start {
@@ -120,7 +124,8 @@
         /// The latest end of a lease that this dispatcher has requested there.
         lease_until: WorkerMs,
         /// The response, without the ends that were reported before.
-        seen: PollResponse,
+        #[serde(rename = "seen")]
+        response: PollResponse,
     },
     /// A poll was not answered.
     #[serde(rename = "Missed")]
@@ -149,7 +154,8 @@
         /// The worker.
         number: WorkerNumber,
         /// Birth time of the other incarnation.
-        born: BirthMs,
+        #[serde(rename = "born")]
+        birth_ms: BirthMs,
     },
     /// A start was answered with a clock that this incarnation cannot have: the worker may have got a longer lease than
     /// intended.
--- a/lib/src/batch/dispatch/order.rs
+++ b/lib/src/batch/dispatch/order.rs
@@ -21,12 +21,12 @@
 use crate::batch::worker::table::WorkerNumber;
 use crate::transport::clock;
 
-/// Time limit of a start: it allows for the longest answer timeout and a poll.
+/// Timeout of a start: it allows for the longest answer timeout and a poll.
 const START_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time limit of other orders; answers come in about 2 ms.
+/// Timeout of other orders; answers come in about 2 ms.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after a failed order.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// Delay after a failed order.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// A task and the number of its run.
 type RunName = (TaskName, Run);
@@ -54,7 +54,7 @@
     let Some(session) = session.filter(|_| dispatcher.lease.is_valid()) else {
         return not_started(None);
     };
-    let Some(lease_until) = session.state().grant_lease(clock::now()) else {
+    let Some(lease_until) = session.state().request_lease(clock::now()) else {
         return not_started(None);
     };
     let message = worker::Start {
@@ -212,7 +212,7 @@
                 Some(_) => return dispatcher.emit(stopped),
             },
         }
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
--- a/lib/src/batch/dispatch/poll.rs
+++ b/lib/src/batch/dispatch/poll.rs
@@ -28,8 +28,8 @@
 const POLL_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long a poll may take that does not wait for an end; answers come in about 2 ms.
 const POLL_NOW_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause after a failed poll.
-const POLL_RETRY_PAUSE: Duration = Duration::from_millis(400);
+/// Delay after a failed poll.
+const POLL_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Longest delay of the next poll of a worker while the store does not have what the last one returned.
 const STORE_WAIT: Duration = Duration::from_millis(300);
 /// Time between checks whether the dispatch lease is valid again.
@@ -52,9 +52,8 @@
                 if !report_answer(&dispatcher, number, &session, sent, response) {
                     return;
                 }
-                // The next poll extends the lease and acknowledges the listed ends.
-                await_state(&session, &session.extension_enabled, |state| state.extends_leases)
-                    .await;
+                // The next poll renews the lease and acknowledges the listed ends.
+                await_state(&session, &session.renewal_enabled, |state| state.renews_lease).await;
                 await_state(&session, &session.durable_changed, |state| {
                     state.reported_end <= state.durable_end
                 })
@@ -64,7 +63,7 @@
                 if !record_failed_poll(&dispatcher, number, &session, &error) {
                     return;
                 }
-                sleep(POLL_RETRY_PAUSE).await;
+                sleep(POLL_RETRY_DELAY).await;
             }
         }
     }
@@ -79,7 +78,7 @@
     session: &WorkerSession,
 ) -> Option<PollResponse> {
     session.state().clock?;
-    // It may use another connection than the polls that wait, so another incarnation may answer it: it extends no lease
+    // It may use another connection than the polls that wait, so another incarnation may answer it: it renews no lease
     // and acknowledges no end.
     let request = Poll { token: session.token, acknowledged_end: 0, lease_until: None, wait_ms: 0 };
     let sent = clock::now();
@@ -112,7 +111,7 @@
         if state.is_ended_by_poll(sent) {
             dispatcher.context.counters.count("batch.worker.other-life");
             log_other_incarnation(&session.peer.incarnation, birth_ms, &state, &response);
-            dispatcher.emit(Event::OtherIncarnation { number, born: birth_ms });
+            dispatcher.emit(Event::OtherIncarnation { number, birth_ms });
             return false;
         }
         // The next poll decides.
@@ -121,7 +120,7 @@
     let (sent, at) = (dispatcher.offset_micros(sent), dispatcher.offset_micros(now));
     if state.accept_answer(&mut response, now) {
         let lease_until = state.lease_until;
-        dispatcher.emit(Event::Polled { number, sent, at, lease_until, seen: response });
+        dispatcher.emit(Event::Polled { number, sent, at, lease_until, response });
     }
     true
 }
@@ -174,9 +173,9 @@
 
 fn next_poll(session: &WorkerSession, now: Instant) -> Poll {
     let mut state = session.state();
-    let is_settled = state.extends_leases && state.reported_end == state.durable_end;
+    let is_settled = state.renews_lease && state.reported_end == state.durable_end;
     let waits = state.clock.is_some() && state.failed_polls == 0 && is_settled;
-    let wait = match (waits, state.polls_often) {
+    let wait = match (waits, state.fast_polling) {
         (false, _) => Duration::ZERO,
         (true, true) => SHORT_POLL_WAIT,
         (true, false) => POLL_WAIT,
@@ -186,7 +185,7 @@
     Poll {
         token: session.token,
         acknowledged_end,
-        lease_until: state.grant_lease(now),
+        lease_until: state.request_lease(now),
         wait_ms: wait.as_millis() as u64,
     }
 }
--- a/lib/src/batch/dispatch/remote.rs
+++ b/lib/src/batch/dispatch/remote.rs
@@ -31,8 +31,8 @@
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// Most events in a report.
 const MAX_EVENTS: usize = 4_096;
-/// Pause after a report that was not acknowledged.
-const RETRY_PAUSE: Duration = Duration::from_millis(30);
+/// Delay after a report that was not acknowledged.
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 /// How long a scheduler may be unreachable before its dispatcher stops: well beyond the dispatch lease, so that a
 /// scheduler that is reachable again in time keeps its dispatcher.
 const SCHEDULER_TIMEOUT: Duration = Duration::from_millis(4_000);
@@ -95,7 +95,7 @@
     /// ended.
     pub fn take_commands(&self, context: &Context, peers: &Peers, commands: Commands) -> bool {
         let mut current =
-            self.current.lock().expect("no thread panics while it holds the shard lock");
+            self.current.lock().expect("no thread panics while it holds the session lock");
         if commands.sequence == 1
             && current.as_ref().is_none_or(|old| old.session < commands.session)
         {
@@ -127,7 +127,7 @@
     /// Stops the dispatcher when the node stops.
     pub fn stop(&self) {
         if let Some(current) =
-            &*self.current.lock().expect("no thread panics while it holds the shard lock")
+            &*self.current.lock().expect("no thread panics while it holds the session lock")
         {
             current.dispatcher.stop();
         }
@@ -227,7 +227,7 @@
             Err(error) => {
                 dispatcher.context.counters.count("batch.carry.report-unanswered");
                 log::debug!("sending a report to the scheduler failed: {error}");
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/lib/src/batch/dispatch/session.rs
+++ b/lib/src/batch/dispatch/session.rs
@@ -31,8 +31,8 @@
     state: Mutex<State>,
     /// Notified when [`State::durable_end`] changes.
     pub durable_changed: Notify,
-    /// Notified when [`State::extends_leases`] is set.
-    pub extension_enabled: Notify,
+    /// Notified when [`State::renews_lease`] is set.
+    pub renewal_enabled: Notify,
     /// Cancelled when the worker is removed from the dispatcher.
     pub cancellation: CancellationToken,
 }
@@ -49,10 +49,10 @@
     pub durable_end: u64,
     /// Consecutive polls without an answer.
     pub failed_polls: u32,
-    /// Whether polls and starts may extend its lease.
-    pub extends_leases: bool,
+    /// Whether polls and starts may renew its lease.
+    pub renews_lease: bool,
     /// Whether it is polled more often.
-    pub polls_often: bool,
+    pub fast_polling: bool,
     /// How long to wait for the answer to a start before a poll checks for the run.
     pub answer_timeout: Duration,
 }
@@ -62,7 +62,7 @@
         peer: Peer,
         durable_end: u64,
         token: Token,
-        extends_leases: bool,
+        renews_lease: bool,
     ) -> WorkerSession {
         let state = State {
             clock: None,
@@ -70,13 +70,13 @@
             reported_end: durable_end,
             durable_end,
             failed_polls: 0,
-            extends_leases,
-            polls_often: false,
+            renews_lease,
+            fast_polling: false,
             answer_timeout: ANSWER_TIMEOUT_RANGE.0,
         };
         let (state, cancellation) = (Mutex::new(state), CancellationToken::new());
-        let (durable_changed, extension_enabled) = (Notify::new(), Notify::new());
-        WorkerSession { peer, token, state, durable_changed, extension_enabled, cancellation }
+        let (durable_changed, renewal_enabled) = (Notify::new(), Notify::new());
+        WorkerSession { peer, token, state, durable_changed, renewal_enabled, cancellation }
     }
 
     pub(super) fn state(&self) -> MutexGuard<'_, State> {
@@ -90,19 +90,19 @@
         self.durable_changed.notify_one();
     }
 
-    pub(super) fn enable_lease_extension(&self) {
-        self.state().extends_leases = true;
-        self.extension_enabled.notify_one();
+    pub(super) fn enable_lease_renewal(&self) {
+        self.state().renews_lease = true;
+        self.renewal_enabled.notify_one();
     }
 }
 
 impl State {
-    /// Grants a lease; returns its end by the clock of the worker. `None` before its lease may be extended, until it
+    /// Requests a lease; returns its end by the clock of the worker. `None` before its lease may be renewed, until it
     /// has reported its clock, and while it is unresponsive: it may still carry out a call that it does not answer,
     /// and the lease would then never be known to have expired.
-    pub(super) fn grant_lease(&mut self, now: Instant) -> Option<WorkerMs> {
+    pub(super) fn request_lease(&mut self, now: Instant) -> Option<WorkerMs> {
         let (clock, received_at) =
-            self.clock.filter(|_| self.extends_leases && self.failed_polls == 0)?;
+            self.clock.filter(|_| self.renews_lease && self.failed_polls == 0)?;
         let age = now.saturating_duration_since(received_at).as_millis() as WorkerMs;
         let until = clock + age + WORKER_LEASE.as_millis() as WorkerMs;
         self.lease_until = self.lease_until.max(until);
@@ -131,7 +131,7 @@
         self.clock.is_none_or(|(_, received_at)| received_at <= sent)
     }
 
-    /// Whether a clock in an answer cannot be that of this incarnation. A steady clock never runs ahead of the local
+    /// Whether a clock in an answer cannot be that of this incarnation. A monotonic clock never runs ahead of the local
     /// one, and may run a little slow.
     pub(super) fn is_clock_mismatch(&self, clock: WorkerMs, now: Instant) -> bool {
         self.clock.is_some_and(|(last, received_at)| {
--- a/lib/src/batch/document.rs
+++ b/lib/src/batch/document.rs
@@ -25,7 +25,7 @@
 pub struct Schedule {
     /// Number of repetitions; at least 1.
     pub times: u32,
-    /// Time of the first repetition, in milliseconds since 1970.
+    /// Time of the first repetition, in milliseconds since the Unix epoch.
     pub first_ms: u64,
     /// Time between two repetitions, in milliseconds.
     #[serde(default)]
--- a/lib/src/batch/gossip.rs
+++ b/lib/src/batch/gossip.rs
@@ -68,7 +68,7 @@
 
     /// Removes and returns the sender with the newest version above `in_force`. `None` if there is
     /// none; the calling task must end then and is not counted any more.
-    fn next_source(&mut self, in_force: Version) -> Option<SocketAddr> {
+    fn next_sender(&mut self, in_force: Version) -> Option<SocketAddr> {
         self.pending.retain(|(version, _)| *version > in_force);
         let next = self.pending.pop();
         self.active_fetches -= usize::from(next.is_none());
@@ -100,12 +100,12 @@
     }
 
     fn senders(&self) -> MutexGuard<'_, Senders> {
-        self.gossip.senders.lock().expect("no holder of the senders panics")
+        self.gossip.senders.lock().expect("no thread panics while it holds the senders lock")
     }
 
     fn next_sender(&self) -> Option<SocketAddr> {
         let in_force = self.config_version();
-        self.senders().next_source(in_force)
+        self.senders().next_sender(in_force)
     }
 
     /// Fetches the configuration of another node and puts it in force, if it is newer.
@@ -148,7 +148,8 @@
 
     /// Records the start of a round of asking peers; `false` if the last one is too recent.
     fn try_start_asking(&self, now: Instant) -> bool {
-        let mut asked_at = self.gossip.asked_at.lock().expect("no holder of the time panics");
+        let mut asked_at =
+            self.gossip.asked_at.lock().expect("no thread panics while it holds the time lock");
         if asked_at.is_some_and(|at| now.saturating_duration_since(at) < MIN_ASK_INTERVAL) {
             return false;
         }
--- a/lib/src/batch/interference.rs
+++ b/lib/src/batch/interference.rs
@@ -27,12 +27,12 @@
     pub fn adjust_best_effort_paces(&mut self, now: Instant) {
         let outbox = &mut self.outbox;
         self.workers.for_each_mut(|worker| {
-            let closely = worker.long_running.tasks > 0 && worker.has_service_beside_best_effort();
-            if worker.fast_polling != closely && !worker.handed_over {
-                worker.fast_polling = closely;
-                outbox.push(Order::Watch { peer: worker.peer.clone(), closely });
+            let fast = worker.long_running.tasks > 0 && worker.has_service_beside_best_effort();
+            if worker.fast_polling != fast && !worker.handed_over {
+                worker.fast_polling = fast;
+                outbox.push(Order::SetPollRate { peer: worker.peer.clone(), fast });
             }
-            if !closely {
+            if !fast {
                 return;
             }
             let tail_ratio = max_tail_ratio(worker);
@@ -62,12 +62,12 @@
     if allocation.class != Class::BestEffort || !live {
         return None;
     }
-    let changed = allocation
+    let changed_recently = allocation
         .paced_at
         .is_some_and(|at| now.saturating_duration_since(at) < PACE_STEP_INTERVAL);
     if tail_ratio >= PAUSE_THRESHOLD && allocation.pace > 0 {
         return Some(0);
     }
-    let speeds_up = tail_ratio < SPEED_UP_THRESHOLD && allocation.pace < 100 && !changed;
+    let speeds_up = tail_ratio < SPEED_UP_THRESHOLD && allocation.pace < 100 && !changed_recently;
     speeds_up.then(|| (allocation.pace + PACE_STEP_PERCENT).min(100))
 }
--- a/lib/src/batch/job.rs
+++ b/lib/src/batch/job.rs
@@ -31,7 +31,7 @@
     /// The highest run number used or observed.
     pub last_run: Run,
     /// The runs that failed. They are identified by number, since an unresponsive worker may report
-    /// an early one last, and a new scheduler is reported some again.
+    /// an earlier run after a later one, and a new scheduler gets some ends reported again.
     pub failed: Vec<Run>,
     /// Workers that crashed under it.
     pub crashes: Vec<Crash>,
@@ -181,15 +181,17 @@
     }
 
     /// When the job, or a repetition of it, should be done to meet its objective, in milliseconds
-    /// since 1970.
+    /// since the Unix epoch.
     pub fn objective_at(&self, repetition: u32) -> u64 {
         let from = self.accepted.job.due_at(repetition).unwrap_or(self.accepted.at);
         let stretch = u64::from(self.accepted.stretch_percent);
-        let chain = self.critical_path_ms().saturating_mul(stretch) / 100;
-        (from.as_millis() as u64).saturating_add(self.accepted.objective_ms).saturating_add(chain)
+        let variable_part = self.critical_path_ms().saturating_mul(stretch) / 100;
+        (from.as_millis() as u64)
+            .saturating_add(self.accepted.objective_ms)
+            .saturating_add(variable_part)
     }
 
-    /// Resources that a task of a step takes on a worker; best-effort tasks take no processor.
+    /// Resources that a task of a step takes on a worker; best-effort tasks take no CPU.
     pub fn resources_of(step: &Step) -> Resources {
         let cpu = if step.best_effort { 0 } else { step.cpu };
         Resources { cpu, memory_mb: step.memory_mb, gpu: step.gpu }
--- a/lib/src/batch/maintenance.rs
+++ b/lib/src/batch/maintenance.rs
@@ -38,6 +38,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Timeout of a call about machines, and of reading and writing wave status records.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+
 /// The waves under way, by number.
 #[derive(Default)]
 pub struct Waves {
@@ -219,8 +220,8 @@
     }
     scheduler.cell().record_maintenance_started(wave, id);
     // The worker stays known until it becomes unresponsive or another one answers: if an earlier
-    // scheduler had the maintenance done already, this worker keeps running, and would not be
-    // announced again.
+    // scheduler had the maintenance done already, this worker keeps running, and its entry in the
+    // store would not be written again.
     progress.mark_started(id, before, clock::now());
 }
 
--- a/lib/src/batch/maintenance/disruption.rs
+++ b/lib/src/batch/maintenance/disruption.rs
@@ -43,7 +43,7 @@
     let Some(worker) = cell.workers.get(incarnation) else { return true };
     let mut long_running = worker.allocations.keys().filter(|task| is_long_running(cell, **task));
     long_running.all(|name| {
-        may_disrupt_matching(cell, *name, now, |on, _| on.peer.incarnation == *incarnation)
+        may_disrupt_matching(cell, *name, now, |worker, _| worker.peer.incarnation == *incarnation)
     })
 }
 
--- a/lib/src/batch/maintenance/evacuation.rs
+++ b/lib/src/batch/maintenance/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuation of workers whose boxes are to be ordered away or that are draining.
+//! Evacuation of workers that are draining, or whose boxes are to be moved or maintained.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -44,8 +44,8 @@
     tasks.is_empty()
 }
 
-/// Like [`evacuate`], for a worker whose box need not go now: a long-running task is stopped only
-/// if resources for it are reserved elsewhere or, with `hurry`, if all on the worker may be
+/// Like [`evacuate`], for a worker whose box need not be freed at once: a long-running task is
+/// stopped only if resources for it are reserved elsewhere or, with `hurry`, if all on the worker may be
 /// unavailable together, so that they return with the box.
 pub fn evacuate_gracefully(
     cell: &mut Cell,
--- a/lib/src/batch/maintenance/plan.rs
+++ b/lib/src/batch/maintenance/plan.rs
@@ -85,8 +85,8 @@
         let service = worker.entry.service.as_str();
         let Some(task) = reservations.first_unplaced(service) else { continue };
         // An unanswered order may still take the box away.
-        let may_go = worker.allocations.is_empty() || progress.unanswered.contains(id);
-        if may_go || served.contains(service) {
+        let may_be_ordered = worker.allocations.is_empty() || progress.unanswered.contains(id);
+        if may_be_ordered || served.contains(service) {
             continue;
         }
         if accepts_if_uncordoned(cell, worker, task, now) {
--- a/lib/src/batch/node.rs
+++ b/lib/src/batch/node.rs
@@ -111,8 +111,8 @@
 impl Node {
     /// A node that has no configuration and knows no leader and no other nodes yet.
     pub fn new(settings: Settings, options: NodeSettings, counters: Counters) -> Arc<Node> {
-        let watch = count_connections(&settings, counters.clone());
-        let dialer = Dialer::new(CONNECT_TIMEOUT).with_event_handler(watch);
+        let handler = count_connections(&settings, counters.clone());
+        let dialer = Dialer::new(CONNECT_TIMEOUT).with_event_handler(handler);
         Arc::new(Node {
             store: Store::new(settings.store, dialer.clone()),
             workers: WorkerClient::new(dialer.clone()),
@@ -145,12 +145,17 @@
 
     /// The maintenance waves that operators have requested.
     pub fn waves(&self) -> Vec<Wave> {
-        self.waves.lock().expect("no holder of the waves panics").values().cloned().collect()
+        self.waves
+            .lock()
+            .expect("no thread panics while it holds the waves lock")
+            .values()
+            .cloned()
+            .collect()
     }
 
     /// Adds a maintenance wave; a wave with a known number changes nothing.
     pub fn add_wave(&self, wave: Wave) {
-        let mut waves = self.waves.lock().expect("no holder of the waves panics");
+        let mut waves = self.waves.lock().expect("no thread panics while it holds the waves lock");
         waves.entry(wave.number).or_insert_with(|| {
             log::info!(
                 wave = wave.number,
@@ -165,7 +170,8 @@
 
     /// Sets the current leader lease; `None` if it is released.
     pub fn set_leader_lease(&self, lease: Option<LeaderLease>) {
-        *self.leader_lease.lock().expect("no holder of the leader lease panics") = lease;
+        *self.leader_lease.lock().expect("no thread panics while it holds the leader lease lock") =
+            lease;
     }
 
     /// Whether no other node has much more CPU than this one; `None` until the others are known.
@@ -175,18 +181,22 @@
 
     /// Address of the leader, if it is another node.
     pub fn remote_leader(&self) -> Option<SocketAddr> {
-        let lease = self.leader_lease.lock().expect("no holder of the leader lease panics");
+        let lease = self
+            .leader_lease
+            .lock()
+            .expect("no thread panics while it holds the leader lease lock");
         lease.as_ref().filter(|lease| lease.incarnation != self.incarnation).map(|lease| lease.addr)
     }
 
     /// The scheduler, while this node is the leader and has read the store.
     pub fn scheduler(&self) -> Option<Arc<Scheduler>> {
-        self.scheduler.lock().expect("no holder of the scheduler panics").clone()
+        self.scheduler.lock().expect("no thread panics while it holds the scheduler lock").clone()
     }
 
     /// Sets the scheduler.
     pub fn set_scheduler(&self, scheduler: Option<Arc<Scheduler>>) {
-        *self.scheduler.lock().expect("no holder of the scheduler panics") = scheduler;
+        *self.scheduler.lock().expect("no thread panics while it holds the scheduler lock") =
+            scheduler;
     }
 
     /// Whether the node is stopping.
--- a/lib/src/batch/node/config.rs
+++ b/lib/src/batch/node/config.rs
@@ -24,7 +24,7 @@
     }
 
     fn in_force(&self) -> MutexGuard<'_, Option<InForce>> {
-        self.config.lock().expect("no holder of the configuration panics")
+        self.config.lock().expect("no thread panics while it holds the configuration lock")
     }
 
     /// Version of the configuration in force; 0 if there is none.
--- a/lib/src/batch/order_window.rs
+++ b/lib/src/batch/order_window.rs
@@ -8,7 +8,7 @@
 //! cost 3 s without any order, while rises of load last 5 s.
 //!
 //! While the store is slow (see [`crate::batch::store_latency`]), every box is announced in
-//! advance, so that no order waits for an announcement. If such a scheduler is lost, its successor
+//! advance, so that no order waits for an announcement. If such a scheduler fails, its successor
 //! holds every box for the 3 s.
 
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
 use spokelift_platform::machine::MachineId;
 
 /// How long after a renewal of the leader lease it is certain that no other node has claimed it:
-/// others do so after 2.1 s of silence at the earliest.
+/// others do so after 2.1 s without a renewal at the earliest.
 pub const EXCLUSIVE_LEASE: Duration = Duration::from_millis(1_400);
 
 /// Whether it is certain that no other node had claimed leadership at `then`. `renewed_at` is when
@@ -155,14 +155,14 @@
     /// let now = Instant::now();
     /// let window = OrderWindow::new(Duration::from_secs(3), HeldBoxes::Only([].into()), now);
     /// let (a, b) = ("a".to_owned(), "b".to_owned());
-    /// window.begin_announcement(1, [a.clone()].into());
+    /// window.start_announcement(1, [a.clone()].into());
     /// assert!(window.required_announcement(&[a.clone()], now).is_some(), "not confirmed yet");
     /// window.confirm_announcement(1);
     /// assert!(window.required_announcement(&[a.clone()], now).is_none());
-    /// window.begin_announcement(2, [b].into());
+    /// window.start_announcement(2, [b].into());
     /// assert!(window.required_announcement(&[a], now).is_some(), "it may be replaced");
     /// ```
-    pub fn begin_announcement(&self, number: u64, boxes: HashSet<MachineId>) {
+    pub fn start_announcement(&self, number: u64, boxes: HashSet<MachineId>) {
         let mut state = self.state();
         state.announced.retain(|id| boxes.contains(id));
         state.in_flight = Some((number, boxes));
--- a/lib/src/batch/peer.rs
+++ b/lib/src/batch/peer.rs
@@ -94,7 +94,7 @@
     /// The job's id is in use by another account's job.
     #[serde(rename = "Occupied")]
     IdInUse,
-    /// The receiver is not the leader or its scheduler is not ready yet, or it has not taken the
+    /// The receiver is not the leader or its scheduler is not ready yet, or it has not accepted the
     /// commands.
     NotReady,
 }
@@ -174,7 +174,8 @@
     }
 
     fn connection(&self, addr: SocketAddr) -> RequestSender {
-        let mut connections = self.connections.lock().expect("no holder of the connections panics");
+        let mut connections =
+            self.connections.lock().expect("no thread panics while it holds the connections lock");
         if let Some(sender) = connections.get(&addr).filter(|sender| !sender.is_closed()) {
             return sender.clone();
         }
--- a/lib/src/batch/place.rs
+++ b/lib/src/batch/place.rs
@@ -39,7 +39,7 @@
     pub fn place_ready(&mut self, now: Instant, wall: Duration) {
         self.placement_pending = false;
         self.workers.take_freed();
-        self.withhold_unfenced(now);
+        self.update_fencing_uncertain(now);
         self.update_unpolled_usage();
         let possible_runs = self.possible_runs();
         let ranks: Vec<Rank> = self.ready.iter().copied().collect();
@@ -95,20 +95,20 @@
 
     /// Withholds tasks from workers that were discovered after another node may have claimed
     /// leadership. Such a node can have read the worker list without them and start the same task
-    /// on a worker that it knows, so that the task runs twice: for 0.3 s if the
-    /// worker was discovered 2.1 s after the last renewal.
-    fn withhold_unfenced(&mut self, now: Instant) {
+    /// on a worker that it knows, so that the task runs twice: for 0.3 s if the worker was
+    /// discovered 2.1 s after the last renewal.
+    fn update_fencing_uncertain(&mut self, now: Instant) {
         let renewed_at = self.renewed_at;
         let may_withhold = !is_sole_leader(renewed_at, now);
-        if !may_withhold && !self.has_unfenced {
+        if !may_withhold && !self.has_fencing_uncertain {
             return;
         }
-        let mut has_unfenced = false;
+        let mut has_fencing_uncertain = false;
         self.workers.for_each_mut(|worker| {
             worker.fencing_uncertain = !is_sole_leader(renewed_at, worker.discovered_at);
-            has_unfenced |= worker.fencing_uncertain;
+            has_fencing_uncertain |= worker.fencing_uncertain;
         });
-        self.has_unfenced = has_unfenced;
+        self.has_fencing_uncertain = has_fencing_uncertain;
     }
 
     /// Whether a placement round may start something that the last one could not. Ignores what
@@ -122,7 +122,7 @@
         self.placement_pending = true;
     }
 
-    /// Whether a step can still finish by its objective, by the client's runtime estimate.
+    /// Whether a step can still finish by its objective, by the client's estimate of the run time.
     fn can_meet_objective(&self, rank: &Rank, wall_ms: u64) -> bool {
         let Some(entry) = self.jobs.get(&rank.job) else { return true };
         let step = entry.step(rank.step).map_or(0, |step| step.estimate_ms);
@@ -246,7 +246,7 @@
         let entry = self.jobs.get(&task.job);
         let needed = entry.is_some_and(|entry| entry.accepted.needs_advice);
         let step = (task.job, task.repetition, task.step);
-        !needed || self.advices.ticket(step, &worker.peer.incarnation, now).is_some()
+        !needed || self.advice.ticket(step, &worker.peer.incarnation, now).is_some()
     }
 
     /// Requests advice about the schedulable workers of the service, those with the most free CPU
@@ -258,7 +258,7 @@
         let eligible = self.workers.eligible_with(service, 0).rev();
         let eligible = eligible.filter(|worker| worker.is_schedulable(now));
         let ids = eligible.map(|worker| worker.peer.incarnation.clone());
-        self.advices.queue_question((task.job, task.repetition, task.step), ids);
+        self.advice.queue_question((task.job, task.repetition, task.step), ids);
     }
 
     /// Orders the start of a task and allocates its resources.
@@ -296,7 +296,7 @@
         );
         let peer = worker.peer.clone();
         drop(worker);
-        let ticket = self.advices.ticket((name.job, name.repetition, name.step), incarnation, now);
+        let ticket = self.advice.ticket((name.job, name.repetition, name.step), incarnation, now);
         let ticket = ticket.cloned().unwrap_or_default();
         self.outbox.push(Order::Start { peer, task: name, run, checkpoint, ticket });
     }
--- a/lib/src/batch/place/fair.rs
+++ b/lib/src/batch/place/fair.rs
@@ -28,8 +28,8 @@
 pub struct Allowances(HashMap<AccountId, (f64, Duration)>);
 
 impl Allowances {
-    /// Counts a job sent by an account at a time since 1970. Returns whether it exceeds the
-    /// account's rate, its weight in jobs per second.
+    /// Counts a job sent by an account at a time since the Unix epoch. Returns whether it exceeds
+    /// the account's rate, its weight in jobs per second.
     ///
     /// ```
     /// use std::time::Duration;
@@ -54,8 +54,9 @@
 }
 
 impl Cell {
-    /// Counts a job sent by an account at a time since 1970, and returns whether it exceeds the
-    /// account's rate. Jobs without an account, and of accounts not in the configuration, never do.
+    /// Counts a job sent by an account at a time since the Unix epoch, and returns whether it
+    /// exceeds the account's rate. Jobs without an account, and of accounts not in the
+    /// configuration, never do.
     pub(in crate::batch) fn exceeds_rate(
         &mut self,
         account: Option<&AccountId>,
--- a/lib/src/batch/pool.rs
+++ b/lib/src/batch/pool.rs
@@ -293,7 +293,7 @@
     fn is_idle_long_enough(&self, machine: &Machine) -> bool {
         self.idle_since
             .get(&machine.id)
-            .is_some_and(|started_at| clock::since(*started_at) >= IDLE_BEFORE_OFF)
+            .is_some_and(|since| clock::since(*since) >= IDLE_BEFORE_OFF)
     }
 
     /// Whether a box is up, not moving, not deferred and not in `taken`.
--- a/lib/src/batch/pool/load.rs
+++ b/lib/src/batch/pool/load.rs
@@ -12,7 +12,7 @@
 use crate::batch::usage::Usage;
 use crate::batch::worker::Worker;
 
-/// Time in which the boxes asked for should clear the waiting work, in milliseconds: about as long
+/// Time in which the requested boxes should clear the waiting work, in milliseconds: about as long
 /// as the move of a box takes.
 const BACKLOG_CLEAR_MS: u64 = 1_500;
 /// Planned utilization of a pool's CPU, in percent; the rest is lost to fragmentation.
@@ -20,11 +20,12 @@
 /// Part of the running work, in percent, that is expected to be followed by as much again: jobs
 /// have 1.6 to 2 steps on average, so about half of the running work is followed by another step.
 const FOLLOW_UP_PERCENT: u64 = 50;
-/// How many times better supplied a service that is short itself must be than another to give it a
-/// box: a move idles the box for about 3 s, which must be worth it.
+/// Smallest ratio of the supply of a service without the box to the supply of the recipient at
+/// which a service that is short itself still gives a box: the box is idle for about 3 s during the
+/// move.
 const GIVE_RATIO: f64 = 1.5;
 /// Minimum number of boxes that a service keeps beyond what it wants, since jobs arrive in bursts:
-/// a wide job asks for about a hundred cores at once, and a box that was switched off is back only
+/// a wide job requests about a hundred cores at once, and a box that was switched off is back only
 /// after 2 s.
 const MIN_SPARE_MACHINES: u64 = 3;
 /// The same as a percentage of all boxes of the site: on a large site the load rises by more boxes
--- a/lib/src/batch/record.rs
+++ b/lib/src/batch/record.rs
@@ -126,7 +126,7 @@
     Ended(Incarnation),
     /// The machines of a wave whose maintenance has started.
     Wave(u64, Vec<MachineId>),
-    /// When a scheduler first saw a wave, since 1970.
+    /// When a scheduler first saw a wave, since the Unix epoch.
     WaveSeen(u64, Duration),
     /// Boxes that were ordered recently or are about to be.
     Ordered(HashSet<MachineId>),
@@ -195,9 +195,9 @@
     number.parse().map_err(|_| RecordError::Key(record.key.clone()))
 }
 
-/// How many partitions of [`JOB_TOPIC`] are in use if the topic has `of_topic`.
-pub fn job_partitions(of_topic: u16) -> u16 {
-    of_topic.clamp(1, MAX_JOB_PARTITIONS)
+/// How many partitions of [`JOB_TOPIC`] are in use if the topic has `available`.
+pub fn job_partitions(available: u16) -> u16 {
+    available.clamp(1, MAX_JOB_PARTITIONS)
 }
 
 /// A partition of [`JOB_TOPIC`].
@@ -281,7 +281,7 @@
     Record::set(wave_key(number), encode(&started))
 }
 
-/// The record of when a wave was first seen, since 1970.
+/// The record of when a wave was first seen, since the Unix epoch.
 pub fn wave_seen(number: u64, at: Duration) -> Record {
     Record::set(wave_seen_key(number), encode(&at))
 }
--- a/lib/src/batch/record/accepted.rs
+++ b/lib/src/batch/record/accepted.rs
@@ -28,7 +28,7 @@
     pub objective_ms: u64,
     /// Part of the objective that grows with the critical path, in percent of it.
     pub stretch_percent: u32,
-    /// When it was accepted, since 1970, by the clock of the node that accepted it.
+    /// When it was accepted, since the Unix epoch, by the clock of the node that accepted it.
     pub at: Duration,
     /// The account whose key it was submitted with; `None` at a queue that needs no key, and in
     /// older records.
@@ -50,9 +50,10 @@
 }
 
 impl From<LegacyAccepted> for Accepted {
-    fn from(kept: LegacyAccepted) -> Accepted {
-        let LegacyAccepted { job, queue, service, priority, max_attempts, needs_advice, .. } = kept;
-        let LegacyAccepted { objective_ms, stretch_percent, at, .. } = kept;
+    fn from(legacy: LegacyAccepted) -> Accepted {
+        let LegacyAccepted { job, queue, service, priority, max_attempts, needs_advice, .. } =
+            legacy;
+        let LegacyAccepted { objective_ms, stretch_percent, at, .. } = legacy;
         Accepted {
             job,
             queue,
--- a/lib/src/batch/record/job.rs
+++ b/lib/src/batch/record/job.rs
@@ -53,8 +53,8 @@
         let id = id_of_owned(&record.key)?;
         let accepted = decode_accepted(&record.key, value)?;
         // Checked whoever wrote it: a job too large to keep would crash each scheduler in turn.
-        let unusable = |error| RecordError::Job(record.key.clone(), error);
-        accepted.job.validate().map_err(unusable)?;
+        let to_record_error = |error| RecordError::Job(record.key.clone(), error);
+        accepted.job.validate().map_err(to_record_error)?;
         Ok(JobRecord::Accepted(id, Box::new(accepted)))
     }
 }
--- a/lib/src/batch/relay.rs
+++ b/lib/src/batch/relay.rs
@@ -108,7 +108,7 @@
 impl Route {
     fn record_result<T>(&self, result: &Result<T, CallError>) {
         let is_unavailable = result.as_ref().err().is_some_and(CallError::is_unavailable);
-        let mut state = self.state.lock().expect("no holder of the state panics");
+        let mut state = self.state.lock().expect("no thread panics while it holds the state lock");
         if state.is_unavailable != is_unavailable {
             log::info!(shut = is_unavailable; "availability of the direct route to the store changed");
         }
@@ -117,23 +117,27 @@
 
     /// Whether the last direct call that ended was rejected for this node or had no answer.
     pub fn is_unavailable(&self) -> bool {
-        self.state.lock().expect("no holder of the state panics").is_unavailable
+        self.state.lock().expect("no thread panics while it holds the state lock").is_unavailable
     }
 
     /// Whether this node should not relay calls: it cannot reach the store either, or the store is so
     /// slow that more appends would only delay all of them.
     fn is_unfit_to_relay(&self) -> bool {
-        let state = self.state.lock().expect("no holder of the state panics");
+        let state = self.state.lock().expect("no thread panics while it holds the state lock");
         state.is_unavailable
             || state.in_flight.iter().any(|sent| clock::since(*sent) >= HEDGE_DELAY)
     }
 
     fn start_append(&self, sent: Instant) {
-        self.state.lock().expect("no holder of the state panics").in_flight.push(sent);
+        self.state
+            .lock()
+            .expect("no thread panics while it holds the state lock")
+            .in_flight
+            .push(sent);
     }
 
     fn finish_append(&self, sent: Instant) {
-        let mut state = self.state.lock().expect("no holder of the state panics");
+        let mut state = self.state.lock().expect("no thread panics while it holds the state lock");
         if let Some(index) = state.in_flight.iter().position(|other| *other == sent) {
             state.in_flight.swap_remove(index);
         }
@@ -163,7 +167,7 @@
         partition: impl Into<Partition>,
         records: &[Record],
         guard: &Guard,
-        wait: Duration,
+        call_timeout: Duration,
     ) -> Result<Appended, CallError> {
         let partition = partition.into();
         let call = || Call::Append {
@@ -179,7 +183,7 @@
                 _ => is_known = false,
             }
         }
-        let direct = self.append_directly(&partition, records, guard, wait);
+        let direct = self.append_directly(&partition, records, guard, call_timeout);
         let mut direct = std::pin::pin!(direct);
         let mut failed = match timeout(HEDGE_DELAY, &mut direct).await {
             Ok(Ok(appended)) => return Ok(appended),
@@ -221,12 +225,12 @@
         partition: &Partition,
         records: &[Record],
         guard: &Guard,
-        wait: Duration,
+        call_timeout: Duration,
     ) -> Result<Appended, CallError> {
         let sent = clock::now();
         self.store_route.start_append(sent);
         let _in_flight = InFlightAppend(&self.store_route, sent);
-        let result = self.store.append(partition, records, guard, wait).await;
+        let result = self.store.append(partition, records, guard, call_timeout).await;
         self.store_route.record_result(&result);
         result
     }
@@ -244,12 +248,12 @@
         partition: impl Into<Partition>,
         from: Offset,
         long_poll: Duration,
-        wait: Duration,
+        call_timeout: Duration,
     ) -> Result<Page, CallError> {
         let partition = partition.into();
         let direct_poll =
             if self.store_route.is_unavailable() { Duration::ZERO } else { long_poll };
-        let direct = self.store.read(&partition, from, direct_poll, wait);
+        let direct = self.store.read(&partition, from, direct_poll, call_timeout);
         let call = Call::Read { partition: partition.clone(), from, long_poll };
         self.read_or_relay(direct, call, |answer| match answer {
             Answer::Page(page) => Some(page),
@@ -267,10 +271,10 @@
     pub async fn read_newest(
         &self,
         partition: impl Into<Partition>,
-        wait: Duration,
+        call_timeout: Duration,
     ) -> Result<LatestRecords, CallError> {
         let partition = partition.into();
-        let direct = self.store.read_latest(&partition, wait);
+        let direct = self.store.read_latest(&partition, call_timeout);
         let call = Call::Newest { partition: partition.clone() };
         self.read_or_relay(direct, call, |answer| match answer {
             Answer::Newest(newest) => Some(newest),
--- a/lib/src/batch/scheduler.rs
+++ b/lib/src/batch/scheduler.rs
@@ -55,12 +55,12 @@
 
 /// Producer name of the scheduler in the progress topic.
 const PRODUCER_NAME: &str = "scheduler";
-/// Time limit of reading a whole topic.
+/// Timeout of reading a whole topic.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Time limit of any other call to the store; a slow store takes about 250 ms.
+/// Timeout of any other call to the store; a slow store takes about 250 ms.
 const STORE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a failed call.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Time after its start by which every node knows of a scheduler: nodes read the record of the leader lease at
 /// least every half second.
 const DISCOVERY_TIME: Duration = Duration::from_millis(1_000);
@@ -238,7 +238,7 @@
             scheduler.cell().is_fenced = true;
             return None;
         }
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
@@ -248,7 +248,7 @@
             Ok(end) => return end,
             Err(error) => log::warn!("reading the worker topic failed: {error}"),
         }
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
--- a/lib/src/batch/scheduler/answer.rs
+++ b/lib/src/batch/scheduler/answer.rs
@@ -42,7 +42,7 @@
     fn admit(&self, id: JobId, accepted: Accepted) -> Reply {
         let mut cell = self.cell();
         let owner = accepted.account.clone();
-        if cell.admit_announced(id, accepted) {
+        if cell.admit_reported(id, accepted) {
             drop(cell);
             self.wake();
         } else if !cell.is_job_of(id, owner.as_ref()) {
--- a/lib/src/batch/scheduler/boxes.rs
+++ b/lib/src/batch/scheduler/boxes.rs
@@ -34,14 +34,14 @@
             .pending_announcement(boxes)
             .unwrap_or_else(|| self.start_announcement(all));
         let mut flushed = self.flush_count.subscribe();
-        let known = async {
+        let stored = async {
             while self.cell().stored_announcement() < number {
                 if flushed.changed().await.is_err() {
                     return;
                 }
             }
         };
-        if timeout(ANNOUNCE_TIMEOUT, known).await.is_err() {
+        if timeout(ANNOUNCE_TIMEOUT, stored).await.is_err() {
             self.node.counters.count("batch.machines.not-announced");
             log::debug!(
                 "the announcement of orders to {} boxes did not reach the store in time",
@@ -56,7 +56,7 @@
     /// Starts writing an announcement of orders to these boxes; returns its number.
     fn start_announcement(&self, boxes: HashSet<MachineId>) -> u64 {
         let number = self.cell().announce_box_orders(&boxes);
-        self.order_window.begin_announcement(number, boxes);
+        self.order_window.start_announcement(number, boxes);
         self.wake_flush();
         number
     }
@@ -67,7 +67,7 @@
     }
 
     /// While the store is slow, announces every box in advance, so that orders do not wait for it.
-    pub fn announce_ahead(&self, every: impl FnOnce() -> HashSet<MachineId>) {
+    pub fn announce_in_advance(&self, every: impl FnOnce() -> HashSet<MachineId>) {
         let is_slow = self.store_latency().is_slow(clock::now());
         let boxes = if is_slow { every() } else { HashSet::new() };
         let Some(all) = self.order_window.set_pre_announced(boxes, clock::now()) else { return };
--- a/lib/src/batch/scheduler/events.rs
+++ b/lib/src/batch/scheduler/events.rs
@@ -87,7 +87,7 @@
     let now = clock::now();
     let instant = |offset: OffsetMicros| time_base + Duration::from_micros(offset);
     match event {
-        Event::Polled { sent, at, lease_until, seen: response, .. } => {
+        Event::Polled { sent, at, lease_until, response, .. } => {
             cell.record_lease(incarnation, lease_until);
             cell.on_poll(incarnation, instant(sent), instant(at), response);
         }
@@ -99,10 +99,10 @@
         Event::OtherId { .. } => {
             cell.mark_ended(incarnation, "another worker answers at its address")
         }
-        Event::OtherIncarnation { born: birth_ms, .. } => {
+        Event::OtherIncarnation { birth_ms, .. } => {
             cell.on_other_incarnation(incarnation, birth_ms, now)
         }
-        Event::ClockMismatch { .. } => cell.on_off_clock(incarnation, now),
+        Event::ClockMismatch { .. } => cell.on_clock_mismatch(incarnation, now),
         Event::Started { task, run, at, .. } => {
             cell.on_started(incarnation, task, run, instant(at))
         }
--- a/lib/src/batch/scheduler/flush.rs
+++ b/lib/src/batch/scheduler/flush.rs
@@ -12,7 +12,7 @@
 use crate::batch::dispatch::message::Command;
 use crate::batch::record;
 use crate::batch::scheduler::PRODUCER_NAME;
-use crate::batch::scheduler::RETRY_PAUSE;
+use crate::batch::scheduler::RETRY_DELAY;
 use crate::batch::scheduler::STORE_TIMEOUT;
 use crate::batch::scheduler::Scheduler;
 use crate::transport::clock;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Tells workers, by their dispatchers, which ends they may forget.
+/// Acknowledges ends whose effect is in the store to the workers, through their dispatchers.
 fn acknowledge_ends(scheduler: &Scheduler, changes: &Flush) {
     let cell = scheduler.cell();
     for (incarnation, end) in &changes.processed {
@@ -71,7 +71,7 @@
             Err(error) => {
                 scheduler.node.counters.count("batch.flush.failed");
                 log::debug!("writing changes to the store failed: {error}");
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/lib/src/batch/scheduler/follow.rs
+++ b/lib/src/batch/scheduler/follow.rs
@@ -103,7 +103,7 @@
                 let mut cell = scheduler.cell();
                 let owner = job.account.clone();
                 changed |= cell.admit(id, *job, None);
-                cell.record_kept(JobKey { id, account: owner }, partition);
+                cell.record_stored_in(JobKey { id, account: owner }, partition);
             }
             Ok(JobRecord::Cancel(id, caller)) => {
                 changed = true;
--- a/lib/src/batch/scheduler/forget.rs
+++ b/lib/src/batch/scheduler/forget.rs
@@ -27,12 +27,12 @@
     let keep = scheduler.node.settings.status_retention + KEEP_EXTRA;
     loop {
         sleep(FORGET_INTERVAL).await;
-        drop_other_accounts(&scheduler).await;
+        delete_id_conflicts(&scheduler).await;
         let finished = scheduler.cell().finished_jobs(keep, clock::now());
         if finished.is_empty() {
             continue;
         }
-        let still_stored = drop_records(&scheduler, &finished).await;
+        let still_stored = delete_records(&scheduler, &finished).await;
         let mut cell = scheduler.cell();
         for job in finished.iter().filter(|job| !still_stored.contains(&job.key.id)) {
             cell.forget_job(job.key.id);
@@ -42,9 +42,9 @@
     }
 }
 
-/// Deletes the records of jobs whose ids belong to jobs of other accounts: their senders were told that the jobs
-/// are not accepted.
-async fn drop_other_accounts(scheduler: &Scheduler) {
+/// Deletes the records of jobs whose ids belong to jobs of other accounts: their senders got the answer that the
+/// jobs are not accepted.
+async fn delete_id_conflicts(scheduler: &Scheduler) {
     let conflicts = scheduler.cell().take_id_conflicts();
     for (key, number) in conflicts {
         let (partition, record) = (record::job_partition(number), record::forget_job(&key));
@@ -59,7 +59,7 @@
 
 /// Deletes the records of jobs in each partition that has one; returns the jobs of which one could not be deleted.
 /// They are tried again.
-async fn drop_records(scheduler: &Scheduler, finished: &[FinishedJob]) -> HashSet<JobId> {
+async fn delete_records(scheduler: &Scheduler, finished: &[FinishedJob]) -> HashSet<JobId> {
     let mut by_partition: BTreeMap<u16, (Vec<JobId>, Vec<Record>)> = BTreeMap::new();
     let mut add = |partition: u16, id: JobId, record: Record| {
         let (ids, records) = by_partition.entry(partition).or_default();
@@ -67,20 +67,20 @@
         records.push(record);
     };
     for job in finished {
-        for partition in &job.kept_in {
+        for partition in &job.stored_in {
             add(*partition, job.key.id, record::forget_job(&job.key));
         }
         if job.cancelled {
             record::forget_cancel(&job.key).for_each(|record| add(0, job.key.id, record));
         }
     }
-    let drops = by_partition.into_iter().map(|(partition, (ids, records))| async move {
+    let deletions = by_partition.into_iter().map(|(partition, (ids, records))| async move {
         let partition = record::job_partition(partition);
-        let dropped = scheduler.node.append(partition, &records, &Guard::None, STORE_TIMEOUT).await;
-        dropped.map_err(|error| (ids, error))
+        let deleted = scheduler.node.append(partition, &records, &Guard::None, STORE_TIMEOUT).await;
+        deleted.map_err(|error| (ids, error))
     });
     let mut still_stored = HashSet::new();
-    for (ids, error) in join_all(drops).await.into_iter().filter_map(Result::err) {
+    for (ids, error) in join_all(deletions).await.into_iter().filter_map(Result::err) {
         log::warn!(jobs = ids.len(); "deleting the records of finished jobs failed, will retry: {error}");
         still_stored.extend(ids);
     }
--- a/lib/src/batch/scheduler/load.rs
+++ b/lib/src/batch/scheduler/load.rs
@@ -121,7 +121,7 @@
         let progress = progress.remove(&id).unwrap_or_default();
         let owner = job.account.clone();
         cell.admit(id, *job, Some(&progress));
-        cell.record_kept(JobKey { id, account: owner }, partition);
+        cell.record_stored_in(JobKey { id, account: owner }, partition);
     }
     for (id, caller) in cancelled {
         cell.cancel_for(id, &caller);
@@ -163,7 +163,7 @@
         Ok(entry) => entry,
         Err(error) => {
             scheduler.node.counters.count(&format!("batch.worker.entry.{}", error.reason()));
-            if scheduler.cell().record_unusable(&record.key, error.reason()) {
+            if scheduler.cell().record_invalid_entry(&record.key, error.reason()) {
                 log::warn!(worker = record.key.as_str(); "invalid worker entry: {error}");
             }
             return false;
--- a/lib/src/batch/scheduler/rebalance.rs
+++ b/lib/src/batch/scheduler/rebalance.rs
@@ -37,8 +37,8 @@
 const READY_TIMEOUT: Duration = Duration::from_millis(150);
 /// Time between checks whether they have sent it.
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Pause after a message that was not answered.
-const RETRY_PAUSE: Duration = Duration::from_millis(30);
+/// Delay after a message that was not answered.
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 /// How long to wait for dispatchers to confirm that they have stopped.
 const STOP_TIMEOUT: Duration = Duration::from_millis(300);
 
@@ -99,9 +99,9 @@
 }
 
 fn add_worker_command(cell: &Cell, worker: &Worker) -> Command {
-    let (number, peer, durable) = (worker.number, worker.peer.clone(), worker.durable_end);
+    let (number, peer, durable_end) = (worker.number, worker.peer.clone(), worker.durable_end);
     let token = compose_token(cell.token, worker.fence);
-    Command::AddWorker { number, peer, durable, token, grants: worker.renews_lease }
+    Command::AddWorker { number, peer, durable_end, token, renews_lease: worker.renews_lease }
 }
 
 /// Reclaims a shard, and reassigns its workers to other shards.
@@ -192,7 +192,7 @@
         Order::Stop { task, run, .. } => Command::Stop { number, task, run },
         Order::Pace { task, run, percent, .. } => Command::Pace { number, task, run, percent },
         Order::Grant { .. } => Command::Grant { number },
-        Order::Watch { closely, .. } => Command::Watch { number, closely },
+        Order::SetPollRate { fast, .. } => Command::SetPollRate { number, fast },
     }
 }
 
@@ -237,7 +237,7 @@
             Err(error) => {
                 scheduler.node.counters.count("batch.share.unanswered");
                 log::debug!("sending commands to the dispatcher at {addr} failed: {error}");
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/lib/src/batch/scheduler/shard.rs
+++ b/lib/src/batch/scheduler/shard.rs
@@ -100,8 +100,8 @@
         self.state.lock().expect("no thread panics while it holds the shards lock")
     }
 
-    /// Starts a shard on another node with so much CPU (in thousandths of a core). Returns its number, and what wakes
-    /// the task that sends its commands.
+    /// Starts a shard on another node; `weight` is the CPU of that node, in thousandths of a core. Returns the number
+    /// of the shard, and what wakes the task that sends its commands.
     pub fn start(&self, addr: SocketAddr, weight: u32, now: Instant) -> (ShardId, Arc<Notify>) {
         let mut state = self.state();
         state.last_id += 1;
@@ -244,11 +244,11 @@
         lost.collect()
     }
 
-    /// Takes into account that this node itself was delayed by so much: that no report was received meanwhile says
-    /// nothing about the dispatchers.
-    pub fn discount_own_delay(&self, late: Duration) {
+    /// Extends the time that each dispatcher has for its next report by a delay of this node itself: reports could not
+    /// be received meanwhile.
+    pub fn discount_own_delay(&self, delay: Duration) {
         for remote in self.state().remotes.values_mut() {
-            remote.received_at += late;
+            remote.received_at += delay;
         }
     }
 
--- a/lib/src/batch/scheduler/shard/remote.rs
+++ b/lib/src/batch/scheduler/shard/remote.rs
@@ -17,7 +17,7 @@
 
 /// How long a dispatcher may send no report before its shard is reclaimed: more than three heartbeats. Meanwhile its
 /// workers may not be polled, and no ends of runs are received from them.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long the first report of a dispatcher may take; it is sent at once.
 const START_TIMEOUT: Duration = Duration::from_millis(500);
 /// How late the timers of a dispatcher may be before its shard is reclaimed: the clients of that node would soon wait
@@ -164,8 +164,8 @@
 
     /// Why the shard is to be reclaimed; `None` if it is not.
     pub(super) fn loss_reason(&self, now: Instant) -> Option<Lost> {
-        let silence_limit = if self.is_ready() { SILENCE_TIMEOUT } else { START_TIMEOUT };
-        if now.saturating_duration_since(self.received_at) > silence_limit {
+        let report_limit = if self.is_ready() { REPORT_TIMEOUT } else { START_TIMEOUT };
+        if now.saturating_duration_since(self.received_at) > report_limit {
             return Some(Lost::Silent);
         }
         (self.late_reports >= LATE_REPORT_LIMIT).then_some(Lost::Late)
--- a/lib/src/batch/store_latency.rs
+++ b/lib/src/batch/store_latency.rs
@@ -4,7 +4,7 @@
 //! a store that applies a change in 10 ms that costs nothing. A slow store, or one that loses
 //! answers, takes 0.4 to 1.9 s, and each round of orders would wait as long: that costs 0.11 of a
 //! day's value with a store 70 and 45 times slower for 5 s each, and 0.06 with 40% of its answers
-//! lost. While the store is slow, every box is therefore announced ahead, once.
+//! lost. While the store is slow, every box is therefore announced in advance, once.
 
 use std::time::Duration;
 use std::time::Instant;
--- a/lib/src/batch/usage.rs
+++ b/lib/src/batch/usage.rs
@@ -12,7 +12,7 @@
 /// Sum of resources that tasks request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor, in thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub cpu: u64,
     /// Memory, in megabytes.
     pub memory_mb: u64,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The difference of both; parts below zero become zero.
+    /// The difference of both; components below zero become zero.
     pub fn minus(self, other: Usage) -> Usage {
         Usage {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The minimum of both, part by part.
+    /// The minimum of both, component by component.
     pub fn component_min(self, other: Usage) -> Usage {
         Usage {
             cpu: self.cpu.min(other.cpu),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whether this is within a quota, of which a part of 0 means no limit.
+    /// Whether this is within a quota, of which a component of 0 means no limit.
     ///
     /// ```
     /// use spokelift_lib::batch::usage::Usage;
--- a/lib/src/batch/view.rs
+++ b/lib/src/batch/view.rs
@@ -229,7 +229,7 @@
             closed: worker.unschedulable(now).map(|why| why.to_string()),
         })
         .collect();
-    let unknown = cell.unusable.iter().filter(|(id, _)| cell.workers.current(id).is_none());
+    let unknown = cell.invalid_entries.iter().filter(|(id, _)| cell.workers.current(id).is_none());
     shown.extend(unknown.map(|(id, why)| Worker {
         id: id.clone(),
         machine: String::new(),
--- a/lib/src/batch/worker.rs
+++ b/lib/src/batch/worker.rs
@@ -50,7 +50,7 @@
 /// |---|---|
 /// | unpolled | this scheduler has no answer from it yet (`!has_token`) |
 /// | unresponsive | the last poll was not answered (`failed_polls > 0`) |
-/// | unreachable | no scheduler has an answer, for [`Worker::unreachable_for`]; kept in the store |
+/// | unreachable | no scheduler had an answer for [`Worker::unreachable_for`]; kept in the store |
 /// | expired | all its leases have run out ([`Worker::expires_at`]) |
 /// | crash candidate | unresponsive and expired; it may have crashed, which is not yet certain |
 /// | recovering | it answers again, but the store still records it as unresponsive or unreachable |
@@ -97,8 +97,8 @@
     pub first_failed_at: Option<Instant>,
     /// It gets no new task until then.
     pub backoff_until: Instant,
-    /// Its entry in the store was replaced by one that does not decode as a worker's.
-    pub unusable: bool,
+    /// Its entry in the store was replaced by an invalid one.
+    pub has_invalid_entry: bool,
     /// The store's worker topic has a current entry for it.
     pub listed: bool,
     /// Until then it gets tasks although it is not listed: entries that expired while the store was
@@ -109,18 +109,18 @@
     /// Consecutive failed runs of different tasks.
     pub failures: u32,
     /// The job of a suspect task that was started there, and until when tasks of other jobs are
-    /// not.
+    /// not started there.
     pub quarantine: Option<(JobId, Instant)>,
     /// When this scheduler discovered it.
     pub discovered_at: Instant,
     /// It was discovered when another node may already have claimed the leader lease.
     pub fencing_uncertain: bool,
-    /// Its dispatcher was reported_at to poll more often.
+    /// Its dispatcher was ordered to poll it at the higher rate.
     pub fast_polling: bool,
     /// It was handed over to another dispatcher, which has no answer from it yet.
     pub handed_over: bool,
     /// Its lease is not assumed to have expired before this time: a dispatcher that was replaced
-    /// may have extended it until then. `None` if there is no such dispatcher.
+    /// may have renewed it until then. `None` if there is no such dispatcher.
     pub not_expired_before: Option<Instant>,
     /// For how long earlier schedulers had no answer from it and renewed no lease of it.
     pub unreachable_before: Duration,
@@ -133,10 +133,10 @@
     pub recorded_unresponsive: bool,
     /// It answers again, but the store does not record that yet.
     pub recovering: bool,
-    /// An earlier incarnation had its id. Orders to that one may have been executed here before
-    /// this incarnation's first answer to this scheduler: starts, and leases as long as a worker
-    /// grants.
-    pub is_later_incarnation: bool,
+    /// Another incarnation has had its id, and this one may be the later of them. Orders to the
+    /// earlier one may then have been executed here before this incarnation's first answer to this
+    /// scheduler: starts, and leases as long as a worker grants.
+    pub may_be_later_incarnation: bool,
 }
 
 impl Worker {
@@ -160,7 +160,7 @@
             failed_polls: 0,
             first_failed_at: None,
             backoff_until: now,
-            unusable: false,
+            has_invalid_entry: false,
             listed: true,
             unlisted_grace_until: None,
             cordoned: false,
@@ -176,7 +176,7 @@
             renews_lease: false,
             recorded_unresponsive: false,
             recovering: false,
-            is_later_incarnation: false,
+            may_be_later_incarnation: false,
         }
     }
 
@@ -215,7 +215,7 @@
         self.clock.map(|(_, reported_at)| reported_at)
     }
 
-    /// Hands the worker over to another dispatcher. The previous one may have extended the lease
+    /// Hands the worker over to another dispatcher. The previous one may have renewed the lease
     /// until `last`.
     pub fn hand_over(&mut self, last: Instant) {
         self.handed_over = true;
@@ -223,7 +223,7 @@
         self.record_possible_renewal(last, WORKER_LEASE);
     }
 
-    /// Records that orders may have extended the lease by `lease` until `last`, beyond what the
+    /// Records that orders may have renewed the lease for `lease` until `last`, beyond what the
     /// worker's clock has shown.
     pub fn record_possible_renewal(&mut self, last: Instant, lease: Duration) {
         let expiry = last + lease.div_f64(MIN_CLOCK_RATE) + LEASE_SLACK;
@@ -304,7 +304,7 @@
     /// Applies a changed entry.
     pub fn update(&mut self, entry: Entry) {
         self.entry = entry;
-        self.unusable = false;
+        self.has_invalid_entry = false;
         if !self.listed {
             // It was cordoned because it was about to leave, and stays after all.
             self.cordoned = false;
--- a/lib/src/batch/worker/allocation.rs
+++ b/lib/src/batch/worker/allocation.rs
@@ -40,7 +40,7 @@
     pub progressed_at: Instant,
     /// The checkpoint from which another run could resume; empty if there is none.
     pub checkpoint: String,
-    /// For a service task, the tail latency in milliseconds; for others, the processor in use.
+    /// For a service task, the tail latency in milliseconds; for others, the CPU in use.
     pub figure: u64,
     /// When `pace` was last set; `None` if it never was.
     pub paced_at: Option<Instant>,
@@ -57,7 +57,7 @@
 pub enum Class {
     /// It serves users, and its tail latency should stay under this limit, in milliseconds.
     Service(u64),
-    /// It is best-effort: it uses only processor time that others leave unused.
+    /// It is best-effort: it uses only CPU time that others leave unused.
     BestEffort,
     /// It finishes by itself.
     Batch,
@@ -98,7 +98,7 @@
 pub struct LongRunningTotals {
     /// Number of tasks.
     pub tasks: u32,
-    /// Processor they take, in thousandths of a core.
+    /// CPU they take, in thousandths of a core.
     pub cpu: u32,
 }
 
--- a/lib/src/batch/worker/schedulable.rs
+++ b/lib/src/batch/worker/schedulable.rs
@@ -21,7 +21,7 @@
     /// It was handed over to another dispatcher, which has no answer from it yet.
     #[error("handed over")]
     HandedOver,
-    /// Its entry in the store does not decode as a worker's.
+    /// Its entry in the store was replaced by an invalid one.
     #[error("unusable entry")]
     InvalidEntry,
     /// It is about to leave.
@@ -70,7 +70,7 @@
             worker if !worker.has_token => Some(Unschedulable::Unpolled),
             worker if worker.fencing_uncertain => Some(Unschedulable::FencingUncertain),
             worker if worker.is_delisted(now) => Some(Unschedulable::NotListed),
-            worker if worker.unusable => Some(Unschedulable::InvalidEntry),
+            worker if worker.has_invalid_entry => Some(Unschedulable::InvalidEntry),
             worker if worker.handed_over => Some(Unschedulable::HandedOver),
             worker if worker.entry.draining => Some(Unschedulable::Draining),
             worker if worker.cordoned => Some(Unschedulable::Cordoned),
@@ -90,7 +90,7 @@
     pub fn is_eligible(&self) -> bool {
         let ineligible = !self.has_token
             || self.fencing_uncertain
-            || self.unusable
+            || self.has_invalid_entry
             || self.handed_over
             || self.entry.draining
             || self.cordoned
--- a/lib/src/batch/worker/table.rs
+++ b/lib/src/batch/worker/table.rs
@@ -234,7 +234,7 @@
     }
 
     /// The workers of a service that are eligible (see [`Worker::is_eligible`]) and have at least
-    /// so much free processor, in thousandths of a core: those with the least first.
+    /// so much free CPU, in thousandths of a core: those with the least first.
     pub fn eligible_with(
         &self,
         service: &str,
@@ -319,22 +319,22 @@
         for (incarnation, number) in &self.numbers {
             incarnations.entry(incarnation.id.clone()).or_default().insert(*number);
         }
-        let kept = self
+        let indexed = self
             .incarnations
             .iter()
             .map(|(id, incarnations)| (id.clone(), incarnations.numbers.clone()));
-        compare("incarnations", incarnations == kept.collect());
+        compare("incarnations", incarnations == indexed.collect());
         let none = Service::default();
         let names = self.index.services.keys().chain(counted.services.keys());
         for name in names {
-            let kept = self.index.services.get(name).unwrap_or(&none);
+            let indexed = self.index.services.get(name).unwrap_or(&none);
             let counted = counted.services.get(name).unwrap_or(&none);
-            compare("members", kept.members == counted.members);
-            compare("eligible workers", kept.eligible == counted.eligible);
+            compare("members", indexed.members == counted.members);
+            compare("eligible workers", indexed.eligible == counted.eligible);
             let on_racks = |service: &Service| -> BTreeSet<(u32, WorkerNumber)> {
                 service.racks.values().flatten().copied().collect()
             };
-            compare("workers on racks", on_racks(kept) == on_racks(counted));
+            compare("workers on racks", on_racks(indexed) == on_racks(counted));
         }
         faults
     }
--- a/lib/src/batch/worker/table/index.rs
+++ b/lib/src/batch/worker/table/index.rs
@@ -11,7 +11,7 @@
 use crate::batch::worker::Worker;
 use crate::batch::worker::table::WorkerNumber;
 
-/// Workers by their free processor, in thousandths of a core.
+/// Workers by their free CPU, in thousandths of a core.
 pub(super) type ByFree = BTreeSet<(u32, WorkerNumber)>;
 
 #[derive(Default)]
--- a/lib/tests/test_accounts.rs
+++ b/lib/tests/test_accounts.rs
@@ -148,8 +148,8 @@
     assert!(cell.is_job_of(1, Some(&"a".into())));
     assert!(!cell.is_job_of(1, Some(&"b".into())) && !cell.is_job_of(1, None));
     let key = |account: &str| JobKey { id: 1, account: Some(account.into()) };
-    cell.record_kept(key("a"), 3);
-    cell.record_kept(key("b"), 3);
+    cell.record_stored_in(key("a"), 3);
+    cell.record_stored_in(key("b"), 3);
     assert_eq!(cell.take_id_conflicts(), [(key("b"), 3)].into());
     // Jobs of different accounts have different keys in the store, so neither the record of the
     // rejected job nor the one that forgets it replaces the other account's record.
--- a/lib/tests/test_batch.rs
+++ b/lib/tests/test_batch.rs
@@ -315,10 +315,10 @@
     fixture.cell.unpolled = fixture.cell.workers.keys().cloned().collect();
     fixture.poll("w0", &[], &[]);
     // Nodes that do not know of this scheduler yet report to the earlier one.
-    fixture.cell.admit_announced(1, accepted(vec![step(1)]));
+    fixture.cell.admit_reported(1, accepted(vec![step(1)]));
     assert_eq!(fixture.place(), []);
     fixture.cell.known_everywhere_from = Some(clock::now());
-    fixture.cell.admit_announced(2, accepted(vec![step(1)]));
+    fixture.cell.admit_reported(2, accepted(vec![step(1)]));
     // A job that is only read from the store may have been reported to the earlier scheduler.
     fixture.cell.admit(3, accepted(vec![step(1)]), None);
     assert_eq!(fixture.start(), [("w0".to_owned(), task(2, 0, 0), TOKEN)]);
@@ -766,9 +766,9 @@
     // next scheduler.
     assert!(fixture.cell.finished_jobs(keep, later).is_empty());
     let key = JobKey { id: 1, account: None };
-    fixture.cell.record_kept(key.clone(), 3);
-    fixture.cell.record_kept(key.clone(), 7);
-    let finished = [FinishedJob { key, cancelled: true, kept_in: [3, 7].into() }];
+    fixture.cell.record_stored_in(key.clone(), 3);
+    fixture.cell.record_stored_in(key.clone(), 7);
+    let finished = [FinishedJob { key, cancelled: true, stored_in: [3, 7].into() }];
     assert_eq!(fixture.cell.finished_jobs(keep, later), finished);
     // Its end is removed last, once no partition holds it.
     let ends = |fixture: &mut Fixture| {
@@ -788,8 +788,8 @@
     fixture.poll_all();
     fixture.cell.admit(1, accepted(vec![step(1)]), None);
     let (_, _, run) = fixture.start().remove(0);
-    assert!(fixture.cell.record_unusable("w0", "misshapen"));
-    assert!(!fixture.cell.record_unusable("w0", "misshapen"), "reported once");
+    assert!(fixture.cell.record_invalid_entry("w0", "misshapen"));
+    assert!(!fixture.cell.record_invalid_entry("w0", "misshapen"), "reported once");
     fixture.cell.admit(2, accepted(vec![step(1)]), None);
     fixture.poll("w0", &[(task(1, 0, 0), run)], &[]);
     assert_eq!(fixture.start(), []);
@@ -805,12 +805,12 @@
 fn the_number_of_remembered_invalid_entries_is_limited() {
     let mut fixture = Fixture::new(1);
     for number in 0..1_000 {
-        fixture.cell.record_unusable(&format!("x{number}"), "unreadable");
+        fixture.cell.record_invalid_entry(&format!("x{number}"), "unreadable");
     }
-    assert_eq!(fixture.cell.unusable.len(), 256);
+    assert_eq!(fixture.cell.invalid_entries.len(), 256);
     assert_eq!(fixture.cell.workers.len(), 1);
     fixture.cell.mark_unlisted("x0", None);
-    assert_eq!(fixture.cell.unusable.len(), 255);
+    assert_eq!(fixture.cell.invalid_entries.len(), 255);
 }
 
 /// A full worker's capacity halves: it gets no tasks, none is stopped, and it gets tasks again once
--- a/lib/tests/test_bounds.rs
+++ b/lib/tests/test_bounds.rs
@@ -150,7 +150,7 @@
                     self.running
                         .retain(|known| *known != (peer.incarnation.to_string(), task, run));
                 }
-                Order::Grant { .. } | Order::Pace { .. } | Order::Watch { .. } => {}
+                Order::Grant { .. } | Order::Pace { .. } | Order::SetPollRate { .. } => {}
             }
         }
         started
--- a/lib/tests/test_crash.rs
+++ b/lib/tests/test_crash.rs
@@ -506,7 +506,7 @@
 fn the_record_of_crashes_is_dropped_with_its_job() {
     let mut fixture = Fixture::new(2);
     fixture.cell.admit(1, accepted(vec![step(1)]), None);
-    fixture.cell.record_kept(JobKey { id: 1, account: None }, 0);
+    fixture.cell.record_stored_in(JobKey { id: 1, account: None }, 0);
     let (worker, _) = fixture.start().remove(0);
     fixture.crash(&worker);
     assert!(!fixture.crashes_in_store().is_empty());
--- a/lib/tests/test_encoding.rs
+++ b/lib/tests/test_encoding.rs
@@ -227,14 +227,14 @@
         Command::AddWorker {
             number: 4,
             peer: Peer { incarnation: life(), addr: addr() },
-            durable: 6,
+            durable_end: 6,
             token: 1 << 20,
-            grants: true,
+            renews_lease: true,
         },
         Command::RemoveWorker { number: 4 },
         Command::AcknowledgeEnds { number: 4, end: 6 },
         Command::Grant { number: 4 },
-        Command::Watch { number: 4, closely: true },
+        Command::SetPollRate { number: 4, fast: true },
         Command::Start { spec: "x".to_owned(), starts: vec![start] },
         Command::Stop { number: 4, task: task(), run: 9 },
         Command::Pace { number: 4, task: task(), run: 9, percent: 30 },
@@ -244,11 +244,11 @@
 
 fn events() -> Vec<Event> {
     let mut events = vec![
-        Event::Polled { number: 4, sent: 10, at: 20, lease_until: 5_500, seen: seen() },
+        Event::Polled { number: 4, sent: 10, at: 20, lease_until: 5_500, response: seen() },
         Event::PollFailed { number: 4, lease_until: 5_500 },
         Event::Fenced { number: 4, token: 1 << 20 },
         Event::OtherId { number: 4 },
-        Event::OtherIncarnation { number: 4, born: 77 },
+        Event::OtherIncarnation { number: 4, birth_ms: 77 },
         Event::ClockMismatch { number: 4 },
         Event::Started { number: 4, task: task(), run: 9, at: 30 },
         Event::NotStarted { number: 4, task: task(), run: 9, why: None },
--- a/lib/tests/test_lives.rs
+++ b/lib/tests/test_lives.rs
@@ -529,7 +529,7 @@
                     } else if self.start(&late) {
                         let shown = self.processes[worker].clock(self.now);
                         if is_clock_discontinuous(clock, shown, self.now - reported_at) {
-                            self.cell.on_off_clock(&incarnation, self.now);
+                            self.cell.on_clock_mismatch(&incarnation, self.now);
                         }
                         self.cell.on_started(&incarnation, task, run, self.now);
                     } else {
@@ -553,7 +553,7 @@
                     }
                     self.cell.on_stopped(&incarnation, task, run, self.now);
                 }
-                Order::Grant { .. } | Order::Pace { .. } | Order::Watch { .. } => {}
+                Order::Grant { .. } | Order::Pace { .. } | Order::SetPollRate { .. } => {}
             }
         }
     }
--- a/lib/tests/test_table.rs
+++ b/lib/tests/test_table.rs
@@ -189,7 +189,7 @@
                     self.running
                         .retain(|running| *running != (peer.incarnation.to_string(), task, run));
                 }
-                Order::Grant { .. } | Order::Pace { .. } | Order::Watch { .. } => {}
+                Order::Grant { .. } | Order::Pace { .. } | Order::SetPollRate { .. } => {}
             }
         }
     }
@@ -214,7 +214,7 @@
                 self.cell.discover(peer, Entry { capacity, ..entry(number, false) }, self.now);
             }
             Event::Overwrite(number) => {
-                self.cell.record_unusable(&format!("w{number}"), "misshapen");
+                self.cell.record_invalid_entry(&format!("w{number}"), "misshapen");
             }
             Event::Poll(number) => self.poll(number),
             Event::FailPoll(number) => self.cell.on_failed_poll(&format!("w{number}").into()),
--- a/lib/tests/test_turn.rs
+++ b/lib/tests/test_turn.rs
@@ -62,7 +62,7 @@
     // The successor must learn of boxes that are still on hold as well.
     let all = window.required_announcement(&["b".to_owned()], now).unwrap();
     assert_eq!(all, boxes(&["a", "b"]));
-    window.begin_announcement(1, all);
+    window.start_announcement(1, all);
     window.confirm_announcement(1);
     assert!(window.record_order("b", now));
     assert_eq!(window.required_announcement(&["b".to_owned()], now), None);
@@ -93,7 +93,7 @@
     let window = OrderWindow::new(GAP, only([]), now);
     let announcement = window.set_pre_announced(every.clone(), now).unwrap();
     assert_eq!(announcement, every);
-    window.begin_announcement(1, announcement);
+    window.start_announcement(1, announcement);
     assert_eq!(window.set_pre_announced(every.clone(), now), None, "it is in flight");
     assert_eq!(window.pending_announcement(&[a.clone(), b.clone()]), Some(1));
     window.confirm_announcement(1);
@@ -107,7 +107,7 @@
     // again.
     let announcement = window.set_pre_announced(HashSet::new(), now).unwrap();
     assert_eq!(announcement, HashSet::from([a.clone()]));
-    window.begin_announcement(2, announcement);
+    window.start_announcement(2, announcement);
     assert!(
         window.required_announcement(from_ref(&b), now).is_some(),
         "the store may no longer list it"
@@ -125,9 +125,9 @@
     let now = clock::now();
     let (a, b) = ("a".to_owned(), "b".to_owned());
     let window = OrderWindow::new(GAP, only([]), now);
-    window.begin_announcement(1, HashSet::from([a.clone()]));
+    window.start_announcement(1, HashSet::from([a.clone()]));
     window.confirm_announcement(1);
-    window.begin_announcement(2, HashSet::from([b.clone()]));
+    window.start_announcement(2, HashSet::from([b.clone()]));
     assert!(window.required_announcement(from_ref(&a), now).is_some());
     // An answer to an earlier announcement does not confirm a later one.
     window.confirm_announcement(1);
@@ -165,13 +165,13 @@
                 if in_advance && latency.is_slow(at(now)) { every.clone() } else { HashSet::new() };
             if let Some(all) = window.set_pre_announced(boxes, at(now)) {
                 last_started += 1;
-                window.begin_announcement(last_started, all);
+                window.start_announcement(last_started, all);
             }
             let ids: Vec<String> = wanted.iter().map(|(_, id)| id.clone()).collect();
             let missing = window.required_announcement(&ids, at(now));
             if let Some(all) = missing.filter(|_| window.pending_announcement(&ids).is_none()) {
                 last_started += 1;
-                window.begin_announcement(last_started, all);
+                window.start_announcement(last_started, all);
             }
         }
         if write_under_way.is_none() && last_started > last_confirmed {
--- a/lib/tests/test_wave_plan.rs
+++ b/lib/tests/test_wave_plan.rs
@@ -207,7 +207,7 @@
                         self.check_stop(task)?;
                     }
                 }
-                Order::Grant { .. } | Order::Pace { .. } | Order::Watch { .. } => {}
+                Order::Grant { .. } | Order::Pace { .. } | Order::SetPollRate { .. } => {}
             }
         }
         Ok(())
--- a/testutils/src/batch/simulation.rs
+++ b/testutils/src/batch/simulation.rs
@@ -274,7 +274,7 @@
                     }
                     self.cell.on_stopped(&peer.incarnation, task, run, self.now());
                 }
-                Order::Grant { .. } | Order::Pace { .. } | Order::Watch { .. } => {}
+                Order::Grant { .. } | Order::Pace { .. } | Order::SetPollRate { .. } => {}
             }
         }
         doomed
--- a/testutils/tests/test_dispatch.rs
+++ b/testutils/tests/test_dispatch.rs
@@ -98,14 +98,14 @@
     dispatcher.execute(Command::AddWorker {
         number: 1,
         peer,
-        durable: 0,
+        durable_end: 0,
         token: TOKEN,
-        grants: true,
+        renews_lease: true,
     });
-    assert_matches!(next(&mut events).await, Event::Polled { seen: response, .. } => {
+    assert_matches!(next(&mut events).await, Event::Polled { response, .. } => {
         assert_eq!((response.clock, response.ended.len()), (100, 0));
     });
-    assert_matches!(next(&mut events).await, Event::Polled { seen: response, .. } => {
+    assert_matches!(next(&mut events).await, Event::Polled { response, .. } => {
         assert_eq!((response.clock, response.ended.len()), (101, 1));
     });
 }
@@ -118,12 +118,12 @@
     dispatcher.execute(Command::AddWorker {
         number: 1,
         peer,
-        durable: 0,
+        durable_end: 0,
         token: TOKEN,
-        grants: true,
+        renews_lease: true,
     });
-    assert_matches!(next(&mut events).await, Event::Polled { seen: response, .. } if response.ended.len() == 1);
-    assert_matches!(next(&mut events).await, Event::Polled { seen: response, .. } if response.ended.is_empty());
+    assert_matches!(next(&mut events).await, Event::Polled { response, .. } if response.ended.len() == 1);
+    assert_matches!(next(&mut events).await, Event::Polled { response, .. } if response.ended.is_empty());
 }
 
 fn start(number: u64) -> Command {
@@ -140,9 +140,9 @@
     dispatcher.execute(Command::AddWorker {
         number: 1,
         peer,
-        durable: 0,
+        durable_end: 0,
         token: TOKEN,
-        grants: true,
+        renews_lease: true,
     });
     dispatcher.execute(start(1));
     assert_matches!(next(&mut events).await, Event::NotStarted { number: 1, why: None, .. });
@@ -164,9 +164,9 @@
     dispatcher.execute(Command::AddWorker {
         number: 1,
         peer,
-        durable: 0,
+        durable_end: 0,
         token: TOKEN,
-        grants: true,
+        renews_lease: true,
     });
     dispatcher.execute(start(1));
     assert_matches!(next(&mut events).await, Event::NotStarted { .. });
@@ -215,7 +215,7 @@
 
 fn add_worker(number: u64) -> Command {
     let peer = Peer { incarnation: format!("w{number}").into(), addr: addr() };
-    Command::AddWorker { number, peer, durable: 0, token: TOKEN, grants: true }
+    Command::AddWorker { number, peer, durable_end: 0, token: TOKEN, renews_lease: true }
 }
 
 #[tokio::test]
