--- a/lib/src/batch/advice.rs
+++ b/lib/src/batch/advice.rs
@@ -21,8 +21,8 @@
 /// A step of a job in one repetition.
 pub type StepName = (JobId, u32, u16);
 
-/// Most workers named in one question. The service takes time for each, and the objective of a job
-/// allows for one question about 30 workers.
+/// Maximum number of workers named in one question. The service takes time for each, and the
+/// objective of a job allows for one question about 30 workers.
 const MAX_WORKERS_PER_QUESTION: usize = 30;
 /// Timeout of a question: the service handles one question at a time.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
--- a/lib/src/batch/cell/crashes.rs
+++ b/lib/src/batch/cell/crashes.rs
@@ -29,8 +29,8 @@
 /// How long the tasks of an unresponsive worker with expired leases are remembered. A worker that
 /// crashes is back after some seconds.
 const CRASH_CANDIDATE_RETENTION: Duration = Duration::from_millis(30_000);
-/// Most runs named in the log line of a crash. The task that crashed a worker is among the last
-/// ones it accepted; at full load a worker accepts about one each 50 ms.
+/// Maximum number of runs named in the log line of a crash. The task that crashed a worker is among
+/// the last ones it accepted; at full load a worker accepts about one each 50 ms.
 const MAX_LOGGED_RUNS: usize = 4;
 
 /// An unresponsive worker with expired leases, and the tasks that were on it.
--- a/lib/src/batch/cell/incarnations.rs
+++ b/lib/src/batch/cell/incarnations.rs
@@ -26,7 +26,7 @@
     ///
     /// A new incarnation does not replace one that is known under the same id: its entry may be the
     /// older one, read late. Only answers show which of them is running: see
-    /// [`Cell::end_other_incarnations`].
+    /// `Cell::end_other_incarnations`.
     pub fn discover(&mut self, peer: Peer, entry: worker::Entry, now: Instant) -> bool {
         let peer = Peer { incarnation: self.resolve_incarnation(peer.incarnation), ..peer };
         self.invalid_entries.remove(&peer.incarnation.id);
--- a/lib/src/batch/cell/jobs.rs
+++ b/lib/src/batch/cell/jobs.rs
@@ -112,7 +112,7 @@
         });
     }
 
-    /// Stops runs on workers whose jobs are still unknown after [`UNKNOWN_JOB_TIMEOUT`], and drops
+    /// Stops runs on workers whose jobs are still unknown after `UNKNOWN_JOB_TIMEOUT`, and drops
     /// ends of such jobs after the same time.
     pub fn stop_unknown_jobs(&mut self, now: Instant) {
         if !self.unknown_jobs.is_empty() {
--- a/lib/src/batch/cell/workers.rs
+++ b/lib/src/batch/cell/workers.rs
@@ -37,7 +37,7 @@
 /// for about 2 s, so with the longer time a wave would make no progress during it.
 const SETTLE_TIME_PREDECESSOR_DONE: Duration = Duration::from_millis(500);
 
-/// Most invalid entries that are remembered and logged; more would add no information.
+/// Maximum number of invalid entries that are remembered and logged; more would add no information.
 const MAX_INVALID_ENTRIES: usize = 256;
 
 impl Cell {
--- a/lib/src/batch/commit.rs
+++ b/lib/src/batch/commit.rs
@@ -51,7 +51,7 @@
 const PROBE_INTERVAL: Duration = Duration::from_millis(120);
 /// Delay before a failed append is retried; the store rejects an append within 5 ms.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
-/// Largest number of jobs queued for a node's writer; about 10 s of all jobs of a large site.
+/// Maximum number of jobs queued for a node's writer; about 10 s of all jobs of a large site.
 const QUEUE_CAPACITY: usize = 1_024;
 /// Size from which no more jobs join an append; half of what the platform takes in a call.
 const MAX_BATCH_BYTES: usize = 1_000_000;
--- a/lib/src/batch/directory.rs
+++ b/lib/src/batch/directory.rs
@@ -42,7 +42,7 @@
 /// How long a node that did not answer is avoided where other nodes can be asked. A node that was
 /// killed has restarted after about this time.
 const UNRESPONSIVE_COOLDOWN: Duration = Duration::from_secs(3);
-/// Largest number of peers that are asked to relay one call.
+/// Maximum number of peers that are asked to relay one call.
 const MAX_RELAY_PEERS: usize = 2;
 
 /// A node with at least this fraction of the largest CPU of all nodes is a preferred leader.
--- a/lib/src/batch/dispatch/remote.rs
+++ b/lib/src/batch/dispatch/remote.rs
@@ -29,7 +29,7 @@
 const REPORT_DELAY: Duration = Duration::from_millis(10);
 /// Longest time between two reports; each one that is acknowledged extends the dispatch lease.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// Most events in a report.
+/// Maximum number of events in a report.
 const MAX_EVENTS: usize = 4_096;
 /// Delay after a report that was not acknowledged.
 const RETRY_DELAY: Duration = Duration::from_millis(30);
--- a/lib/src/batch/document.rs
+++ b/lib/src/batch/document.rs
@@ -58,7 +58,7 @@
     pub label: Option<String>,
     /// The rack that holds the data.
     pub data_rack: Option<String>,
-    /// Most tasks of this step on one worker; 0 for no limit.
+    /// Maximum number of tasks of this step on one worker; 0 for no limit.
     pub max_per_worker: u32,
     /// Copies of a task may run side by side.
     pub copies: bool,
@@ -96,7 +96,7 @@
     Job(#[from] JobError),
 }
 
-/// Most cores that a task may request: far above the largest box.
+/// Maximum number of cores that a task may request: far above the largest box.
 const MAX_CORES: u32 = 4_096;
 
 impl Job {
--- a/lib/src/batch/gossip.rs
+++ b/lib/src/batch/gossip.rs
@@ -24,10 +24,10 @@
 /// Number of peers to which a node announces a new version. With half of all nodes cut off from the
 /// store, one in twenty of these gets no announcement in the first round.
 const FANOUT: usize = 3;
-/// Largest number of concurrent fetches, so that a sender that does not answer does not delay the
+/// Maximum number of concurrent fetches, so that a sender that does not answer does not delay the
 /// fetch from another one.
 const MAX_FETCHES: usize = 2;
-/// Largest number of senders to fetch from; beyond it, those with the oldest versions are dropped.
+/// Maximum number of senders to fetch from; beyond it, those with the oldest versions are dropped.
 const MAX_PENDING_SENDERS: usize = 4;
 /// How long a client's request that would be refused waits for a newer configuration.
 const ASK_TIMEOUT: Duration = Duration::from_millis(150);
@@ -127,8 +127,8 @@
     }
 
     /// Asks a few nodes for a configuration newer than the one in force at this node, which would
-    /// refuse a client's request. `None` if none arrives within [`ASK_TIMEOUT`], or if the last round
-    /// of asking was less than [`MIN_ASK_INTERVAL`] ago.
+    /// refuse a client's request. `None` if none arrives within `ASK_TIMEOUT`, or if the last round
+    /// of asking was less than `MIN_ASK_INTERVAL` ago.
     pub async fn fetch_newer_config(&self) -> Option<Arc<Config>> {
         let before = self.config_version();
         if !self.try_start_asking(clock::now()) {
--- a/lib/src/batch/node.rs
+++ b/lib/src/batch/node.rs
@@ -246,7 +246,7 @@
 
     /// Reports a job of an account like [`Node::report_submitted`], and returns whether its id is in
     /// use by another account's job. `false` also if the leader does not answer within
-    /// [`ID_CHECK_TIMEOUT`].
+    /// `ID_CHECK_TIMEOUT`.
     pub async fn is_id_in_use(self: &Arc<Self>, id: JobId, accepted: Accepted) -> bool {
         let (node, request) = (self.clone(), peer::Request::Submitted(id, Box::new(accepted)));
         // The task outlives the timeout, so that the report is sent again if a connection ends.
--- a/lib/src/batch/peer.rs
+++ b/lib/src/batch/peer.rs
@@ -39,7 +39,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Timeout of a request to a peer. The slowest requests wait for one write to the store.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
-/// Largest number of requests queued for one connection; further ones fail at once.
+/// Maximum number of requests queued for one connection; further ones fail at once.
 const QUEUE_CAPACITY: usize = 1_024;
 
 /// A request to another node.
--- a/lib/src/batch/record.rs
+++ b/lib/src/batch/record.rs
@@ -32,10 +32,11 @@
 
 /// Topic with the accepted jobs, by id. Every node writes to it, to one of a few partitions.
 pub const JOB_TOPIC: &str = "keyed.jobs";
-/// Most partitions of [`JOB_TOPIC`] in use. The store executes the appends of a partition one after
-/// the other, each taking 2 ms, and 60 times that while it is slow: with one partition, 32 nodes
-/// wait up to 4 s for each other, and the store rejects what has to wait for more than 2 s. With 12
-/// the wait is about 0.4 s. Each partition costs the leader one to two reads a second.
+/// Maximum number of partitions of [`JOB_TOPIC`] in use. The store executes the appends of a
+/// partition one after the other, each taking 2 ms, and 60 times that while it is slow: with one
+/// partition, 32 nodes wait up to 4 s for each other, and the store rejects what has to wait for
+/// more than 2 s. With 12 the wait is about 0.4 s. Each partition costs the leader one to two reads
+/// a second.
 const MAX_JOB_PARTITIONS: u16 = 12;
 /// Topic with the progress of jobs, by id. Only the leader writes to it.
 pub const PROGRESS_TOPIC: &str = "keyed.progress";
--- a/lib/src/batch/record/job.rs
+++ b/lib/src/batch/record/job.rs
@@ -12,7 +12,7 @@
 use crate::batch::record::encode;
 use crate::batch::record::id_of_owned;
 
-/// A record of [`JOB_TOPIC`].
+/// A record of [`JOB_TOPIC`](crate::batch::record::JOB_TOPIC).
 #[derive(Debug, PartialEq)]
 pub enum JobRecord {
     /// A job was accepted.
@@ -40,7 +40,7 @@
 }
 
 impl JobRecord {
-    /// Decodes a record of [`JOB_TOPIC`].
+    /// Decodes a record of [`JOB_TOPIC`](crate::batch::record::JOB_TOPIC).
     ///
     /// # Errors
     ///
--- a/lib/src/batch/scheduler/events.rs
+++ b/lib/src/batch/scheduler/events.rs
@@ -19,7 +19,7 @@
 use crate::batch::worker::table::WorkerNumber;
 use crate::transport::clock;
 
-/// Most events that are applied at once.
+/// Maximum number of events that are applied at once.
 const MAX_EVENTS: usize = 1_024;
 
 /// Applies the events of this node's own dispatcher until the scheduler stops. Their offsets count from `time_base`.
--- a/lib/src/batch/scheduler/rebalance.rs
+++ b/lib/src/batch/scheduler/rebalance.rs
@@ -31,7 +31,7 @@
 const SINGLE_SHARD_PERCENT: usize = 150;
 /// Time between two checks of the shards.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Most workers that move from one shard to others in one check.
+/// Maximum number of workers that move from one shard to others in one check.
 const MAX_HANDOVER: usize = 100;
 /// How long a starting scheduler waits for the first report of its dispatchers; they send it at once.
 const READY_TIMEOUT: Duration = Duration::from_millis(150);
--- a/lib/src/batch/stuck.rs
+++ b/lib/src/batch/stuck.rs
@@ -16,8 +16,8 @@
 /// How long a long-running task may wait despite free resources before it is reported: a start
 /// takes some milliseconds, and moving a box about 3 s.
 const MIN_WAIT: Duration = Duration::from_millis(3_000);
-/// Most steps that are examined and reported in a round: under full load more of them add no
-/// information.
+/// Maximum number of steps that are examined and reported in a round: under full load more of them
+/// add no information.
 const MAX_STEPS: usize = 16;
 
 /// A task that waits despite free resources.
--- a/lib/src/batch/worker/table.rs
+++ b/lib/src/batch/worker/table.rs
@@ -5,7 +5,7 @@
 //! that are not in the store) is therefore looked up in an index, never searched for among all
 //! workers.
 //!
-//! Invariant: the indexes hold for each worker what [`IndexedState::of`] returns. A worker is
+//! Invariant: the indexes hold for each worker what `IndexedState::of` returns. A worker is
 //! changed only through a [`Handle`], which updates the indexes when it is dropped.
 
 mod index;
