--- a/lib/src/batch/maintenance/evacuation.rs
+++ b/lib/src/batch/maintenance/evacuation.rs
@@ -45,8 +45,8 @@
 }
 
 /// Like [`evacuate`], for a worker whose box need not be freed at once: a long-running task is
-/// stopped only if resources for it are reserved elsewhere or, with `hurry`, if all on the worker may be
-/// unavailable together, so that they return with the box.
+/// stopped only if resources for it are reserved elsewhere or, with `hurry`, if all on the worker
+/// may be unavailable together, so that they return with the box.
 pub fn evacuate_gracefully(
     cell: &mut Cell,
     incarnation: &Incarnation,
