--- a/lib/src/batch/cell/crashes.rs
+++ b/lib/src/batch/cell/crashes.rs
@@ -29,8 +29,8 @@
 /// How long the tasks of an unresponsive worker with expired leases are remembered. A worker that
 /// crashes is back after some seconds.
 const CRASH_CANDIDATE_RETENTION: Duration = Duration::from_millis(30_000);
-/// Most runs named in the log line of a crash. The task that crashed a worker is among the last
-/// ones it accepted; at full load a worker accepts about one each 50 ms.
+/// Maximum number of runs named in the log line of a crash. The task that crashed a worker is among
+/// the last ones it accepted; at full load a worker accepts about one each 50 ms.
 const MAX_LOGGED_RUNS: usize = 4;
 
 /// An unresponsive worker with expired leases, and the tasks that were on it.
@@ -265,8 +265,7 @@
     }
 
     /// Forgets the crashes of a long-running task. Called when a run of it has ended without a
-    /// crash after `HARMLESS_RUNTIME`: earlier crashes then say nothing about the
-    /// task.
+    /// crash after `HARMLESS_RUN_TIME`: earlier crashes are then no evidence against the task.
     pub(super) fn clear_crashes(&mut self, name: TaskName) {
         let Some(task) = self.jobs.get_mut(&name.job).and_then(|entry| entry.task_mut(name)) else {
             return;
@@ -301,7 +300,8 @@
     let mut runs: Vec<(u64, TaskName)> = worker.allocations.iter().map(run_time).collect();
     runs.sort();
     let youngest = runs.iter().take(MAX_LOGGED_RUNS);
-    let youngest: Vec<String> = youngest.map(|(lived, task)| format!("{task}:{lived}")).collect();
+    let youngest: Vec<String> =
+        youngest.map(|(run_time, task)| format!("{task}:{run_time}")).collect();
     log::info!(
         worker:% = worker.peer.incarnation,
         runs = runs.len(),
--- a/lib/src/batch/commit.rs
+++ b/lib/src/batch/commit.rs
@@ -51,7 +51,7 @@
 const PROBE_INTERVAL: Duration = Duration::from_millis(120);
 /// Delay before a failed append is retried; the store rejects an append within 5 ms.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
-/// Largest number of jobs queued for a node's writer; about 10 s of all jobs of a large site.
+/// Maximum number of jobs queued for a node's writer; about 10 s of all jobs of a large site.
 const QUEUE_CAPACITY: usize = 1_024;
 /// Size from which no more jobs join an append; half of what the platform takes in a call.
 const MAX_BATCH_BYTES: usize = 1_000_000;
@@ -181,7 +181,7 @@
 
 impl Queue {
     fn health(&self) -> MutexGuard<'_, StoreHealth> {
-        self.health.lock().expect("no holder of the store health panics")
+        self.health.lock().expect("no thread panics while it holds the store health lock")
     }
 }
 
@@ -254,7 +254,12 @@
 
 /// Writes the queued jobs in batches until the process ends.
 pub async fn run(node: Arc<Node>) {
-    let receiver = node.commit_queue.receiver.lock().expect("no holder of the queue panics").take();
+    let receiver = node
+        .commit_queue
+        .receiver
+        .lock()
+        .expect("no thread panics while it holds the queue lock")
+        .take();
     let mut queue = receiver.expect("the queue has one writer");
     let mut batch = Vec::new();
     loop {
--- a/lib/src/batch/gossip.rs
+++ b/lib/src/batch/gossip.rs
@@ -24,10 +24,10 @@
 /// Number of peers to which a node announces a new version. With half of all nodes cut off from the
 /// store, one in twenty of these gets no announcement in the first round.
 const FANOUT: usize = 3;
-/// Largest number of concurrent fetches, so that a sender that does not answer does not delay the
+/// Maximum number of concurrent fetches, so that a sender that does not answer does not delay the
 /// fetch from another one.
 const MAX_FETCHES: usize = 2;
-/// Largest number of senders to fetch from; beyond it, those with the oldest versions are dropped.
+/// Maximum number of senders to fetch from; beyond it, those with the oldest versions are dropped.
 const MAX_PENDING_SENDERS: usize = 4;
 /// How long a client's request that would be refused waits for a newer configuration.
 const ASK_TIMEOUT: Duration = Duration::from_millis(150);
@@ -68,7 +68,7 @@
 
     /// Removes and returns the sender with the newest version above `in_force`. `None` if there is
     /// none; the calling task must end then and is not counted any more.
-    fn next_source(&mut self, in_force: Version) -> Option<SocketAddr> {
+    fn next_sender(&mut self, in_force: Version) -> Option<SocketAddr> {
         self.pending.retain(|(version, _)| *version > in_force);
         let next = self.pending.pop();
         self.active_fetches -= usize::from(next.is_none());
@@ -100,12 +100,12 @@
     }
 
     fn senders(&self) -> MutexGuard<'_, Senders> {
-        self.gossip.senders.lock().expect("no holder of the senders panics")
+        self.gossip.senders.lock().expect("no thread panics while it holds the senders lock")
     }
 
     fn next_sender(&self) -> Option<SocketAddr> {
         let in_force = self.config_version();
-        self.senders().next_source(in_force)
+        self.senders().next_sender(in_force)
     }
 
     /// Fetches the configuration of another node and puts it in force, if it is newer.
@@ -127,8 +127,8 @@
     }
 
     /// Asks a few nodes for a configuration newer than the one in force at this node, which would
-    /// refuse a client's request. `None` if none arrives within [`ASK_TIMEOUT`], or if the last round
-    /// of asking was less than [`MIN_ASK_INTERVAL`] ago.
+    /// refuse a client's request. `None` if none arrives within `ASK_TIMEOUT`, or if the last round
+    /// of asking was less than `MIN_ASK_INTERVAL` ago.
     pub async fn fetch_newer_config(&self) -> Option<Arc<Config>> {
         let before = self.config_version();
         if !self.try_start_asking(clock::now()) {
@@ -148,7 +148,8 @@
 
     /// Records the start of a round of asking peers; `false` if the last one is too recent.
     fn try_start_asking(&self, now: Instant) -> bool {
-        let mut asked_at = self.gossip.asked_at.lock().expect("no holder of the time panics");
+        let mut asked_at =
+            self.gossip.asked_at.lock().expect("no thread panics while it holds the time lock");
         if asked_at.is_some_and(|at| now.saturating_duration_since(at) < MIN_ASK_INTERVAL) {
             return false;
         }
--- a/lib/src/batch/peer.rs
+++ b/lib/src/batch/peer.rs
@@ -39,7 +39,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Timeout of a request to a peer. The slowest requests wait for one write to the store.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
-/// Largest number of requests queued for one connection; further ones fail at once.
+/// Maximum number of requests queued for one connection; further ones fail at once.
 const QUEUE_CAPACITY: usize = 1_024;
 
 /// A request to another node.
@@ -94,7 +94,7 @@
     /// The job's id is in use by another account's job.
     #[serde(rename = "Occupied")]
     IdInUse,
-    /// The receiver is not the leader or its scheduler is not ready yet, or it has not taken the
+    /// The receiver is not the leader or its scheduler is not ready yet, or it has not accepted the
     /// commands.
     NotReady,
 }
@@ -174,7 +174,8 @@
     }
 
     fn connection(&self, addr: SocketAddr) -> RequestSender {
-        let mut connections = self.connections.lock().expect("no holder of the connections panics");
+        let mut connections =
+            self.connections.lock().expect("no thread panics while it holds the connections lock");
         if let Some(sender) = connections.get(&addr).filter(|sender| !sender.is_closed()) {
             return sender.clone();
         }
--- a/lib/src/batch/record.rs
+++ b/lib/src/batch/record.rs
@@ -32,10 +32,11 @@
 
 /// Topic with the accepted jobs, by id. Every node writes to it, to one of a few partitions.
 pub const JOB_TOPIC: &str = "keyed.jobs";
-/// Most partitions of [`JOB_TOPIC`] in use. The store executes the appends of a partition one after
-/// the other, each taking 2 ms, and 60 times that while it is slow: with one partition, 32 nodes
-/// wait up to 4 s for each other, and the store rejects what has to wait for more than 2 s. With 12
-/// the wait is about 0.4 s. Each partition costs the leader one to two reads a second.
+/// Maximum number of partitions of [`JOB_TOPIC`] in use. The store executes the appends of a
+/// partition one after the other, each taking 2 ms, and 60 times that while it is slow: with one
+/// partition, 32 nodes wait up to 4 s for each other, and the store rejects what has to wait for
+/// more than 2 s. With 12 the wait is about 0.4 s. Each partition costs the leader one to two reads
+/// a second.
 const MAX_JOB_PARTITIONS: u16 = 12;
 /// Topic with the progress of jobs, by id. Only the leader writes to it.
 pub const PROGRESS_TOPIC: &str = "keyed.progress";
@@ -126,7 +127,7 @@
     Ended(Incarnation),
     /// The machines of a wave whose maintenance has started.
     Wave(u64, Vec<MachineId>),
-    /// When a scheduler first saw a wave, since 1970.
+    /// When a scheduler first saw a wave, since the Unix epoch.
     WaveSeen(u64, Duration),
     /// Boxes that were ordered recently or are about to be.
     Ordered(HashSet<MachineId>),
@@ -195,9 +196,9 @@
     number.parse().map_err(|_| RecordError::Key(record.key.clone()))
 }
 
-/// How many partitions of [`JOB_TOPIC`] are in use if the topic has `of_topic`.
-pub fn job_partitions(of_topic: u16) -> u16 {
-    of_topic.clamp(1, MAX_JOB_PARTITIONS)
+/// How many partitions of [`JOB_TOPIC`] are in use if the topic has `available`.
+pub fn job_partitions(available: u16) -> u16 {
+    available.clamp(1, MAX_JOB_PARTITIONS)
 }
 
 /// A partition of [`JOB_TOPIC`].
@@ -281,7 +282,7 @@
     Record::set(wave_key(number), encode(&started))
 }
 
-/// The record of when a wave was first seen, since 1970.
+/// The record of when a wave was first seen, since the Unix epoch.
 pub fn wave_seen(number: u64, at: Duration) -> Record {
     Record::set(wave_seen_key(number), encode(&at))
 }
--- a/lib/src/batch/record/job.rs
+++ b/lib/src/batch/record/job.rs
@@ -12,7 +12,7 @@
 use crate::batch::record::encode;
 use crate::batch::record::id_of_owned;
 
-/// A record of [`JOB_TOPIC`].
+/// A record of [`JOB_TOPIC`](crate::batch::record::JOB_TOPIC).
 #[derive(Debug, PartialEq)]
 pub enum JobRecord {
     /// A job was accepted.
@@ -40,7 +40,7 @@
 }
 
 impl JobRecord {
-    /// Decodes a record of [`JOB_TOPIC`].
+    /// Decodes a record of [`JOB_TOPIC`](crate::batch::record::JOB_TOPIC).
     ///
     /// # Errors
     ///
@@ -53,8 +53,8 @@
         let id = id_of_owned(&record.key)?;
         let accepted = decode_accepted(&record.key, value)?;
         // Checked whoever wrote it: a job too large to keep would crash each scheduler in turn.
-        let unusable = |error| RecordError::Job(record.key.clone(), error);
-        accepted.job.validate().map_err(unusable)?;
+        let to_record_error = |error| RecordError::Job(record.key.clone(), error);
+        accepted.job.validate().map_err(to_record_error)?;
         Ok(JobRecord::Accepted(id, Box::new(accepted)))
     }
 }
