--- a/cli/tests/test_platform.rs
+++ b/cli/tests/test_platform.rs
@@ -207,7 +207,7 @@
     for node in &site.nodes {
         node.store_endpoint.set_fault(Fault::Unresponsive);
     }
-    // The outcome of the first write is unknown, since it was under way when the store went silent.
+    // The outcome of the first write is unknown, since it was under way when the store stopped answering.
     assert_eq!(site.submit(0, &id(1), job(1, 10)).await, 504);
     for number in 2..8 {
         assert_eq!(site.submit(0, &id(number), job(1, 10)).await, 503);
@@ -617,8 +617,8 @@
 #[tokio::test]
 async fn after_a_planned_stop_the_next_scheduler_moves_machines_at_once() {
     // Longer than any wait in this test.
-    let turn_gap = Duration::from_secs(600);
-    let site = Site::start_with_handover_gap(PROGRAM, 2, 2, 4, turn_gap).await.unwrap();
+    let handover_gap = Duration::from_secs(600);
+    let site = Site::start_with_handover_gap(PROGRAM, 2, 2, 4, handover_gap).await.unwrap();
     // Long-running tasks, so that the next scheduler needs the machines moved by the first as well.
     site.submit_until_accepted(&id(0), long_running_job(40)).await;
     site.wait_until("the first moves machines", async |site| {
--- a/lib/src/protocol/wire.rs
+++ b/lib/src/protocol/wire.rs
@@ -126,8 +126,8 @@
     /// ```
     /// use spokelift_lib::protocol::wire::{Heartbeat, Frame, WireError, derive_key};
     /// let key = derive_key("shared");
-    /// let beat = Heartbeat::default();
-    /// let frame = Frame { from: 1, incarnation: 5, sequence: 1, receiver_incarnation: 0, echo: None, heartbeat: beat };
+    /// let heartbeat = Heartbeat::default();
+    /// let frame = Frame { from: 1, incarnation: 5, sequence: 1, receiver_incarnation: 0, echo: None, heartbeat };
     /// let bytes = frame.seal(&key);
     /// assert_eq!(Frame::open(&key, &bytes).unwrap(), frame);
     /// assert_eq!(Frame::open(&derive_key("other"), &bytes), Err(WireError::Seal));
--- a/lib/tests/test_encoding.rs
+++ b/lib/tests/test_encoding.rs
@@ -95,7 +95,7 @@
     TaskName { job: 0x5c0e, repetition: 1, step: 2, index: 3 }
 }
 
-fn life() -> Incarnation {
+fn incarnation() -> Incarnation {
     Incarnation::new("i-1", Some(77))
 }
 
@@ -181,7 +181,7 @@
         Evidence::NotRecent,
         Evidence::Correlated,
     ];
-    let crashes = evidence.map(|evidence| Crash { worker: life(), evidence }).to_vec();
+    let crashes = evidence.map(|evidence| Crash { worker: incarnation(), evidence }).to_vec();
     lines.record("crashes", &record::crashes(key.id, &vec![(place, crashes)]));
     lines.record("forget-crashes", &record::forget_crashes(key.id));
     let known = StoredWorker {
@@ -190,28 +190,28 @@
         machine: Some("m-1".to_owned()),
         unresponsive_with: Some(vec![(key.id, place)]),
     };
-    lines.record("worker", &record::worker(&life(), &known));
+    lines.record("worker", &record::worker(&incarnation(), &known));
     lines.record("worker-without-birth", &record::worker(&Incarnation::from("i-2"), &known));
-    lines.record("forget-worker", &record::forget_worker(&life()));
-    lines.record("unheard", &record::unreachable(&life(), Duration::from_millis(1_500)));
-    lines.record("forget-unheard", &record::forget_unreachable(&life()));
-    lines.record("gone", &record::ended(&life()));
-    lines.record("forget-gone", &record::forget_ended(&life()));
+    lines.record("forget-worker", &record::forget_worker(&incarnation()));
+    lines.record("unheard", &record::unreachable(&incarnation(), Duration::from_millis(1_500)));
+    lines.record("forget-unheard", &record::forget_unreachable(&incarnation()));
+    lines.record("gone", &record::ended(&incarnation()));
+    lines.record("forget-gone", &record::forget_ended(&incarnation()));
     lines.record("wave", &record::wave(3, &["m-1".to_owned(), "m-2".to_owned()]));
     lines.record("forget-wave", &record::forget_wave(3));
     lines.record("wave-seen", &record::wave_seen(3, Duration::new(5, 7)));
     lines.record("forget-wave-seen", &record::forget_wave_seen(3));
     lines.record("ordered", &record::ordered(&HashSet::from(["m-1".to_owned()])));
-    for resting in [HeldBoxes::All, HeldBoxes::Only(HashSet::from(["m-1".to_owned()]))] {
-        let lead = LeaderLease {
+    for held_boxes in [HeldBoxes::All, HeldBoxes::Only(HashSet::from(["m-1".to_owned()]))] {
+        let lease = LeaderLease {
             node: "n-1".to_owned(),
             incarnation: 5,
             addr: addr(),
             released: true,
             renewals: 2,
-            held_boxes: resting,
+            held_boxes,
         };
-        lines.postcard("lead", &lead);
+        lines.postcard("lead", &lease);
     }
 }
 
@@ -226,7 +226,7 @@
     vec![
         Command::AddWorker {
             number: 4,
-            peer: Peer { incarnation: life(), addr: addr() },
+            peer: Peer { incarnation: incarnation(), addr: addr() },
             durable: 6,
             token: 1 << 20,
             grants: true,
@@ -286,7 +286,7 @@
     let producer = Producer { name: "n-1".to_owned(), epoch: 2, sequence: 3 };
     let append =
         |guard| relay::Call::Append { partition: partition.clone(), records: kept.clone(), guard };
-    let errand = Commands { scheduler: addr(), session, sequence: 1, commands: commands() };
+    let commands = Commands { scheduler: addr(), session, sequence: 1, commands: commands() };
     let report = Report { session, sequence: 1, made_at: 40, late_ms: 2, events: events() };
     let requests = [
         Request::Submitted(0x5c0e, Box::new(accepted())),
@@ -302,7 +302,7 @@
             long_poll: Duration::from_millis(300),
         }),
         Request::Relay(relay::Call::Newest { partition }),
-        Request::Dispatch(Box::new(errand)),
+        Request::Dispatch(Box::new(commands)),
         Request::Report(Box::new(report)),
         Request::Newer { version: 3, from: addr() },
         Request::Config(3),
@@ -476,7 +476,7 @@
 }
 
 fn between_daemons(lines: &mut Lines) {
-    let beat = wire::Heartbeat {
+    let heartbeat = wire::Heartbeat {
         next: 10,
         log_age_ms: Some(20),
         mark: Some(wire::StateHash { position: 8, head: 9 }),
@@ -492,7 +492,7 @@
         sequence: 3,
         receiver_incarnation: 4,
         echo,
-        heartbeat: beat,
+        heartbeat,
     };
     let key = wire::derive_key("shared");
     lines.bytes("frame", &frame.seal(&key));
@@ -531,7 +531,7 @@
             closed: Some(Unschedulable::Cordoned.to_string()),
         },
     );
-    let crash = |evidence| Crash { worker: life(), evidence };
+    let crash = |evidence| Crash { worker: incarnation(), evidence };
     lines.json(
         "job",
         &view::Job {
--- a/lib/tests/test_quotas.rs
+++ b/lib/tests/test_quotas.rs
@@ -310,12 +310,12 @@
         machine: None,
         unresponsive_with: Some(tasks),
     };
-    fixture.cell.restore_worker("gone".into(), stored, fixture.now);
-    fixture.cell.unpolled.insert("gone".into());
+    fixture.cell.restore_worker("unresponsive".into(), stored, fixture.now);
+    fixture.cell.unpolled.insert("unresponsive".into());
     let started = fixture.place();
     assert_eq!(started.len(), 3, "one of four may be on the unresponsive worker");
     assert!(started.iter().all(|task| task.index != 0));
-    fixture.cell.expire_runs(&"gone".into());
+    fixture.cell.expire_runs(&"unresponsive".into());
     assert_eq!(fixture.place().len(), 1);
 }
 
--- a/testutils/src/proxy.rs
+++ b/testutils/src/proxy.rs
@@ -96,24 +96,23 @@
         let addr = listener.local_addr()?;
         let upstream = Arc::new(Mutex::new(upstream));
         let (fault, faults) = watch::channel(Fault::default());
-        let (silenced, silences) = watch::channel(BlackHoles::default());
-        let passed = Arc::new(AtomicU64::new(0));
-        let opened = Arc::new(AtomicU64::new(0));
-        let line =
-            ConnectionContext { faults, black_holes: silences, forwarded_bytes: passed.clone() };
-        let task =
-            tokio::spawn(accept_connections(listener, upstream.clone(), line, opened.clone()));
+        let (black_holes, black_hole_updates) = watch::channel(BlackHoles::default());
+        let forwarded_bytes = Arc::new(AtomicU64::new(0));
+        let connection_count = Arc::new(AtomicU64::new(0));
+        let context = ConnectionContext {
+            faults,
+            black_holes: black_hole_updates,
+            forwarded_bytes: forwarded_bytes.clone(),
+        };
+        let task = tokio::spawn(accept_connections(
+            listener,
+            upstream.clone(),
+            context,
+            connection_count.clone(),
+        ));
         let _task = Arc::new(AbortOnDrop(task.abort_handle()));
-        let (fault, silenced) = (Arc::new(fault), Arc::new(silenced));
-        Ok(Proxy {
-            addr,
-            upstream,
-            fault,
-            black_holes: silenced,
-            connection_count: opened,
-            forwarded_bytes: passed,
-            _task,
-        })
+        let (fault, black_holes) = (Arc::new(fault), Arc::new(black_holes));
+        Ok(Proxy { addr, upstream, fault, black_holes, connection_count, forwarded_bytes, _task })
     }
 
     /// Changes the server of later connections.
@@ -131,12 +130,12 @@
     /// dropped without an error, for the rest of the connection. Later connections work.
     pub fn black_hole_open(&self, direction: Direction) {
         let below = self.connection_count();
-        self.black_holes.send_modify(|silenced| {
+        self.black_holes.send_modify(|black_holes| {
             if direction != Direction::Answers {
-                silenced.requests_below = below;
+                black_holes.requests_below = below;
             }
             if direction != Direction::Requests {
-                silenced.answers_below = below;
+                black_holes.answers_below = below;
             }
         });
     }
--- a/testutils/tests/test_mutated.rs
+++ b/testutils/tests/test_mutated.rs
@@ -338,8 +338,8 @@
     #[test]
     fn datagrams_are_opened_or_refused(mutations in prop::collection::vec(mutation(), 1..6)) {
         let key = derive_key("shared");
-        let beat = Heartbeat { next: 9, busy: vec![1, 2], serving: true, ..Heartbeat::default() };
-        let frame = Frame { from: 1, incarnation: 2, sequence: 3, receiver_incarnation: 4, echo: None, heartbeat: beat };
+        let heartbeat = Heartbeat { next: 9, busy: vec![1, 2], serving: true, ..Heartbeat::default() };
+        let frame = Frame { from: 1, incarnation: 2, sequence: 3, receiver_incarnation: 4, echo: None, heartbeat };
         let sealed = frame.seal(&key);
         let mut bytes = sealed.clone();
         mutations.iter().for_each(|mutation| mutate_bytes(&mut bytes, mutation));
--- a/testutils/tests/test_relay.rs
+++ b/testutils/tests/test_relay.rs
@@ -25,7 +25,7 @@
 /// A node with its own access to the store, and one peer with another access.
 struct Fixture {
     node: Arc<Node>,
-    door: Endpoint,
+    store_endpoint: Endpoint,
     store: Store,
     _peer: Arc<Node>,
 }
@@ -33,18 +33,18 @@
 impl Fixture {
     async fn start() -> Fixture {
         let store = Store::default();
-        let (door, other) =
+        let (store_endpoint, other) =
             (store.open_endpoint().await.unwrap(), store.open_endpoint().await.unwrap());
         let listener = || TcpListener::bind(("127.0.0.1", 0));
-        let node = batch::node(listener().await.unwrap(), door.addr);
+        let node = batch::node(listener().await.unwrap(), store_endpoint.addr);
         let peer = batch::node(listener().await.unwrap(), other.addr);
         node.directory.set_nodes([(peer.settings.peer_addr(), 250)]);
-        Fixture { node, door, store, _peer: peer }
+        Fixture { node, store_endpoint, store, _peer: peer }
     }
 
     /// Makes the store stop answering the node, and waits until the node has noticed.
     async fn stop_answers(&self) {
-        self.door.set_fault(Fault::Unresponsive);
+        self.store_endpoint.set_fault(Fault::Unresponsive);
         self.node.read_topic(TOPIC, 0, Duration::ZERO, SHORT_TIMEOUT).await.unwrap();
         assert!(self.node.store_route.is_unavailable());
     }
@@ -99,7 +99,7 @@
     let fixture = Fixture::start().await;
     fixture.stop_answers().await;
     fixture.append("a").await;
-    fixture.door.set_fault(Fault::None);
+    fixture.store_endpoint.set_fault(Fault::None);
     // A single read may be answered first by the peer.
     let direct = async {
         while fixture.node.store_route.is_unavailable() {
@@ -107,7 +107,7 @@
         }
     };
     timeout(TEST_TIMEOUT, direct).await.expect("the store answers");
-    let asked = fixture.door.request_count();
+    let asked = fixture.store_endpoint.request_count();
     fixture.append("b").await;
-    assert_eq!(fixture.door.request_count(), asked + 1);
+    assert_eq!(fixture.store_endpoint.request_count(), asked + 1);
 }
