--- a/lib/src/coordination/route.rs
+++ b/lib/src/coordination/route.rs
@@ -155,13 +155,13 @@
         restrictions.avoid_until.is_some_and(|until| clock::now() < until)
     }
 
-    /// Prefers other endpoints for [`AVOID_DURATION`].
+    /// Prefers other endpoints for `AVOID_DURATION`.
     pub fn mark_avoided(&self) {
         let mut restrictions = self.restrictions.lock().expect("the lock is not poisoned");
         restrictions.avoid_until = Some(clock::now() + AVOID_DURATION);
     }
 
-    /// Sends no more requests here for [`LEAVING_DURATION`], since the box said that it is leaving.
+    /// Sends no more requests here for `LEAVING_DURATION`, since the box reported that it is leaving.
     pub fn mark_leaving(&self) {
         let mut restrictions = self.restrictions.lock().expect("the lock is not poisoned");
         restrictions.leaving_until = Some(clock::now() + LEAVING_DURATION);
--- a/testutils/src/platform/worker.rs
+++ b/testutils/src/platform/worker.rs
@@ -84,7 +84,7 @@
     FailsAll,
     /// It starts tasks without answering.
     LosesStartAnswers,
-    /// It answers a start only after [`SLOW_START_DELAY`].
+    /// It answers a start only after `SLOW_START_DELAY`.
     SlowStarts,
     /// It does not answer a start; the incarnation that has its id [`LATE_START_DELAY`] later
     /// executes the start.
