--- a/transport/src/dial.rs
+++ b/transport/src/dial.rs
@@ -38,10 +38,10 @@
 pub use crate::dial::response::ResponseBody;
 use crate::socket;
 
-/// Minimum time without a response for an abandoned request, or the end of its connection, to count
-/// against the connection; also the minimum delay before a second copy is sent. Services respond
-/// within 5 ms under normal load, and a process short of CPU is usually late by less than this:
-/// with 0.2 s a leader short of CPU sent 848 second copies under high load with 350 boxes. A
+/// Time without a response after which a connection counts as possibly dead, if its request is then
+/// abandoned or the connection ends; also the minimum delay before a second copy is sent. Services
+/// respond within 5 ms under normal load, and a process short of CPU is usually late by less than
+/// this: with 0.2 s a leader short of CPU sent 848 second copies under high load with 350 boxes. A
 /// request abandoned sooner was abandoned for another reason.
 const UNANSWERED_AFTER: Duration = Duration::from_millis(300);
 /// Maximum time since its last response for a connection to be reused by [`Dialer::send`], whose
@@ -60,10 +60,10 @@
 /// Body of an outgoing request, or of a response to a caller.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Why a body was not passed on to its end.
+/// Why a body was not passed on in full.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The connection that the body came from was cut.
+    /// The connection that the body came from was lost.
     #[error("the body was cut")]
     Cut(#[source] hyper::Error),
     /// The body is over its limit.
@@ -263,10 +263,10 @@
         }
     }
 
-    /// Reports that a request was abandoned, or its connection ended, when nothing had been
-    /// received on that connection since `since`. Closes the idle connections to the address that
-    /// have had no response since then either. Does nothing if less than [`UNANSWERED_AFTER`] has
-    /// passed.
+    /// Handles a request that was abandoned, or whose connection ended, with nothing received on
+    /// the connection after `since`. If at least [`UNANSWERED_AFTER`] has passed, closes the idle
+    /// connections to the address that have had no response after `since` either, and emits
+    /// [`Event::Unanswered`].
     fn record_unanswered(&self, addr: SocketAddr, since: Instant, is_reused: bool) {
         if clock::since(since) >= UNANSWERED_AFTER {
             let closed_idle = self.pool.close_unanswered_since(addr, since);
--- a/transport/src/dial/exchange.rs
+++ b/transport/src/dial/exchange.rs
@@ -115,8 +115,8 @@
     /// server. The first response counts. If it is that of the second copy, all connections to the
     /// address that have had no response since the first copy was sent are closed.
     ///
-    /// If all connections are dead, a call to the store gets its response after 0.3 s instead of
-    /// none within its 0.6 s.
+    /// If all connections are dead, a call to the store gets its response after 0.3 s; without the
+    /// second copy it would get none within its time limit of 0.6 s.
     ///
     /// # Errors
     ///
--- a/transport/src/dial/pool.rs
+++ b/transport/src/dial/pool.rs
@@ -28,14 +28,14 @@
 struct IdleConnection {
     sender: SendRequest<Body>,
     /// Time of the last response on it.
-    last_answer_at: Instant,
+    last_response_at: Instant,
 }
 
 /// State of an address.
 struct Remote {
     /// Idle connections, the one with the latest response at the end.
     idle: Vec<IdleConnection>,
-    /// Maximum of recent response times; decays by an eighth with each response.
+    /// Maximum of the recent response times, reduced by an eighth with each response.
     recent_latency: Duration,
     /// Limits concurrent connection attempts.
     connect_permits: Arc<Semaphore>,
@@ -43,8 +43,8 @@
 
 impl Default for Remote {
     fn default() -> Remote {
-        let connecting = Arc::new(Semaphore::new(MAX_CONNECTING));
-        Remote { idle: Vec::new(), recent_latency: Duration::ZERO, connect_permits: connecting }
+        let connect_permits = Arc::new(Semaphore::new(MAX_CONNECTING));
+        Remote { idle: Vec::new(), recent_latency: Duration::ZERO, connect_permits }
     }
 }
 
@@ -52,7 +52,7 @@
 #[derive(Default)]
 pub(super) struct ConnectionPool {
     remotes: Mutex<HashMap<SocketAddr, Remote>>,
-    /// Maximum of recent response times of all addresses; decays by a thirty-second with each
+    /// Maximum of the recent response times of all addresses, reduced by a thirty-second with each
     /// response. If this process itself is slow, all responses are late.
     recent_latency: Mutex<Duration>,
 }
@@ -70,8 +70,8 @@
     ) -> Option<SendRequest<Body>> {
         let mut remotes = self.remotes();
         let idle = &mut remotes.get_mut(&addr)?.idle;
-        idle.retain(|connection| clock::since(connection.last_answer_at) <= EXCHANGE_MAX_IDLE);
-        let last = idle.pop_if(|connection| clock::since(connection.last_answer_at) <= within);
+        idle.retain(|connection| clock::since(connection.last_response_at) <= EXCHANGE_MAX_IDLE);
+        let last = idle.pop_if(|connection| clock::since(connection.last_response_at) <= within);
         last.map(|connection| connection.sender)
     }
 
@@ -81,7 +81,7 @@
         let mut remotes = self.remotes();
         let idle = &mut remotes.entry(addr).or_default().idle;
         if idle.len() < MAX_IDLE_CONNECTIONS {
-            idle.push(IdleConnection { sender, last_answer_at: clock::now() });
+            idle.push(IdleConnection { sender, last_response_at: clock::now() });
         }
     }
 
@@ -91,7 +91,7 @@
         let mut remotes = self.remotes();
         let Some(remote) = remotes.get_mut(&addr) else { return 0 };
         let before = remote.idle.len();
-        remote.idle.retain(|connection| connection.last_answer_at >= since);
+        remote.idle.retain(|connection| connection.last_response_at >= since);
         before - remote.idle.len()
     }
 
