--- a/lib/src/state/fold/step.rs
+++ b/lib/src/state/fold/step.rs
@@ -187,7 +187,8 @@
         Ok(())
     }
 
-    /// Checked when a job is started; lowering a quota stops no running jobs.
+    /// Checks that the account's quota allows one more replica of the service. Called only when a
+    /// job is started: lowering a quota stops no running jobs.
     fn check_quota(&self, job: &ServiceKey) -> Result<(), Refusal> {
         let used = self.slots_used(&job.0);
         match self.quota_slots(&job.0) {
@@ -260,8 +261,8 @@
         Ok(())
     }
 
-    /// Returns the box to service if the plan has it out. After [`Outcome::Lost`] the box is down
-    /// instead, so it still counts against the budget.
+    /// Returns the box to service if this plan has taken it out. After [`Outcome::Lost`] the box is
+    /// down instead, so it still counts against the budget.
     fn return_box(&mut self, at: Offset, step_ref: StepRef, target: &BoxId, outcome: Outcome) {
         let Some(entry) = self.boxes.get_mut(target) else {
             return;
--- a/lib/src/state/id.rs
+++ b/lib/src/state/id.rs
@@ -16,15 +16,17 @@
 pub type HallId = Arc<str>;
 /// Name of a rack.
 pub type RackId = Arc<str>;
-/// Number of a daemon, unique among the entry boxes of a site.
+/// Number of a daemon, unique among the daemons of a site.
 pub type DaemonId = u16;
-/// Position of a batch on the platform's log.
+/// Offset of a batch on the platform's log. Also the type of positions, which are offsets plus one
+/// (see [`crate::state::fold`]).
 pub type Offset = u64;
 /// Random id of a record, chosen by its writer; operators query its verdict by it.
 pub type RecordId = u128;
 /// Random id of a plan, chosen by the daemon that computed it.
 pub type PlanId = u64;
-/// Start time of a daemon in microseconds since the Unix epoch; orders a daemon's incarnations.
+/// Orders the incarnations of a daemon: the start time in microseconds since the Unix epoch, or a
+/// later number if the clock has gone back.
 pub type Incarnation = u64;
 
 /// Maximum length of a name, in bytes.
--- a/lib/src/state/plan.rs
+++ b/lib/src/state/plan.rs
@@ -255,11 +255,11 @@
     /// The box was not idle within its pool's drain limit; the step's action was not carried out.
     #[error("requests still ran when the drain limit passed")]
     DrainLimit,
-    /// The step could not start: its box stayed down, or in no pool, until only such steps were left
-    /// and the driver's grace time had passed.
+    /// The step was not started: its box was down or in no pool, and for the driver's grace time
+    /// the plan had no other step to run.
     #[error("the box is down")]
     Down,
-    /// The box rejected or did not answer the commands, or did not return to service in time. It is
+    /// The box refused or did not answer the commands, or did not return to service in time. It is
     /// marked as down and counts against the budget.
     #[error("the box did not come back")]
     Lost,
--- a/lib/src/state/planner/choose.rs
+++ b/lib/src/state/planner/choose.rs
@@ -17,7 +17,8 @@
 use crate::state::planner::Blocker;
 use crate::state::planner::PlanError;
 
-/// Boxes of `pool`, each from the hall, and in it from the rack, with the most boxes left.
+/// The boxes of `pool`, in an order in which each next one is taken from the hall with the most
+/// boxes left, and there from the rack with the most left.
 ///
 /// With limits per hall or rack, another order could leave the last boxes all in one hall or rack,
 /// where they can be taken out only one by one.
@@ -101,7 +102,7 @@
 ///
 /// # Errors
 ///
-/// [`PlanError::TooFew`] if there are not as many.
+/// [`PlanError::TooFew`] if there are fewer.
 pub fn unassigned_boxes(
     fleet: &Fleet,
     shapes: &Shapes,
@@ -224,7 +225,7 @@
         JobAssigner { services: services.collect() }
     }
 
-    /// The jobs to start on the next box, which has no others.
+    /// The jobs to start on the next box, which runs none yet.
     pub fn assign(&mut self, shape: &Shape) -> Vec<ServiceKey> {
         let mut slots = shape.slots;
         let mut memory_mb = shape.memory_mb;
--- a/lib/src/state/planner/cost.rs
+++ b/lib/src/state/planner/cost.rs
@@ -16,9 +16,9 @@
 /// Number of boxes of `pool` that a plan takes out of service at a time: the maximum that the budgets
 /// allow while no box has failed.
 ///
-/// The maximum width has the shortest roll-out. It needs no more buffer than a smaller one: spare
-/// capacity is released once fewer boxes than the width are left, so every width holds back the
-/// maintenance time of each box and no more.
+/// The maximum width gives the shortest roll-out and costs no more buffer than a smaller one: at
+/// any width, each box is out of service for its maintenance time only, and capacity is released as
+/// soon as fewer boxes than the width are left.
 pub fn width(fleet: &Fleet, pool: &Pool) -> u32 {
     let halls = count_distinct(fleet, pool, |entry| &entry.shape.hall);
     let racks = count_distinct(fleet, pool, |entry| &entry.shape.rack);
--- a/lib/src/state/record.rs
+++ b/lib/src/state/record.rs
@@ -28,9 +28,9 @@
 
 /// The records of one append.
 ///
-/// `(writer, incarnation, sequence)` makes it safe to repeat an append whose answer was lost: readers
-/// ignore a sequence number that they have applied and refuse an incarnation that a later one has
-/// replaced.
+/// `(writer, incarnation, sequence)` makes it safe to repeat an append whose response was lost:
+/// readers ignore a sequence number that they have applied and refuse an incarnation that a later
+/// one has replaced.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
     /// The daemon that wrote it.
@@ -61,7 +61,7 @@
     Propose(Plan),
     /// Starts a proposed plan, if none of the objects it was computed from has changed.
     Confirm(PlanId),
-    /// Takes over the driving of a plan; earlier epochs are refused from then on.
+    /// Makes a daemon the driver of a plan; earlier epochs are refused from then on.
     Drive {
         /// The plan.
         plan: PlanId,
@@ -88,8 +88,8 @@
     Down(Vec<BoxId>),
     /// Boxes respond again.
     Up(Vec<BoxId>),
-    /// Announces that the writer writes a snapshot of the state after this record's batch. Refused if
-    /// another mark was accepted since the one it names.
+    /// Announces that the writer will write a snapshot of the state after this record's batch.
+    /// Refused if another mark was accepted since the one it names.
     Mark {
         /// Position of the last mark that the writer has applied.
         after: Offset,
