--- a/lib/src/coordination/append.rs
+++ b/lib/src/coordination/append.rs
@@ -39,9 +39,9 @@
 use crate::transport::dial::Limits;
 use crate::transport::dial::full;
 
-/// Most records that may be queued.
+/// Maximum number of queued records.
 const MAX_QUEUED_RECORDS: usize = 4096;
-/// Most records in one append.
+/// Maximum number of records in one append.
 const MAX_RECORDS: usize = 512;
 /// How long an append may take.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
@@ -51,13 +51,13 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
 /// How long an operator's request waits for its verdict.
 pub const VERDICT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most appends that may be sent in a burst.
+/// Maximum number of appends in a burst.
 const BURST: u32 = 8;
 
 /// Why a submitted record has no offset.
 #[derive(Debug, Error)]
 pub enum AppendError {
-    /// It was rejected by its verdict, and changed nothing.
+    /// Its verdict is a refusal; it changed nothing.
     #[error(transparent)]
     Refused(#[from] Refusal),
     /// Its verdict is not known: it may still take effect.
@@ -82,7 +82,7 @@
     verdict_senders: HashMap<RecordId, oneshot::Sender<Verdict>>,
 }
 
-/// Queues a record; the answer is `None` if the queue is full.
+/// Queues a record; returns `None` if the queue is full.
 struct Submit(Record);
 /// Removes as many records from the queue as fit into one batch.
 struct TakeRecords;
--- a/lib/src/coordination/catch_up.rs
+++ b/lib/src/coordination/catch_up.rs
@@ -41,9 +41,9 @@
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after a failed exchange or accept.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Most peers served at a time.
+/// Maximum number of peers served at a time.
 const MAX_CLIENTS: usize = 8;
-/// Most bytes of state in one piece.
+/// Maximum size of the part of a state in one piece, in bytes.
 const STATE_PIECE_BYTES: usize = 1024 * 1024;
 /// Largest state taken from a peer, in bytes.
 const MAX_STATE_BYTES: usize = 64 * 1024 * 1024;
@@ -54,10 +54,10 @@
     /// The connection failed.
     #[error("the connection failed")]
     Connection(#[from] io::Error),
-    /// The peer closed the connection before the answer was complete.
+    /// The peer closed the connection before the response was complete.
     #[error("the peer closed the connection")]
     ConnectionClosed,
-    /// A message has a wrong seal, or does not decode.
+    /// The keyed hash of a message does not match, or the message does not decode.
     #[error(transparent)]
     Piece(#[from] PieceError),
     /// A piece or request belongs to another exchange, or a piece is out of order.
@@ -116,8 +116,8 @@
     }
 }
 
-/// Fetches and applies the batches that a peer has applied beyond this daemon. If `whole`, or if
-/// the peer no longer has all of them, installs its state instead.
+/// Fetches and applies the batches that a peer has applied and this daemon has not. If `whole`, or
+/// if the peer no longer has all of them, installs its state instead.
 pub async fn from_peer(
     node: &Arc<Node>,
     peer: SocketAddr,
--- a/lib/src/coordination/drive.rs
+++ b/lib/src/coordination/drive.rs
@@ -3,7 +3,8 @@
 //!
 //! One daemon drives a plan at a time, in an epoch that a record on the log assigns to it. A paused
 //! driver that resumes after another has taken over has no effect: its records carry the old epoch
-//! and are rejected, and its commands to boxes carry a lower fence than those of its successor.
+//! and are refused, and its commands to boxes carry a lower fencing token than those of its
+//! successor.
 
 mod step;
 
@@ -57,9 +58,9 @@
     }
 }
 
-/// Plans that this daemon should take over, each with the epoch to take it over with: those without
-/// a driver or whose driver is not live, if the rendezvous hash assigns them to this daemon, and
-/// those that an earlier incarnation of this daemon drove.
+/// Plans that this daemon should take over, each with the epoch that the takeover starts: those
+/// without a driver or whose driver is not live, if the rendezvous hash assigns them to this
+/// daemon, and those whose driver is this daemon but which have no task here, as after a restart.
 fn plans_to_drive(node: &Node, tasks: &BTreeMap<PlanId, DriverTask>) -> Vec<(PlanId, u32)> {
     let now = clock::now();
     let live = node.serving_daemons();
@@ -122,13 +123,13 @@
         let mut changes = self.node.replica.changes();
         let mut steps = JoinSet::new();
         let mut running = BTreeSet::new();
-        let mut only_down_since = None;
+        let mut only_blocked_since = None;
         loop {
             while let Some(finished) = steps.try_join_next() {
                 let index = finished.expect("a step's task does not panic");
                 running.remove(&index);
             }
-            let decision = self.decide(&running, &mut only_down_since);
+            let decision = self.decide(&running, &mut only_blocked_since);
             if decision.is_over {
                 return;
             }
@@ -156,7 +157,11 @@
     }
 
     /// Decides which steps to start and which to abandon in the current state of the fleet.
-    fn decide(&self, running: &BTreeSet<u32>, only_down_since: &mut Option<Instant>) -> Decision {
+    fn decide(
+        &self,
+        running: &BTreeSet<u32>,
+        only_blocked_since: &mut Option<Instant>,
+    ) -> Decision {
         let fleet = self.node.replica.fleet();
         let Some(plan) = fleet.plans.get(&self.plan) else {
             return Decision { is_over: true, ..Decision::default() };
@@ -170,7 +175,7 @@
             let choice = wave::choose_steps(&fleet, plan, running);
             decision.start.extend(choice.ready);
             let idle = running.is_empty() && decision.start.is_empty();
-            self.abandon_blocked(choice.blocked, idle, only_down_since, &mut decision);
+            self.abandon_blocked(choice.blocked, idle, only_blocked_since, &mut decision);
         }
         decision
     }
@@ -184,26 +189,26 @@
         }
     }
 
-    /// Abandons the steps whose boxes are down, once nothing else has been left to do for
-    /// `down_grace`.
+    /// Abandons the blocked steps, whose boxes are down or in no pool, once the plan has had no
+    /// other step to run for `down_grace`.
     fn abandon_blocked(
         &self,
         blocked: Vec<u32>,
         idle: bool,
-        only_down_since: &mut Option<Instant>,
+        only_blocked_since: &mut Option<Instant>,
         decision: &mut Decision,
     ) {
         if blocked.is_empty() || !idle {
-            *only_down_since = None;
+            *only_blocked_since = None;
             return;
         }
-        let since = *only_down_since.get_or_insert_with(clock::now);
+        let since = *only_blocked_since.get_or_insert_with(clock::now);
         if clock::since(since) >= self.node.settings.down_grace {
             decision.abandon = blocked;
         }
     }
 
-    /// Finishes a step whose box is down without running it.
+    /// Finishes a blocked step without running it.
     async fn abandon_step(&self, step: u32) {
         let finish = Body::Finish(self.step_ref(step), Outcome::Down);
         if self.node.appender.submit(new_record_id(), finish).await.is_ok() {
--- a/lib/src/coordination/drive/step.rs
+++ b/lib/src/coordination/drive/step.rs
@@ -29,7 +29,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Consecutive polls that must find a box idle before it counts as drained.
 const MIN_IDLE_POLLS: u32 = 2;
-/// Time beyond `max_age` after which an unresponsive daemon is taken not to serve.
+/// Time beyond `max_age` after which an unresponsive daemon is assumed not to serve.
 const UNRESPONSIVE_MARGIN: Duration = Duration::from_millis(500);
 /// How long a job may take to start after it was ordered.
 const JOB_START_TIMEOUT: Duration = Duration::from_secs(30);
@@ -40,7 +40,7 @@
     /// Another driver has taken over, or the plan no longer exists.
     #[error("another driver has taken over")]
     Superseded,
-    /// The record was rejected in the current state of the fleet.
+    /// The record was refused in the current state of the fleet.
     #[error(transparent)]
     Refused(Refusal),
     /// The record was not submitted, or its verdict is not known.
@@ -60,7 +60,7 @@
     }
 }
 
-/// The box of a step, as it was when the step was started.
+/// The box of a step, as it was when this driver started or resumed the step.
 #[derive(Clone)]
 struct Target {
     id: BoxId,
@@ -88,10 +88,11 @@
         self.node.counters.count(counter);
     }
 
-    /// Runs a step, and finishes it as refused if it takes no box out of service and was rejected.
+    /// Runs a step, and finishes it as refused if it takes no box out of service and its record was
+    /// refused.
     ///
-    /// Such a step needs no budget, so a retry would be rejected again. A step that is already
-    /// under way, or whose plan is paused, is not finished.
+    /// Such a step needs no budget, so a retry would be refused again. A step that is already under
+    /// way, or whose plan is paused, is not finished.
     async fn try_or_abandon(&self, index: u32) -> Result<Outcome, StepError> {
         let result = self.try_step(index).await;
         let Err(StepError::Refused(refusal)) = &result else {
@@ -234,8 +235,8 @@
     /// Waits until no daemon sends requests to the box and none runs on it.
     ///
     /// Returns `None` once the box is drained, or the outcome of the step if it cannot be: `Lost`
-    /// if the box does not accept the order, `DrainLimit` if the time ran out, after which the box
-    /// serves again.
+    /// if the box does not accept the order, `DrainLimit` if the drain limit passed, after which
+    /// the box serves again.
     async fn drain(&self, target: &Target, permit: Offset) -> Result<Option<Outcome>, StepError> {
         let started_at = clock::now();
         if !self.send_until_accepted(target, Order::Drain).await? {
@@ -259,9 +260,10 @@
 
     /// Whether every daemon that may serve has applied the permit and has no request on the box.
     ///
-    /// An unresponsive daemon may still serve for as long as the freshness rule allows it. By a
-    /// quorum it may only do so with a majority of which none has applied more than itself, so once
-    /// a majority has applied the permit and `max_age` has passed, it does not serve.
+    /// An unresponsive daemon may still serve for as long as the freshness rule allows it. The
+    /// quorum condition lets it serve only with a majority of daemons none of which has applied
+    /// more than it. So once a majority has applied the permit and `max_age` has passed, it does
+    /// not serve.
     fn is_released(&self, target: &Target, permit: Offset, started_at: Instant) -> bool {
         let releases = self.node.members.count_releases(&target.id, permit, clock::now());
         if releases.holding > 0 || self.node.routes.busy_boxes().contains(&target.id) {
@@ -274,7 +276,8 @@
         majority && clock::since(started_at) > self.node.settings.max_age + UNRESPONSIVE_MARGIN
     }
 
-    /// Sends an order until the box accepts it. Returns false if it has not within `lost_after`.
+    /// Sends an order until the box accepts it. Returns false if it does not do so within
+    /// `lost_after`.
     async fn send_until_accepted(&self, target: &Target, order: Order) -> Result<bool, StepError> {
         let started_at = clock::now();
         loop {
@@ -294,7 +297,7 @@
         }
     }
 
-    /// Polls the box until its status is `reached`. Returns false if that takes longer than
+    /// Polls the box until `reached` is true of its status. Returns false if that takes longer than
     /// `lost_after`.
     async fn wait_for_status(
         &self,
@@ -315,7 +318,8 @@
         }
     }
 
-    /// Fence for commands to the box: at least that of this epoch, and of the box's last change.
+    /// Fencing token for commands to the box: at least that of this epoch, and of the box's last
+    /// change.
     fn fence(&self, target: &Target) -> Offset {
         let fleet = self.node.replica.fleet();
         let version = fleet.boxes.get(&target.id).map_or(0, |entry| entry.version);
--- a/lib/src/coordination/follow.rs
+++ b/lib/src/coordination/follow.rs
@@ -24,11 +24,11 @@
 use crate::transport::dial::Limits;
 use crate::transport::dial::full;
 
-/// Most records in one read.
+/// Maximum number of records in one read.
 const MAX_RECORDS: usize = 1000;
-/// Largest answer to a read, in bytes.
+/// Largest response to a read, in bytes.
 const MAX_PAGE_BYTES: usize = 64 * 1024 * 1024;
-/// How long the log may delay its answer to a read that finds nothing new.
+/// How long the log may delay its response to a read that finds nothing new.
 const LONG_POLL: Duration = Duration::from_millis(1000);
 /// How long a read may take.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
--- a/lib/src/coordination/freshness.rs
+++ b/lib/src/coordination/freshness.rs
@@ -6,13 +6,13 @@
 //! 2. `peer`: a live peer's own read is within `max_age`, counted from when that read started, and
 //!    this daemon has applied at least as much as that peer had.
 //! 3. `quorum`: a majority of the configured daemons, this one included, are complete and have sent
-//!    a heartbeat within `max_age`; and of all peers that have sent one within it, none has read
-//!    the log within it and none has applied more than this daemon.
+//!    a heartbeat within `max_age`. Of all peers with such a heartbeat, complete or not, none has
+//!    read the log within `max_age`, and none has applied more than this daemon.
 //!
-//! A daemon is complete once it has, since its start, applied everything accepted up to some moment
-//! of that time: by reaching the log's end, or the offset of a peer that did so after this daemon's
-//! start, or the offset of a majority of complete peers. A daemon that has just started and has
-//! read part of the log can neither serve by a quorum nor be counted in one.
+//! A daemon is complete once it has applied everything that was accepted before some moment after
+//! its start: by reaching the log's end, or the offset of a peer that did so after this daemon's
+//! start, or the offsets of complete peers that are a majority of the daemons. A daemon that has
+//! just started and has read part of the log can neither serve by a quorum nor be counted in one.
 //!
 //! The first two conditions bound the age of the state by `max_age`. The third keeps routing
 //! available while no daemon can read the log: then nothing can be accepted that this majority has
--- a/lib/src/coordination/member.rs
+++ b/lib/src/coordination/member.rs
@@ -1,13 +1,13 @@
 //! Detects which peers are live, by heartbeats over UDP.
 //!
 //! A peer is live while its last heartbeat was received within [`Members::suspect_after`]. A daemon
-//! that finds its own loop late (it was paused, or starved of CPU) gives every peer a grace period
-//! before it suspects it, as Lifeguard (Dadgar et al., 2018) does for SWIM.
+//! whose own timer fires late (it was paused, or short of CPU) gives every peer a grace period
+//! before suspecting any, as Lifeguard (Dadgar et al., 2018) does for SWIM.
 //!
 //! Failure detection uses the time at which a heartbeat was received. Freshness cannot: a heartbeat
-//! may have been delayed. So each heartbeat echoes the last one that its sender received, and how
-//! long ago that was. It was sent no earlier than the echoed one plus that time, by the clock of
-//! its receiver, which sent the echoed one.
+//! may have been delayed. So each heartbeat echoes the last one that its sender received, and says
+//! how long ago that was. The receiver knows when it sent the echoed heartbeat: that time plus the
+//! reported one is the earliest time, by its own clock, at which the heartbeat can have been sent.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -39,8 +39,8 @@
 
 /// Shortest time between two heartbeats to the same peer.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// Number of heartbeat intervals between two of its own ticks after which a daemon takes itself to
-/// have been paused.
+/// A daemon considers itself to have been paused if a timer of one heartbeat interval fires after
+/// more than this number of intervals.
 const PAUSED_AFTER_INTERVALS: u32 = 3;
 /// Number of heartbeats to a peer whose send times are kept; the echo of an older one is ignored.
 const MAX_SENT_TIMES: usize = 64;
@@ -244,8 +244,8 @@
         releases
     }
 
-    /// Counts every peer that has sent a heartbeat as live for another `suspect_after`, since this
-    /// daemon was late itself.
+    /// Counts every peer that has sent a heartbeat as live for another `suspect_after`, because
+    /// this daemon was paused itself.
     ///
     /// This affects failure detection only, not the freshness of what a peer reported.
     fn grant_grace(&self, now: Instant) {
--- a/lib/src/coordination/reconcile.rs
+++ b/lib/src/coordination/reconcile.rs
@@ -2,8 +2,8 @@
 //! that run on them to those that the fleet has placed there.
 //!
 //! The owner of a box is chosen by rendezvous hash among the serving daemons. Two daemons that both
-//! take themselves for the owner do not conflict: commands carry the box's version as fence, and
-//! the worker rejects one that is lower than the highest it has seen.
+//! consider themselves the owner do not conflict: commands carry the box's version as fencing
+//! token, and the worker refuses one that is lower than the highest it has seen.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -38,7 +38,7 @@
 
 /// How long a worker may take to answer.
 const WORKER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Largest answer of a worker, in bytes.
+/// Largest response of a worker, in bytes.
 const MAX_STATUS_BYTES: usize = 256 * 1024;
 /// Polls without an answer after which a box is down.
 const DOWN_AFTER_POLLS: u32 = 3;
@@ -119,8 +119,8 @@
     /// Time between two polls of a responsive box.
     fn interval(&self, node: &Node) -> Duration {
         let bytes = (self.owned.len() * POLL_BYTES) as u32;
-        let spread = Duration::from_secs(1) * bytes / node.settings.poll_bytes_per_s;
-        spread.max(node.settings.poll_interval)
+        let rate_limited = Duration::from_secs(1) * bytes / node.settings.poll_bytes_per_s;
+        rate_limited.max(node.settings.poll_interval)
     }
 
     /// The boxes to poll now; also makes the suspected boxes due.
@@ -202,15 +202,15 @@
                 Transition::None => {}
             }
         }
-        append_transitions(&node, "tend.down", down, Body::Down).await;
-        append_transitions(&node, "tend.up", up, Body::Up).await;
+        append_transitions(&node, ("tend.down", "boxes are down"), down, Body::Down).await;
+        append_transitions(&node, ("tend.up", "boxes are up again"), up, Body::Up).await;
     }
 }
 
 /// Appends a record that marks boxes as down or up.
 async fn append_transitions(
     node: &Node,
-    counter: &str,
+    (counter, message): (&str, &str),
     targets: Vec<BoxId>,
     body: impl Fn(Vec<BoxId>) -> Body,
 ) {
@@ -218,7 +218,7 @@
         return;
     }
     node.counters.add(counter, targets.len() as u64);
-    log::info!(targets:? = targets; "{counter}");
+    log::info!(targets:? = targets; "{message}");
     if node.appender.submit_without_timeout(body(targets)).await.is_err() {
         node.counters.count("tend.report-failed");
     }
--- a/lib/src/coordination/route.rs
+++ b/lib/src/coordination/route.rs
@@ -35,8 +35,8 @@
 
 /// How long an endpoint is avoided after a failed attempt.
 const AVOID_DURATION: Duration = Duration::from_secs(1);
-/// How long an endpoint gets no requests after its box said that it is leaving; the box list says
-/// so by then.
+/// How long an endpoint gets no requests after its box said that it is leaving. By then the box
+/// list shows it as leaving.
 const LEAVING_DURATION: Duration = Duration::from_secs(5);
 /// Longest time after which a waiting request checks again for a free slot.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -114,8 +114,8 @@
 impl Endpoint {
     /// Takes a slot, if one is free and the endpoint is available. Returns whether it did.
     ///
-    /// The slot is counted before the availability is checked. Whoever makes the endpoint
-    /// unavailable reads the count afterwards, so it sees every request that passed the check.
+    /// The slot is counted before the availability is checked. Code that makes the endpoint
+    /// unavailable reads the count afterwards, so it sees every request that passed.
     fn try_take_slot(&self) -> bool {
         let add_one = |used: u32| (used < self.own_slots).then_some(used + 1);
         if self.used_slots.try_update(Ordering::SeqCst, Ordering::SeqCst, add_one).is_err() {
@@ -128,7 +128,7 @@
         false
     }
 
-    /// Whether this is still the endpoint of a box and its number of slots.
+    /// Whether it has the address of `entry` and this number of slots, so that it can be kept.
     fn matches_entry(&self, entry: &Entry, slots: u32) -> bool {
         self.addr == entry.shape.addr && self.slots == slots
     }
@@ -240,7 +240,7 @@
         }
         let out = fleet.boxes.iter().filter(|(_, entry)| !entry.is_serving());
         next.out_of_service = out.map(|(id, _)| id.clone()).collect();
-        table.close_missing(&mut next);
+        table.retire_missing(&mut next);
         *table = next;
     }
 
@@ -381,9 +381,9 @@
         existing.cloned().unwrap_or_else(|| Arc::new(Route::new()))
     }
 
-    /// Makes the endpoints unavailable that are not in `next`. Those with used slots are added to
-    /// it, unless it has another one in their place.
-    fn close_missing(&self, next: &mut Table) {
+    /// Makes the endpoints that are not in `next` unavailable. Those with used slots are added to
+    /// it, unless another endpoint has replaced them there.
+    fn retire_missing(&self, next: &mut Table) {
         for (id, endpoint) in &self.endpoints {
             let is_kept = next.endpoints.get(id).is_some_and(|other| Arc::ptr_eq(other, endpoint));
             if is_kept {
--- a/lib/src/coordination/snapshot.rs
+++ b/lib/src/coordination/snapshot.rs
@@ -33,9 +33,9 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time that a marked snapshot is given to be written, before another mark may be appended.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most batches kept for peers that catch up.
+/// Maximum number of batches kept for peers that catch up.
 const MAX_BATCHES: usize = 2048;
-/// Most bytes of batches kept for peers that catch up.
+/// Maximum size of the batches kept for peers that catch up, in bytes.
 const MAX_BYTES: usize = 2 * 1024 * 1024;
 /// Key by which the rendezvous hash chooses the daemon that appends marks.
 const OWNER_KEY: &[u8] = b"snapshot";
@@ -163,7 +163,7 @@
         let may_mark = last_mark.is_none_or(|last_mark| clock::since(last_mark) >= WRITE_TIMEOUT);
         if may_mark && let Some(after) = mark_due_after(&node) {
             last_mark = Some(clock::now());
-            // Rejected if another daemon has appended a mark meanwhile.
+            // Refused if another daemon has appended a mark meanwhile.
             let _ = node.appender.submit(new_record_id(), Body::Mark { after }).await;
         }
         if let Some(peer) = majority_peer_if_diverged(&node) {
