--- a/lib/src/call.rs
+++ b/lib/src/call.rs
@@ -1,8 +1,8 @@
-//! Proxies callers' requests to targets, and the targets' answers back.
+//! Proxies callers' requests to targets, and the targets' responses back.
 //!
 //! The reported outcome never claims more than is known. A request was *not run* only if no byte of
-//! it was sent to a target, or the target said that it rejected it; in every other case without a
-//! target's answer the outcome is *unknown*.
+//! it was sent to a target, or the target said that it refused it; in every other case without a
+//! target's response the outcome is *unknown*.
 
 mod attempt;
 mod forward;
--- a/lib/src/call/attempt.rs
+++ b/lib/src/call/attempt.rs
@@ -28,7 +28,7 @@
 use crate::transport::dial::ResponseBody;
 use crate::transport::dial::SendError;
 
-/// Most targets that are tried for one request.
+/// Maximum number of targets that are tried for one request.
 const MAX_ATTEMPTS: usize = 3;
 
 /// One request of a caller.
@@ -54,7 +54,7 @@
 
 /// How one attempt ended.
 enum Attempt {
-    /// The head of the target's answer was received.
+    /// The head of the target's response was received.
     Answer(Box<Response<ResponseBody>>),
     /// The target has not run the request.
     NotRun(Reason),
@@ -63,7 +63,7 @@
 }
 
 impl Call<'_> {
-    /// Tries targets until one answers, or another attempt is not safe or not possible.
+    /// Tries targets until one answers or no further attempt is both safe and possible.
     pub(super) async fn run(&self, mut payload: Payload) -> Result<Response<Body>, Refused> {
         let mut tried: Vec<BoxId> = Vec::new();
         let mut last = Refused::not_run(Reason::Unreachable);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Checks that the head of an answer belongs to the request, and whether the request was run.
+    /// Checks that the head of a response belongs to the request, and whether the request was run.
     fn classify_response(
         &self,
         slot: &Slot,
--- a/lib/src/call/forward.rs
+++ b/lib/src/call/forward.rs
@@ -1,4 +1,4 @@
-//! Builds the request to a target and forwards the body of its answer.
+//! Builds the request to a target and forwards the body of its response.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -72,7 +72,7 @@
     request
 }
 
-/// The body of a target's answer, forwarded to the caller. Holds the target's slot until it ends.
+/// The body of a target's response, forwarded to the caller. Holds the target's slot until it ends.
 ///
 /// A body that is cut off or does not end by the deadline ends in an error, upon which the server
 /// closes the caller's connection without terminating the body: the caller sees that it is
--- a/lib/src/daemon.rs
+++ b/lib/src/daemon.rs
@@ -33,7 +33,7 @@
 use crate::transport::serve::serve;
 
 /// How often the basis on which the daemon serves is checked for changes.
-const SERVICE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+const BASIS_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Attempts to find a port that is free for both TCP and UDP when the system chooses it.
 const MAX_BIND_ATTEMPTS: usize = 8;
 
@@ -162,6 +162,6 @@
             node.counters.count(&format!("basis.{}", basis.as_str()));
             last = Some(basis);
         }
-        sleep(SERVICE_CHECK_INTERVAL).await;
+        sleep(BASIS_CHECK_INTERVAL).await;
     }
 }
--- a/lib/src/operator_api.rs
+++ b/lib/src/operator_api.rs
@@ -57,8 +57,8 @@
     let scope = authorize(node, &head)?;
     let body = read_body(body).await?;
     let path: Vec<&str> = head.uri.path().trim_start_matches('/').split('/').collect();
-    let what = path.strip_prefix(&["v1"]).ok_or(ApiError::Malformed)?;
-    match (&head.method, what) {
+    let resource = path.strip_prefix(&["v1"]).ok_or(ApiError::Malformed)?;
+    match (&head.method, resource) {
         (&Method::GET, ["status"]) => Ok(to_json(&view::status(node))),
         (&Method::GET, ["counters"]) => Ok(to_json(&view::counters(node, &scope))),
         (&Method::GET, ["pools"]) => Ok(to_json(&view::pools(node, &scope))),
--- a/lib/src/operator_api/change.rs
+++ b/lib/src/operator_api/change.rs
@@ -26,14 +26,14 @@
 use crate::state::record::Control;
 use crate::transport::clock;
 
-/// How long the answer to an accepted change waits until every live daemon has applied it; then it
-/// lists those that have.
+/// How long the response to an accepted change is held back for every live daemon to apply it. The
+/// response lists the daemons that have.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Interval of checking which daemons have applied a change.
 const IN_FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Checks that this daemon's state is current by its own reads of the log; other daemons accept no
-/// changes.
+/// Checks that this daemon's state is current by its own reads of the log. A daemon that depends on
+/// its peers for that accepts no changes.
 fn check_fresh(node: &Node) -> Result<(), ApiError> {
     match node.basis() {
         Basis::Log => Ok(()),
--- a/lib/src/operator_api/view.rs
+++ b/lib/src/operator_api/view.rs
@@ -97,7 +97,7 @@
     view.collect()
 }
 
-/// Whether the operator's scope may place services on the pool.
+/// Whether an operator with `scope` sees the pool: its account may place services on it.
 fn is_pool_visible(scope: &Scope, pool: &Pool) -> bool {
     match scope {
         Scope::Site => true,
--- a/lib/src/protocol/api.rs
+++ b/lib/src/protocol/api.rs
@@ -1,7 +1,7 @@
 //! The operators' HTTP API, with JSON bodies. Every request carries `authorization: Bearer
 //! account:secret`.
 //!
-//! | method and path | body | answer |
+//! | method and path | body | response |
 //! |---|---|---|
 //! | `POST /v1/publish` | the TOML file | [`Published`] |
 //! | `POST /v1/intents` | [`crate::state::plan::Intent`] | [`PlanView`] |
@@ -34,14 +34,14 @@
 use crate::state::plan::Step;
 use crate::state::planner::PlanError;
 
-/// The answer to a published configuration or to a query of a record.
+/// The response to a published configuration or to a query of a record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Published {
     /// Id of the record.
     pub record: String,
     /// Position at which it was accepted; `None` if there was nothing to change.
     pub position: Option<Offset>,
-    /// Number of objects that it changed; 0 in the answer to a query of a record.
+    /// Number of objects that it changed; 0 in the response to a query of a record.
     pub changes: usize,
     /// Daemons known to have applied it, including this one.
     pub in_force: Vec<DaemonId>,
@@ -139,7 +139,7 @@
     pub id: DaemonId,
     /// Whether it serves callers.
     pub serving: bool,
-    /// On what it bases that its state is current: `log`, `peer` or `quorum`; `stale` if on nothing.
+    /// Why its state counts as current: `log`, `peer` or `quorum`; `stale` if it does not.
     pub basis: String,
     /// Offset of the first batch not yet applied.
     pub next: Offset,
@@ -188,7 +188,7 @@
         /// The error.
         cause: Box<str>,
     },
-    /// The store rejected the job; it will never run.
+    /// The store refused the job; it will never run.
     #[error("the store did not take the job; nothing was changed")]
     JobRefused,
     /// The store has not answered in time; the job may have been accepted.
--- a/lib/src/protocol/wire.rs
+++ b/lib/src/protocol/wire.rs
@@ -48,13 +48,13 @@
     pub heartbeat: Heartbeat,
 }
 
-/// Identifies a received datagram, so that its sender can compute the age of the answer by its own
+/// Identifies a received datagram, so that its sender can compute the age of the reply by its own
 /// clock alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
     /// Its sequence number.
     pub sequence: u64,
-    /// Time between its receipt and the answer, in milliseconds.
+    /// Time between its receipt and the reply, in milliseconds.
     pub held_ms: u32,
 }
 
@@ -126,8 +126,14 @@
     /// ```
     /// use spokelift_lib::protocol::wire::{Heartbeat, Frame, WireError, derive_key};
     /// let key = derive_key("shared");
-    /// let beat = Heartbeat::default();
-    /// let frame = Frame { from: 1, incarnation: 5, sequence: 1, receiver_incarnation: 0, echo: None, heartbeat: beat };
+    /// let frame = Frame {
+    ///     from: 1,
+    ///     incarnation: 5,
+    ///     sequence: 1,
+    ///     receiver_incarnation: 0,
+    ///     echo: None,
+    ///     heartbeat: Heartbeat::default(),
+    /// };
     /// let bytes = frame.seal(&key);
     /// assert_eq!(Frame::open(&key, &bytes).unwrap(), frame);
     /// assert_eq!(Frame::open(&derive_key("other"), &bytes), Err(WireError::Seal));
--- a/lib/src/protocol/worker.rs
+++ b/lib/src/protocol/worker.rs
@@ -1,8 +1,8 @@
 //! The HTTP protocol of workers.
 //!
 //! - `GET /platform/status` returns [`Status`].
-//! - `POST /platform/command` with a [`Command`] returns [`Status`], or 409 if the fence is lower
-//!   than the highest one received.
+//! - `POST /platform/command` with a [`Command`] returns [`Status`], or 409 if the fencing token is
+//!   lower than the highest one received.
 //! - `POST /run/<account>/<service>` runs a request of a job. If a worker does not run it, the header
 //!   [`REFUSED`] has the reason.
 
@@ -26,7 +26,7 @@
 /// The state of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The highest fence received.
+    /// The highest fencing token received.
     pub fence: Offset,
     /// Whether it is draining.
     pub draining: bool,
@@ -38,7 +38,7 @@
     pub rebooted_for: Option<Offset>,
 }
 
-/// A command. It is refused if its fence is lower than that of an earlier one.
+/// A command. It is refused if its fencing token is lower than that of an earlier one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Command {
     /// Fencing token of the sender.
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -292,7 +292,7 @@
     }
 }
 
-/// Settings of a node on the users' platform beside those of the platform's settings file.
+/// Settings of a node on the users' platform in addition to those of the platform's settings file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeSettings {
     /// Hash of the site operator's secret. If `None`, the operators' port accepts no changes.
