--- a/lib/src/call/attempt.rs
+++ b/lib/src/call/attempt.rs
@@ -152,12 +152,12 @@
 
     /// The response to the caller. The slot stays in use until the body ends.
     fn forward_response(&self, response: Response<ResponseBody>, slot: Slot) -> Response<Body> {
-        let (mut head, answer) = response.into_parts();
+        let (mut head, body) = response.into_parts();
         forward::strip_hop_by_hop(&mut head.headers);
         head.headers.remove(REQUEST);
         let outcome = HeaderValue::from_static(Outcome::Answered.as_str());
         head.headers.insert(OUTCOME, outcome);
-        let body = ForwardedBody::new(answer, slot, self.deadline, self.node.counters.clone());
+        let body = ForwardedBody::new(body, slot, self.deadline, self.node.counters.clone());
         Response::from_parts(head, body.into_body())
     }
 }
--- a/lib/src/call/forward.rs
+++ b/lib/src/call/forward.rs
@@ -78,7 +78,7 @@
 /// closes the caller's connection without terminating the body: the caller sees that it is
 /// incomplete.
 pub(super) struct ForwardedBody {
-    answer: ResponseBody,
+    response: ResponseBody,
     slot: Option<Slot>,
     timeout: Pin<Box<Sleep>>,
     counters: Counters,
@@ -86,13 +86,13 @@
 
 impl ForwardedBody {
     pub(super) fn new(
-        answer: ResponseBody,
+        response: ResponseBody,
         slot: Slot,
         deadline: Instant,
         counters: Counters,
     ) -> ForwardedBody {
         let timeout = Box::pin(sleep_until(clock::timer_instant(deadline)));
-        ForwardedBody { answer, slot: Some(slot), timeout, counters }
+        ForwardedBody { response, slot: Some(slot), timeout, counters }
     }
 
     pub(super) fn into_body(self) -> Body {
@@ -108,7 +108,7 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let polled = Pin::new(&mut self.answer).poll_frame(cx);
+        let polled = Pin::new(&mut self.response).poll_frame(cx);
         match &polled {
             Poll::Pending => {
                 if self.timeout.as_mut().poll(cx).is_ready() {
@@ -124,10 +124,10 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.answer.is_end_stream()
+        self.response.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.answer.size_hint()
+        self.response.size_hint()
     }
 }
--- a/lib/src/coordination/append.rs
+++ b/lib/src/coordination/append.rs
@@ -274,10 +274,10 @@
     // Hedging is safe: readers drop a duplicate by the writer's sequence number.
     let request = || Request::post(APPEND).body(full(bytes.clone()));
     let limits = Limits { max_bytes: 4096, timeout: APPEND_TIMEOUT, long_poll: Duration::ZERO };
-    let answer =
+    let response =
         node.dialer.exchange_hedged(node.settings.log_addr, request, limits).await?.response;
-    if !answer.status().is_success() {
-        return Err(ExchangeError::Status(answer.status().as_u16()));
+    if !response.status().is_success() {
+        return Err(ExchangeError::Status(response.status().as_u16()));
     }
-    Ok(serde_json::from_slice(answer.body())?)
+    Ok(serde_json::from_slice(response.body())?)
 }
--- a/lib/src/coordination/box_list.rs
+++ b/lib/src/coordination/box_list.rs
@@ -119,10 +119,10 @@
     let request = || Request::get(&path).body(full(""));
     let limits =
         Limits { max_bytes: MAX_LIST_BYTES, timeout: READ_TIMEOUT, long_poll: Duration::ZERO };
-    let answer =
+    let response =
         node.dialer.exchange_hedged(node.settings.box_list_addr, request, limits).await?.response;
-    if !answer.status().is_success() {
-        return Err(ExchangeError::Status(answer.status().as_u16()));
+    if !response.status().is_success() {
+        return Err(ExchangeError::Status(response.status().as_u16()));
     }
-    Ok(serde_json::from_slice(answer.body())?)
+    Ok(serde_json::from_slice(response.body())?)
 }
--- a/lib/src/coordination/catch_up.rs
+++ b/lib/src/coordination/catch_up.rs
@@ -124,13 +124,13 @@
     whole: bool,
 ) -> Result<(), CatchUpError> {
     let from = node.replica.next();
-    let answer = timeout(EXCHANGE_TIMEOUT, fetch_answer(node, peer, from, whole)).await;
-    match answer.map_err(|_| CatchUpError::Timeout)?? {
-        Answer::Batches(batches) => {
+    let updates = timeout(EXCHANGE_TIMEOUT, fetch_updates(node, peer, from, whole)).await;
+    match updates.map_err(|_| CatchUpError::Timeout)?? {
+        Updates::Batches(batches) => {
             node.counters.add("catch-up.batches", batches.len() as u64);
             follow::apply_batches(node, batches).await;
         }
-        Answer::State(fleet) => {
+        Updates::State(fleet) => {
             node.counters.count("catch-up.states");
             follow::install_fleet(node, *fleet, whole).await;
         }
@@ -138,17 +138,17 @@
     Ok(())
 }
 
-enum Answer {
+enum Updates {
     Batches(Vec<(Offset, Bytes)>),
     State(Box<Fleet>),
 }
 
-async fn fetch_answer(
+async fn fetch_updates(
     node: &Node,
     peer: SocketAddr,
     from: Offset,
     whole: bool,
-) -> Result<Answer, CatchUpError> {
+) -> Result<Updates, CatchUpError> {
     let mut stream = peer_stream(TcpStream::connect(peer).await?);
     let key = &node.settings.peer_key;
     let greeting: Greeting = open(key, &receive_frame(&mut stream).await?)?;
@@ -176,13 +176,13 @@
         }
     }
     if state.is_empty() {
-        return Ok(Answer::Batches(batches));
+        return Ok(Updates::Batches(batches));
     }
     // The pieces are authenticated and in order, so the digest need not be sent: it is that of the
     // received bytes.
     let digest = snapshot::digest(&state);
     let fleet = snapshot::decode(&state, from, digest)?;
-    Ok(Answer::State(Box::new(fleet)))
+    Ok(Updates::State(Box::new(fleet)))
 }
 
 async fn receive_frame(stream: &mut PeerStream) -> Result<Bytes, CatchUpError> {
--- a/lib/src/coordination/follow.rs
+++ b/lib/src/coordination/follow.rs
@@ -150,12 +150,12 @@
     let path = read_path(from, MAX_RECORDS, LONG_POLL.as_millis() as u64);
     let request = || Request::get(&path).body(full(""));
     let limits = Limits { max_bytes: MAX_PAGE_BYTES, timeout: READ_TIMEOUT, long_poll: LONG_POLL };
-    let answer =
+    let response =
         node.dialer.exchange_hedged(node.settings.log_addr, request, limits).await?.response;
-    if !answer.status().is_success() {
-        return Err(ExchangeError::Status(answer.status().as_u16()));
+    if !response.status().is_success() {
+        return Err(ExchangeError::Status(response.status().as_u16()));
     }
-    Ok(serde_json::from_slice(answer.body())?)
+    Ok(serde_json::from_slice(response.body())?)
 }
 
 async fn apply_batch(node: &Arc<Node>, offset: Offset, bytes: Bytes) {
--- a/lib/src/coordination/reconcile.rs
+++ b/lib/src/coordination/reconcile.rs
@@ -318,9 +318,9 @@
     addr: SocketAddr,
     request: Request<HttpBody>,
 ) -> Result<Status, ExchangeError> {
-    let answer = node.dialer.exchange(addr, request, MAX_STATUS_BYTES, WORKER_TIMEOUT).await?;
-    if !answer.status().is_success() {
-        return Err(ExchangeError::Status(answer.status().as_u16()));
+    let response = node.dialer.exchange(addr, request, MAX_STATUS_BYTES, WORKER_TIMEOUT).await?;
+    if !response.status().is_success() {
+        return Err(ExchangeError::Status(response.status().as_u16()));
     }
-    Ok(serde_json::from_slice(answer.body())?)
+    Ok(serde_json::from_slice(response.body())?)
 }
