--- a/lib/src/coordination/catch_up.rs
+++ b/lib/src/coordination/catch_up.rs
@@ -41,9 +41,9 @@
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after a failed exchange or accept.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Most peers served at a time.
+/// Maximum number of peers served at a time.
 const MAX_CLIENTS: usize = 8;
-/// Most bytes of state in one piece.
+/// Maximum size of the part of a state in one piece, in bytes.
 const STATE_PIECE_BYTES: usize = 1024 * 1024;
 /// Largest state taken from a peer, in bytes.
 const MAX_STATE_BYTES: usize = 64 * 1024 * 1024;
@@ -54,10 +54,10 @@
     /// The connection failed.
     #[error("the connection failed")]
     Connection(#[from] io::Error),
-    /// The peer closed the connection before the answer was complete.
+    /// The peer closed the connection before the response was complete.
     #[error("the peer closed the connection")]
     ConnectionClosed,
-    /// A message has a wrong seal, or does not decode.
+    /// The keyed hash of a message does not match, or the message does not decode.
     #[error(transparent)]
     Piece(#[from] PieceError),
     /// A piece or request belongs to another exchange, or a piece is out of order.
@@ -116,21 +116,21 @@
     }
 }
 
-/// Fetches and applies the batches that a peer has applied beyond this daemon. If `whole`, or if
-/// the peer no longer has all of them, installs its state instead.
+/// Fetches and applies the batches that a peer has applied and this daemon has not. If `whole`, or
+/// if the peer no longer has all of them, installs its state instead.
 pub async fn from_peer(
     node: &Arc<Node>,
     peer: SocketAddr,
     whole: bool,
 ) -> Result<(), CatchUpError> {
     let from = node.replica.next();
-    let answer = timeout(EXCHANGE_TIMEOUT, fetch_answer(node, peer, from, whole)).await;
-    match answer.map_err(|_| CatchUpError::Timeout)?? {
-        Answer::Batches(batches) => {
+    let updates = timeout(EXCHANGE_TIMEOUT, fetch_updates(node, peer, from, whole)).await;
+    match updates.map_err(|_| CatchUpError::Timeout)?? {
+        Updates::Batches(batches) => {
             node.counters.add("catch-up.batches", batches.len() as u64);
             follow::apply_batches(node, batches).await;
         }
-        Answer::State(fleet) => {
+        Updates::State(fleet) => {
             node.counters.count("catch-up.states");
             follow::install_fleet(node, *fleet, whole).await;
         }
@@ -138,17 +138,17 @@
     Ok(())
 }
 
-enum Answer {
+enum Updates {
     Batches(Vec<(Offset, Bytes)>),
     State(Box<Fleet>),
 }
 
-async fn fetch_answer(
+async fn fetch_updates(
     node: &Node,
     peer: SocketAddr,
     from: Offset,
     whole: bool,
-) -> Result<Answer, CatchUpError> {
+) -> Result<Updates, CatchUpError> {
     let mut stream = peer_stream(TcpStream::connect(peer).await?);
     let key = &node.settings.peer_key;
     let greeting: Greeting = open(key, &receive_frame(&mut stream).await?)?;
@@ -176,13 +176,13 @@
         }
     }
     if state.is_empty() {
-        return Ok(Answer::Batches(batches));
+        return Ok(Updates::Batches(batches));
     }
     // The pieces are authenticated and in order, so the digest need not be sent: it is that of the
     // received bytes.
     let digest = snapshot::digest(&state);
     let fleet = snapshot::decode(&state, from, digest)?;
-    Ok(Answer::State(Box::new(fleet)))
+    Ok(Updates::State(Box::new(fleet)))
 }
 
 async fn receive_frame(stream: &mut PeerStream) -> Result<Bytes, CatchUpError> {
--- a/lib/src/coordination/follow.rs
+++ b/lib/src/coordination/follow.rs
@@ -24,11 +24,11 @@
 use crate::transport::dial::Limits;
 use crate::transport::dial::full;
 
-/// Most records in one read.
+/// Maximum number of records in one read.
 const MAX_RECORDS: usize = 1000;
-/// Largest answer to a read, in bytes.
+/// Largest response to a read, in bytes.
 const MAX_PAGE_BYTES: usize = 64 * 1024 * 1024;
-/// How long the log may delay its answer to a read that finds nothing new.
+/// How long the log may delay its response to a read that finds nothing new.
 const LONG_POLL: Duration = Duration::from_millis(1000);
 /// How long a read may take.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
@@ -150,12 +150,12 @@
     let path = read_path(from, MAX_RECORDS, LONG_POLL.as_millis() as u64);
     let request = || Request::get(&path).body(full(""));
     let limits = Limits { max_bytes: MAX_PAGE_BYTES, timeout: READ_TIMEOUT, long_poll: LONG_POLL };
-    let answer =
+    let response =
         node.dialer.exchange_hedged(node.settings.log_addr, request, limits).await?.response;
-    if !answer.status().is_success() {
-        return Err(ExchangeError::Status(answer.status().as_u16()));
+    if !response.status().is_success() {
+        return Err(ExchangeError::Status(response.status().as_u16()));
     }
-    Ok(serde_json::from_slice(answer.body())?)
+    Ok(serde_json::from_slice(response.body())?)
 }
 
 async fn apply_batch(node: &Arc<Node>, offset: Offset, bytes: Bytes) {
