--- a/cli/src/trial/batch.rs
+++ b/cli/src/trial/batch.rs
@@ -1,4 +1,4 @@
-//! Trial on the simulated users' platform: real daemon processes run jobs under random faults.
+//! Trial on the stand-in platform: real daemon processes run jobs under random faults.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     if json {
         println!("{}", serde_json::to_string(&report)?);
     }
-    match report.broken {
+    match report.violations {
         violations if violations.is_empty() => Ok(()),
         violations => Err(Error::Violated { violations }),
     }
@@ -53,7 +53,7 @@
         ("jobs without an answer", report.unknown),
         ("jobs cancelled", report.cancelled),
         ("starts of tasks", report.starts as usize),
-        ("promises broken", report.broken.len()),
+        ("promises broken", report.violations.len()),
     ];
     lines.extend(counts.iter().map(|(what, count)| format!("{what:32} {count}")));
     lines.join("\n")
--- a/cli/tests/test_soak.rs
+++ b/cli/tests/test_soak.rs
@@ -53,8 +53,8 @@
         let report = soak::run(PROGRAM, seed, duration()).await.unwrap();
         println!("seed {seed}: {report:#?}");
         assert!(report.accepted > 0, "seed {seed}: no job was accepted");
-        if !report.broken.is_empty() {
-            failed.push((seed, report.broken));
+        if !report.violations.is_empty() {
+            failed.push((seed, report.violations));
         }
     }
     assert!(failed.is_empty(), "{failed:#?}");
--- a/testutils/src/caller.rs
+++ b/testutils/src/caller.rs
@@ -60,10 +60,10 @@
     }
 }
 
-/// Sends a request to a daemon; returns its outcome, and what the caller observed where there was
-/// no valid outcome.
-pub async fn call(dialer: &Dialer, entry: SocketAddr, call: &Call) -> (Outcome, Option<String>) {
-    let answer = dialer.exchange(entry, call.request(), MAX_ANSWER_BYTES, ANSWER_TIMEOUT).await;
+/// Sends a request to a daemon. Returns its outcome, and a description of what the caller observed
+/// if there was no valid outcome.
+pub async fn call(dialer: &Dialer, daemon: SocketAddr, call: &Call) -> (Outcome, Option<String>) {
+    let answer = dialer.exchange(daemon, call.request(), MAX_ANSWER_BYTES, ANSWER_TIMEOUT).await;
     match answer {
         Ok(answer) => {
             let outcome = read_outcome(call, &answer);
@@ -71,7 +71,7 @@
                 (outcome == Outcome::Nothing).then(|| format!("saw status {}", answer.status()));
             (outcome, observed)
         }
-        // No daemon received the request, which a balancer would report as well.
+        // No daemon received the request; a load balancer would also report that it was not run.
         Err(ExchangeError::NotSent(_)) => (Outcome::NotRun, None),
         Err(error) => (Outcome::Nothing, Some(format!("saw {error:?}"))),
     }
@@ -98,11 +98,11 @@
 pub async fn call_and_record(
     ledger: &Ledger,
     dialer: &Dialer,
-    entry: SocketAddr,
+    daemon: SocketAddr,
     request: &Call,
 ) -> Outcome {
     ledger.record_sent(request.token, request.repeatable);
-    let (outcome, observed) = call(dialer, entry, request).await;
+    let (outcome, observed) = call(dialer, daemon, request).await;
     if let Some(observed) = observed {
         ledger.add_note(request.token, observed);
     }
@@ -112,16 +112,16 @@
 
 /// Stand-in for the load balancer, which health-checks the daemons.
 pub struct Balancer {
-    entries: Vec<SocketAddr>,
+    daemons: Vec<SocketAddr>,
     healthy: Mutex<Vec<bool>>,
     dialer: Dialer,
 }
 
 impl Balancer {
     /// A balancer for daemons at these addresses, all of them unhealthy until the first check.
-    pub fn new(entries: Vec<SocketAddr>) -> Balancer {
-        let healthy = Mutex::new(vec![false; entries.len()]);
-        Balancer { entries, healthy, dialer: Dialer::new(HEALTH_TIMEOUT) }
+    pub fn new(daemons: Vec<SocketAddr>) -> Balancer {
+        let healthy = Mutex::new(vec![false; daemons.len()]);
+        Balancer { daemons, healthy, dialer: Dialer::new(HEALTH_TIMEOUT) }
     }
 
     /// The index of a healthy daemon chosen at random; `None` if there is none.
@@ -136,7 +136,7 @@
 
     /// The address of a daemon.
     pub fn addr(&self, index: usize) -> SocketAddr {
-        self.entries[index]
+        self.daemons[index]
     }
 
     /// Whether all daemons are healthy.
@@ -150,7 +150,7 @@
 
     /// Checks the health of every daemon once.
     pub async fn check(&self) {
-        for (index, addr) in self.entries.iter().enumerate() {
+        for (index, addr) in self.daemons.iter().enumerate() {
             let request = Request::get(HEALTH).body(full("")).expect("a constant path is valid");
             let answer = self.dialer.exchange(*addr, request, 1024, HEALTH_TIMEOUT).await;
             let ok = answer.is_ok_and(|answer| answer.status().is_success());
--- a/testutils/src/daemon.rs
+++ b/testutils/src/daemon.rs
@@ -40,8 +40,8 @@
         Ok(Daemon { addrs, runtime: Some(runtime), stop, stopped: Some(stopped) })
     }
 
-    /// Ends the daemon at once: its tasks stop where they are and its sockets close. The thread
-    /// ends when all of its tasks have ended.
+    /// Ends the daemon at once: its tasks are dropped at their next await and its sockets close.
+    /// The returned thread ends when all of them have ended.
     pub fn kill(mut self) -> JoinHandle<()> {
         let runtime = self.runtime.take().expect("only kill and stop take the runtime");
         // Dropping a runtime blocks on its threads, which is not allowed within another runtime.
--- a/testutils/src/kills.rs
+++ b/testutils/src/kills.rs
@@ -3,12 +3,12 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Counts the kills of each daemon that takes calls, from the decision until its last task has
-/// ended. In between, a few milliseconds or more on a busy machine, it accepts requests that it
-/// will not answer.
+/// Counts the kills of each daemon. A kill lasts from the decision until the daemon's last task has
+/// ended, which takes a few milliseconds or more on a busy machine; in that time the daemon may
+/// accept requests that it will not answer.
 #[derive(Debug, Default)]
 pub struct Kills {
-    boxes: Vec<Counts>,
+    daemons: Vec<Counts>,
 }
 
 #[derive(Debug, Default)]
@@ -17,29 +17,29 @@
     ended: AtomicU64,
 }
 
-/// The number of kills of a daemon that had ended at some time.
+/// The number of kills of a daemon that had ended when the mark was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mark(u64);
 
 impl Kills {
-    /// Counts for `boxes` daemons, without any kills.
-    pub fn new(boxes: usize) -> Kills {
-        Kills { boxes: (0..boxes).map(|_| Counts::default()).collect() }
+    /// Counters of `count` daemons, none of which has been killed.
+    pub fn new(count: usize) -> Kills {
+        Kills { daemons: (0..count).map(|_| Counts::default()).collect() }
     }
 
     /// Records that a kill of a daemon starts.
-    pub fn record_started(&self, entry: usize) {
-        self.boxes[entry].started.fetch_add(1, Ordering::SeqCst);
+    pub fn record_started(&self, daemon: usize) {
+        self.daemons[daemon].started.fetch_add(1, Ordering::SeqCst);
     }
 
     /// Records that a kill of a daemon has ended: none of its tasks runs any more.
-    pub fn record_ended(&self, entry: usize) {
-        self.boxes[entry].ended.fetch_add(1, Ordering::SeqCst);
+    pub fn record_ended(&self, daemon: usize) {
+        self.daemons[daemon].ended.fetch_add(1, Ordering::SeqCst);
     }
 
     /// A mark to be taken before a request is sent to a daemon.
-    pub fn mark(&self, entry: usize) -> Mark {
-        Mark(self.boxes[entry].ended.load(Ordering::SeqCst))
+    pub fn mark(&self, daemon: usize) -> Mark {
+        Mark(self.daemons[daemon].ended.load(Ordering::SeqCst))
     }
 
     /// Whether the daemon was being killed at any time since the mark was taken.
@@ -55,7 +55,7 @@
     /// assert!(kills.was_killed_since(0, before) && kills.was_killed_since(0, during));
     /// assert!(!kills.was_killed_since(0, kills.mark(0)));
     /// ```
-    pub fn was_killed_since(&self, entry: usize, since: Mark) -> bool {
-        self.boxes[entry].started.load(Ordering::SeqCst) > since.0
+    pub fn was_killed_since(&self, daemon: usize, since: Mark) -> bool {
+        self.daemons[daemon].started.load(Ordering::SeqCst) > since.0
     }
 }
--- a/testutils/src/ledger.rs
+++ b/testutils/src/ledger.rs
@@ -1,4 +1,5 @@
-//! Records what workers and callers observed, independently of the product, and compares it.
+//! Records what workers and callers observed, independently of the product, and checks that it
+//! violates no guarantee.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,9 +16,10 @@
 /// Id that a caller gives a request, and that its answer must carry.
 pub type Token = u64;
 
-/// How long a box may still receive requests after it was told to drain.
+/// How long a box may still receive requests after it was ordered to drain.
 pub const DRAIN_GRACE: Duration = Duration::from_secs(2);
-/// How long the death of a box may stay undetected before the box counts against a budget.
+/// Time after which a dead box counts against its pool's budget, since daemons should have detected
+/// its death by then.
 pub const DETECTION_TIME: Duration = Duration::from_secs(4);
 
 /// The outcome of a request, as its caller received it.
@@ -37,7 +39,7 @@
     Nothing,
 }
 
-/// A pool, by which the ledger checks budgets.
+/// A pool whose budget the ledger checks.
 #[derive(Clone, Debug)]
 pub struct Pool {
     /// Its name.
@@ -102,9 +104,9 @@
     out_since: Option<Instant>,
     draining_since: Option<Instant>,
     dead_since: Option<Instant>,
-    /// Whether it was told to run nothing and does not serve again yet: it is moving to another
-    /// pool and counts as out of service in none. A box that has never served in a pool cannot be
-    /// missing there.
+    /// Whether it was ordered to run no jobs and does not serve again yet. It is then moving to
+    /// another pool and does not count as out of service in either: a box that has never served
+    /// in a pool cannot be missing there.
     is_in_transit: bool,
     inflight: BTreeSet<Token>,
 }
@@ -130,11 +132,11 @@
     pub false_not_run: u64,
     /// Requests that were running on a box when it rebooted on command.
     pub cut_by_planned_stop: u64,
-    /// Times that a box was told to drain although its pool had no budget left.
+    /// Times that a box was ordered to drain although its pool had no budget left.
     pub budget_breaches: u64,
     /// Times that a box was given jobs of more than one pool.
     pub boxes_in_two_pools: u64,
-    /// Requests that a box received more than two seconds after it was told to drain.
+    /// Requests that a box received more than two seconds after it was ordered to drain.
     pub work_after_leaving: u64,
     /// Requests that a box received while all of its slots were in use.
     pub over_slots: u64,
@@ -207,7 +209,7 @@
         self.inner().calls.entry(token).or_default().notes.push(note);
     }
 
-    /// One line for each time that a box was told to drain although its pool had no budget left.
+    /// One line for each time that a box was ordered to drain although its pool had no budget left.
     /// Times are relative to `since`.
     pub fn describe_breaches(&self, since: Instant) -> Vec<String> {
         let inner = self.inner();
@@ -262,13 +264,13 @@
         self.inner().over_slots += 1;
     }
 
-    /// Records that a worker was told which jobs to run.
+    /// Records that a worker was ordered to run these jobs.
     pub fn record_jobs(&self, target: &BoxId, jobs: &[ServiceKey]) {
         let mut inner = self.inner();
         let pools = inner.pools_with(jobs);
         inner.boxes_in_two_pools += u64::from(pools.len() > 1);
         let state = inner.boxes.entry(target.clone()).or_default();
-        // A box with new jobs that was told to drain does not serve them yet.
+        // A draining box that has received new jobs does not serve them yet.
         state.is_in_transit =
             jobs.is_empty() || state.is_in_transit && state.draining_since.is_some();
         let Some(pool) = pools.first().copied() else {
@@ -279,7 +281,7 @@
         inner.moves += u64::from(moved);
     }
 
-    /// Records that a worker was told to drain.
+    /// Records that a worker was ordered to drain.
     pub fn record_draining(&self, target: &BoxId) {
         let mut inner = self.inner();
         let state = inner.boxes.entry(target.clone()).or_default();
@@ -297,7 +299,7 @@
         }
     }
 
-    /// Records that a worker was told to serve again.
+    /// Records that a worker was ordered to serve again.
     pub fn record_resumed(&self, target: &BoxId) {
         let mut inner = self.inner();
         let state = inner.boxes.entry(target.clone()).or_default();
@@ -371,8 +373,8 @@
         used.map(|(index, _)| index).collect()
     }
 
-    /// Describes a drain beyond the budget of a pool: the box that was told to drain, and the boxes
-    /// of its pool that are out of service.
+    /// Describes a drain that exceeds the budget of a pool: the box that was ordered to drain, and
+    /// the boxes of its pool that are out of service.
     fn describe_breach(&self, target: &BoxId, pool: usize) -> String {
         let ms = |since: Option<Instant>| since.map(|since| since.elapsed().as_millis());
         let pool_boxes = self.boxes.iter().filter(|(_, state)| state.pool == Some(pool));
--- a/testutils/src/platform/ledger.rs
+++ b/testutils/src/platform/ledger.rs
@@ -17,7 +17,7 @@
 #[derive(Default)]
 struct LedgerInner {
     running: HashMap<String, u32>,
-    /// The time since which each task that ran before is not running.
+    /// The time at which each task that has run before and is not running now stopped running.
     not_running_since: HashMap<String, Instant>,
     done: HashMap<String, u32>,
     /// Tasks that were done at any time, including those whose end was lost.
@@ -25,11 +25,12 @@
     starts: HashMap<String, u32>,
     /// Number of worker crashes while each task was running.
     lost_with_worker: HashMap<String, u32>,
-    /// Number of workers that each task has crashed, and of its starts after the third crash.
+    /// Number of workers that each task has crashed, and number of its starts after the third
+    /// crash.
     crashes: HashMap<String, (u32, u32)>,
     /// Task counts of each step of the submitted jobs; empty if no job was announced.
     expected_steps: HashMap<String, Vec<u32>>,
-    /// Jobs of which no task may start from a given time on.
+    /// The time from which no task of a job may start, by job.
     starts_forbidden_from: HashMap<String, Instant>,
     violations: Vec<String>,
     /// The account of each job that has one.
@@ -38,12 +39,13 @@
     max_running: HashMap<String, u32>,
 }
 
-/// Crashed workers after which a task may be started only [`MAX_STARTS_AFTER_CRASHES`] more times.
+/// Number of workers that a task has crashed when only [`MAX_STARTS_AFTER_CRASHES`] further starts
+/// are allowed.
 const CRASH_LIMIT: u32 = 3;
-/// Number of starts allowed after that.
+/// Number of starts of a task that are allowed after [`CRASH_LIMIT`] crashes.
 const MAX_STARTS_AFTER_CRASHES: u32 = 2;
 
-/// The job and the step of a task's name.
+/// The job and the step in a task's name.
 fn parse_task(task: &str) -> (&str, usize) {
     let mut parts = task.split('.');
     let job = parts.next().unwrap_or_default();
@@ -52,7 +54,7 @@
 }
 
 impl LedgerInner {
-    /// The violation by a start, apart from the task running twice.
+    /// The guarantee that a start violates, if any, apart from the task running twice.
     fn check_start(&self, task: &str) -> Option<String> {
         let (job, step) = parse_task(task);
         if self.starts_forbidden_from.get(job).is_some_and(|since| since.elapsed() > Duration::ZERO)
@@ -74,7 +76,7 @@
 }
 
 impl LedgerInner {
-    /// The violation if a start that has been counted exceeds the quota of its account.
+    /// The violation if a start, which is already counted, exceeds the quota of its account.
     fn check_quota(&self, task: &str) -> Option<String> {
         let owner = self.owners.get(parse_task(task).0)?;
         let max_running = *self.max_running.get(owner)?;
@@ -153,7 +155,7 @@
     pub fn max_workers_lost(&self, job: &str) -> u32 {
         let ledger = self.lock();
         let of_job = ledger.lost_with_worker.iter().filter(|(task, _)| task.starts_with(job));
-        of_job.map(|(_, lost)| *lost).max().unwrap_or(0)
+        of_job.map(|(_, crashes)| *crashes).max().unwrap_or(0)
     }
 
     /// Records that a task has crashed its worker.
@@ -222,8 +224,8 @@
         self.lock().starts.values().sum()
     }
 
-    /// The task of a job that ran before and has been not running for the longest time, with that
-    /// time.
+    /// The task of a job that has run before and has not been running for the longest time, with
+    /// that time.
     pub fn longest_not_running(&self, job: &str) -> Option<(String, Duration)> {
         let ledger = self.lock();
         let of_job = ledger.not_running_since.iter().filter(|(task, _)| task.starts_with(job));
--- a/testutils/src/platform/machines.rs
+++ b/testutils/src/platform/machines.rs
@@ -32,11 +32,11 @@
 use crate::platform::worker::StartOptions;
 use crate::platform::worker::Worker;
 
-/// How long a machine is down for a move or for maintenance.
-const AWAY_TIME: Duration = Duration::from_millis(600);
+/// How long a machine is down for a move or maintenance, or after a crash of its worker.
+const DOWNTIME: Duration = Duration::from_millis(600);
 
-/// How far the clock of an incarnation is ahead of its predecessor's, where it is not behind, in
-/// milliseconds.
+/// Clock advance of a new incarnation over its predecessor, in milliseconds, unless its clock
+/// starts behind.
 const CLOCK_ADVANCE_MS: u64 = 40_000;
 
 struct Machine {
@@ -61,7 +61,7 @@
     orders_to_lose: usize,
     /// Machines that refuse every order as busy, with the number of refusals.
     busy_refusals: HashMap<String, usize>,
-    /// Whether a worker keeps the id that it had on its machine in its service.
+    /// Whether a new incarnation takes over the id of the last one on its machine in its service.
     reuses_ids: bool,
     /// The latest incarnation on each machine in each service.
     last_incarnations: HashMap<(String, String), Worker>,
@@ -153,15 +153,14 @@
         (state.maintained.get(&wave).map_or(0, HashSet::len), state.max_down)
     }
 
-    /// Crashes a machine's worker; another incarnation starts after `AWAY_TIME`. Without effect
-    /// if the machine is down: the incarnation that is about to start there would get a second one
-    /// beside it.
+    /// Crashes a machine's worker; another incarnation starts after `DOWNTIME`. Without effect
+    /// if the machine has no worker, since an incarnation may be about to start there already.
     pub async fn crash(&self, id: &str) {
         if self.worker(id).is_none() {
             return;
         }
         self.take_down(id, DOWN);
-        self.bring_up(id.to_owned(), AWAY_TIME).await;
+        self.bring_up(id.to_owned(), DOWNTIME).await;
     }
 
     /// Crashes a machine's worker; no other one starts there.
@@ -196,12 +195,12 @@
         self.state().maintained.entry(wave).or_default().insert(id.to_owned());
     }
 
-    /// Makes the next `count` orders be neither executed nor answered.
+    /// Drops the next `count` orders: they are neither executed nor answered.
     pub fn lose_orders(&self, count: usize) {
         self.state().orders_to_lose = count;
     }
 
-    /// Makes a machine refuse every order as busy, as one that is about to leave does.
+    /// Makes a machine refuse every order as busy, like a machine that is about to leave.
     pub fn refuse_as_busy(&self, id: &str) {
         self.state().busy_refusals.insert(id.to_owned(), 0);
     }
@@ -211,8 +210,8 @@
         self.state().busy_refusals.get(id).copied().unwrap_or(0)
     }
 
-    /// Whether an order that has just arrived is lost; counts it as lost if so.
-    fn take_lost_order(&self) -> bool {
+    /// Whether the order that has just arrived is to be dropped; counts it if so.
+    fn take_order_to_lose(&self) -> bool {
         let mut state = self.state();
         let is_lost = state.orders_to_lose > 0;
         state.orders_to_lose = state.orders_to_lose.saturating_sub(1);
@@ -221,12 +220,12 @@
 
     fn take_down(&self, id: &str, status: &'static str) {
         let mut state = self.state();
-        let keeps_ids = state.reuses_ids;
+        let reuses_ids = state.reuses_ids;
         if let Some(machine) = state.machines.get_mut(id) {
             machine.status = status;
             if let Some(worker) = machine.worker.take() {
                 match status {
-                    DOWN if keeps_ids => worker.crash_before_successor(),
+                    DOWN if reuses_ids => worker.crash_before_successor(),
                     DOWN => worker.crash(),
                     _ => worker.terminate(),
                 }
@@ -283,8 +282,8 @@
         let started =
             Worker::start(&self.store, &self.ledger, id, shape, &self.crash_sender, options);
         let worker = started.await?;
-        let position = (id.to_owned(), shape.service.clone());
-        self.state().last_incarnations.insert(position, worker.clone());
+        let key = (id.to_owned(), shape.service.clone());
+        self.state().last_incarnations.insert(key, worker.clone());
         Ok(Some(worker))
     }
 
@@ -294,7 +293,7 @@
         let body = read_json(request.into_body()).await;
         match path.as_str() {
             "/api/machines" => self.list(),
-            "/api/machine-move" | "/api/machine-upkeep" if self.take_lost_order() => {
+            "/api/machine-move" | "/api/machine-upkeep" if self.take_order_to_lose() => {
                 std::future::pending().await
             }
             "/api/machine-move" | "/api/machine-upkeep" => self.handle_order(&path, token, &body),
@@ -358,7 +357,7 @@
         };
         self.take_down(&id, status);
         let machines = self.clone();
-        tokio::spawn(async move { machines.bring_up(id, AWAY_TIME).await });
+        tokio::spawn(async move { machines.bring_up(id, DOWNTIME).await });
         json_response(200, &json!({}))
     }
 }
--- a/testutils/src/platform/site.rs
+++ b/testutils/src/platform/site.rs
@@ -44,7 +44,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// The `cpuShare` setting of a node by default: the fraction of a core that it may use.
 const CPU_SHARE: f64 = 0.25;
-/// Default least time between the order windows of two schedulers.
+/// Default minimum time between the order windows of two schedulers.
 const HANDOVER_GAP: Duration = Duration::from_secs(1);
 
 /// A site.
@@ -70,8 +70,8 @@
 
 impl Site {
     /// Starts `nodes` daemons of `program`, with `workers` machines in pool `work` and `reserve` in
-    /// pool `spare`, and waits until each of them answers clients: a daemon that does not listen
-    /// yet refuses connections, which is no fault.
+    /// pool `spare`, and waits until each of them answers clients, since a daemon that does not
+    /// listen yet refuses connections.
     pub async fn start(
         program: &str,
         nodes: usize,
@@ -81,7 +81,7 @@
         Site::start_with_cpu_shares(program, &vec![CPU_SHARE; nodes], workers, reserve).await
     }
 
-    /// Like [`Site::start`], with this least time between the order windows of two schedulers.
+    /// Like [`Site::start`], with this minimum time between the order windows of two schedulers.
     pub async fn start_with_handover_gap(
         program: &str,
         nodes: usize,
@@ -93,7 +93,8 @@
         Site::start_with(program, &cpu_shares, workers, reserve, (handover_gap, None)).await
     }
 
-    /// Like [`Site::start`], with shards of so many workers, which other nodes dispatch to.
+    /// Like [`Site::start`], with this number of workers in each shard, so that other nodes than
+    /// the leader dispatch to workers.
     pub async fn start_sharded(
         program: &str,
         nodes: usize,
@@ -182,8 +183,8 @@
         self.store.put(OPERATOR_TOPIC, Record::set("config", config));
     }
 
-    /// Calls a node with the key of the account that owns the job that the path ends in, without a
-    /// key if it has no account; status 0 if there is no answer.
+    /// Calls a node about the job that the path ends in, with the key of the job's account, or
+    /// without a key if it has none; status 0 if there is no answer.
     async fn call(&self, node: usize, method: Method, path: &str, body: Value) -> (u16, Value) {
         let job = path.rsplit('/').next().unwrap_or_default();
         match self.ledger.owner(job) {
@@ -310,7 +311,7 @@
         status.is_some_and(|status| status.ends_with(b"\"succeeded\"}"))
     }
 
-    /// The index of the leader, by its lease in the store.
+    /// The index of the leader according to the leader lease in the store.
     pub fn leader(&self) -> Option<usize> {
         let record = self.store.get("keyed.lead", "lead")?;
         let lease: spokelift_lib::batch::leader::LeaderLease =
--- a/testutils/src/platform/site/node.rs
+++ b/testutils/src/platform/site/node.rs
@@ -33,9 +33,9 @@
 pub const SITE_KEY: &str = "site:a-secret-of-the-site";
 /// Largest number of log lines in a daemon's diagnostics.
 const MAX_SHOWN_LINES: usize = 20;
-/// Number of loopback addresses of a test process, after which they are used again.
+/// Number of loopback addresses of a test process; further nodes reuse them.
 const ADDRESSES_PER_PROCESS: u32 = 250;
-/// Number of loopback addresses used by this process.
+/// Number of loopback addresses that this process has used so far, with repetitions.
 static ADDRESSES_USED: AtomicU32 = AtomicU32::new(0);
 
 /// The settings of a daemon, and the services around it.
@@ -43,7 +43,7 @@
     pub(super) number: usize,
     /// Its `cpuShare` setting: the fraction of a core that it may use.
     pub(super) cpu_share: f64,
-    /// Least time between the order windows of two schedulers.
+    /// Minimum time between the order windows of two schedulers.
     pub(super) handover_gap: Duration,
     /// Number of workers in a shard; `None` for the daemon's default.
     pub(super) workers_per_shard: Option<usize>,
@@ -102,12 +102,12 @@
         std::fs::write(&settings_file, text)?;
         let log_file = settings_file.with_extension("log");
         let program = program.to_owned();
-        let operate_addr = SocketAddr::new(ip, peers + 1);
+        let operator_addr = SocketAddr::new(ip, peers + 1);
         Ok(Node {
             store_endpoint,
             store_proxy,
             client_proxy,
-            operator_addr: operate_addr,
+            operator_addr,
             settings_file,
             log_file,
             program,
--- a/testutils/src/platform/soak.rs
+++ b/testutils/src/platform/soak.rs
@@ -1,5 +1,5 @@
-//! A soak test: real daemons under random faults of their environment, checked against what clients
-//! were told and what workers observed.
+//! A soak test: real daemons under random faults of their environment, checked against the answers
+//! that clients received and the runs that workers observed.
 //!
 //! A seed determines the jobs and the schedule of faults; the timing of the processes differs
 //! between runs.
@@ -48,6 +48,7 @@
 const CLIENTS: u64 = 3;
 /// Separates the random numbers of black-holed connections from those of the other faults.
 const BLACK_HOLE_SEED_MASK: u64 = 0x51_1e47;
+
 /// The results of a soak test.
 #[derive(Debug, Default, Serialize)]
 pub struct Report {
@@ -66,9 +67,11 @@
     /// Injected faults with their times.
     pub faults: Vec<String>,
     /// Violated guarantees.
-    pub broken: Vec<String>,
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
     /// The folder with the daemons' logs and views; `None` if no guarantee was violated.
-    pub kept: Option<PathBuf>,
+    #[serde(rename = "kept")]
+    pub diagnostics: Option<PathBuf>,
 }
 
 /// Runs daemons of `program` under the faults of a seed for `time`, then waits until all accepted
@@ -143,8 +146,8 @@
         poison: count(|job| job.accepted && job.is_poison),
         starts: site.ledger.start_count(),
         faults,
-        broken: violations,
-        kept: diagnostics,
+        violations,
+        diagnostics,
     })
 }
 
--- a/testutils/src/platform/soak/accounts.rs
+++ b/testutils/src/platform/soak/accounts.rs
@@ -23,7 +23,7 @@
 const MAX_TASKS: u32 = 4;
 /// Time between two versions of the configuration, in milliseconds.
 const CONFIG_INTERVAL_MS: std::ops::RangeInclusive<u64> = 150..=1_500;
-/// Pause between checks until the first version is in force.
+/// Pause between checks whether the first version is in force.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 fn draw_accounts(rng: &mut StdRng) -> Vec<Account> {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Publishes one version after another until the end time.
+/// Publishes one version after another until the deadline.
 pub(super) async fn publish_changes(site: &Site, mut rng: StdRng, deadline: Instant) {
     let mut version = 2;
     while Instant::now() < deadline {
--- a/testutils/src/platform/soak/checks.rs
+++ b/testutils/src/platform/soak/checks.rs
@@ -1,4 +1,4 @@
-//! Checks whether the results of jobs agree with what clients were told.
+//! Checks whether the results of jobs agree with the answers that clients received.
 
 use std::time::Duration;
 use std::time::Instant;
--- a/testutils/src/platform/soak/client.rs
+++ b/testutils/src/platform/soak/client.rs
@@ -16,7 +16,7 @@
 use crate::platform::soak::accounts;
 use crate::platform::soak::accounts::ACCOUNTS;
 
-/// How often a client submits a job before it stops trying.
+/// Number of attempts of a client to submit a job.
 const SUBMIT_ATTEMPTS: usize = 6;
 /// Fraction of long-running jobs, whose tasks run until they are cancelled.
 const LONG_RUNNING_PROBABILITY: f64 = 0.12;
@@ -43,7 +43,7 @@
 /// come in addition.
 const NO_STARTS_AFTER: Duration = Duration::from_secs(10);
 
-/// A job and what its client was told of it.
+/// A job and the answers that its client received about it.
 #[derive(Debug, Default)]
 pub(super) struct ClientJob {
     pub(super) id: String,
@@ -57,7 +57,7 @@
     pub(super) violations: Vec<String>,
 }
 
-/// Submits jobs one after another until the end time.
+/// Submits jobs one after another until the deadline.
 pub(super) async fn run_client(
     site: Arc<Site>,
     mut rng: StdRng,
--- a/testutils/src/platform/soak/schedule.rs
+++ b/testutils/src/platform/soak/schedule.rs
@@ -22,13 +22,13 @@
 const BLACK_HOLE_INTERVAL_MS: std::ops::RangeInclusive<u64> = 300..=3_000;
 /// Duration of a fault, in milliseconds.
 const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 200..=4_000;
-/// Time after which a daemon that was told to stop is started again: the platform takes 2.6 s to
-/// notice the stop, and the last requests a little more.
+/// Time after which a daemon that received SIGTERM is started again: the platform takes 2.6 s to
+/// detect the stop, and the last requests take a little longer.
 const RESTART_DELAY: Duration = Duration::from_millis(4_500);
 
 /// Time of the first fault; by then clients have jobs in progress.
 const FIRST_FAULT_AT: Duration = Duration::from_millis(500);
-/// Number of kinds in [`draw_fault`], some of which count twice to be twice as frequent.
+/// Number of cases in [`draw_fault`]; kinds of faults with two cases are twice as frequent.
 const FAULT_KINDS: u32 = 14;
 
 /// An action on the site.
--- a/testutils/src/platform/store.rs
+++ b/testutils/src/platform/store.rs
@@ -164,7 +164,7 @@
         records.iter().rev().find(|record| record.key == key)?.value.clone()
     }
 
-    /// Number of reads of the latest records in the first partition of a topic.
+    /// Number of reads of the latest records of all keys in the first partition of a topic.
     pub fn full_reads(&self, topic: &str) -> usize {
         self.logs().get(&topic.into()).map_or(0, |log| log.full_reads)
     }
--- a/testutils/src/platform/worker.rs
+++ b/testutils/src/platform/worker.rs
@@ -46,7 +46,7 @@
 /// Reading of a worker's clock at its start, in milliseconds.
 const CLOCK_START_MS: u64 = 1_000;
 
-/// Sends the machine of a worker that a task has crashed.
+/// Sends the id of a machine whose worker a task has crashed.
 pub type CrashSender = mpsc::UnboundedSender<String>;
 
 /// The processor capacity of a worker, in thousandths of a core.
@@ -60,16 +60,16 @@
 }
 
 impl CpuCapacity {
-    /// The capacity that a scheduler may rely on, as the worker's current entry or a recent one
-    /// states it.
+    /// The largest capacity that a scheduler may assume: that of the worker's current entry, or of
+    /// the one before if it changed just now.
     fn allowed(&self) -> u64 {
         let is_new = self.changed_at.elapsed() < CAPACITY_CHANGE_GRACE;
         if is_new { self.cpu.max(self.previous_cpu) } else { self.cpu }
     }
 }
 
-/// How long after a decrease of a worker's capacity a start may still rely on the earlier one: a
-/// heartbeat, a read of the entry, and a start in flight.
+/// How long after a decrease of a worker's capacity a start may still be based on the earlier one:
+/// long enough for a heartbeat, a read of the entry, and a start in flight.
 const CAPACITY_CHANGE_GRACE: Duration = Duration::from_millis(1_500);
 
 /// A fault of a worker.
@@ -182,7 +182,7 @@
     clock_start_ms: u64,
     current: CurrentIncarnation,
     machine: String,
-    /// Receives its machine if a task crashes it.
+    /// Receives the machine's id if a task crashes the worker.
     crash_sender: CrashSender,
     started_at: Instant,
     cpu_capacity: Mutex<CpuCapacity>,
@@ -320,13 +320,13 @@
 
     /// Sets its processor capacity, which its next heartbeat publishes, and whether it refuses
     /// tasks that do not fit.
-    pub fn set_cpu(&self, cpu: u64, guarded: bool) {
+    pub fn set_cpu(&self, cpu: u64, is_enforced: bool) {
         let mut capacity = self.inner.cpu_capacity();
         *capacity = CpuCapacity {
             cpu,
             previous_cpu: capacity.allowed(),
             changed_at: Instant::now(),
-            is_enforced: guarded,
+            is_enforced,
         };
     }
 
@@ -385,7 +385,7 @@
     })
 }
 
-/// A number from a job's specification, which follows the prefix `name`.
+/// The number that follows the prefix `name` in a job's specification.
 fn spec_number(spec: &str, name: &str) -> Option<u64> {
     let text = spec.split_whitespace().find_map(|word| word.strip_prefix(name));
     text.and_then(|text| text.parse().ok())
@@ -429,8 +429,8 @@
         self.end_notify.notify_waiters();
     }
 
-    /// Tells the ledger that schedulers may not have received the unacknowledged ends: the worker
-    /// has ended, or its lease has expired and its tasks may run elsewhere.
+    /// Makes the ledger forget the unacknowledged ends, which schedulers may not have received: the
+    /// worker has ended, or its lease has expired, so the tasks may run again elsewhere.
     fn forget_unacknowledged_ends(&self, state: &State) {
         for (_, task, ..) in
             state.unacknowledged_ends.iter().filter(|(.., outcome)| *outcome == "done")
@@ -554,8 +554,8 @@
         let runs = self.state().runs.get(&task).is_some_and(|running| running.run == run);
         if runs {
             self.ledger.record_crash_by(&task);
-            // The receiver is gone only when the machines are, and with them whatever could restart
-            // the worker.
+            // The channel is closed only after the machines have been dropped; then no worker is
+            // restarted any more.
             let _ = self.crash_sender.send(self.machine.clone());
         }
     }
--- a/testutils/src/proxy.rs
+++ b/testutils/src/proxy.rs
@@ -56,7 +56,8 @@
     Answers,
 }
 
-/// Connections with a lower number than these lose all further bytes of that direction.
+/// Black-holed connections: those with a lower number than the limit of a direction lose all
+/// further bytes of that direction.
 #[derive(Clone, Copy, Debug, Default)]
 struct BlackHoles {
     requests_below: u64,
@@ -95,25 +96,24 @@
         let listener = TcpListener::bind(addr).await?;
         let addr = listener.local_addr()?;
         let upstream = Arc::new(Mutex::new(upstream));
-        let (fault, faults) = watch::channel(Fault::default());
-        let (silenced, silences) = watch::channel(BlackHoles::default());
-        let passed = Arc::new(AtomicU64::new(0));
-        let opened = Arc::new(AtomicU64::new(0));
-        let line =
-            ConnectionContext { faults, black_holes: silences, forwarded_bytes: passed.clone() };
-        let task =
-            tokio::spawn(accept_connections(listener, upstream.clone(), line, opened.clone()));
+        let (fault, fault_rx) = watch::channel(Fault::default());
+        let (black_holes, black_hole_rx) = watch::channel(BlackHoles::default());
+        let forwarded_bytes = Arc::new(AtomicU64::new(0));
+        let connection_count = Arc::new(AtomicU64::new(0));
+        let context = ConnectionContext {
+            faults: fault_rx,
+            black_holes: black_hole_rx,
+            forwarded_bytes: forwarded_bytes.clone(),
+        };
+        let task = tokio::spawn(accept_connections(
+            listener,
+            upstream.clone(),
+            context,
+            connection_count.clone(),
+        ));
         let _task = Arc::new(AbortOnDrop(task.abort_handle()));
-        let (fault, silenced) = (Arc::new(fault), Arc::new(silenced));
-        Ok(Proxy {
-            addr,
-            upstream,
-            fault,
-            black_holes: silenced,
-            connection_count: opened,
-            forwarded_bytes: passed,
-            _task,
-        })
+        let (fault, black_holes) = (Arc::new(fault), Arc::new(black_holes));
+        Ok(Proxy { addr, upstream, fault, black_holes, connection_count, forwarded_bytes, _task })
     }
 
     /// Changes the server of later connections.
@@ -131,12 +131,12 @@
     /// dropped without an error, for the rest of the connection. Later connections work.
     pub fn black_hole_open(&self, direction: Direction) {
         let below = self.connection_count();
-        self.black_holes.send_modify(|silenced| {
+        self.black_holes.send_modify(|black_holes| {
             if direction != Direction::Answers {
-                silenced.requests_below = below;
+                black_holes.requests_below = below;
             }
             if direction != Direction::Requests {
-                silenced.answers_below = below;
+                black_holes.answers_below = below;
             }
         });
     }
@@ -163,23 +163,23 @@
 async fn accept_connections(
     listener: TcpListener,
     upstream: Arc<Mutex<SocketAddr>>,
-    line: ConnectionContext,
-    opened: Arc<AtomicU64>,
+    context: ConnectionContext,
+    connection_count: Arc<AtomicU64>,
 ) {
     while let Ok((client, _)) = listener.accept().await {
         let to = *upstream.lock().expect("no thread panics while it holds the lock");
-        let number = opened.fetch_add(1, Ordering::SeqCst);
-        tokio::spawn(forward_connection(client, to, line.clone(), number));
+        let number = connection_count.fetch_add(1, Ordering::SeqCst);
+        tokio::spawn(forward_connection(client, to, context.clone(), number));
     }
 }
 
 async fn forward_connection(
     client: TcpStream,
     to: SocketAddr,
-    line: ConnectionContext,
+    context: ConnectionContext,
     number: u64,
 ) {
-    let ConnectionContext { faults, black_holes, forwarded_bytes } = line;
+    let ConnectionContext { faults, black_holes, forwarded_bytes } = context;
     if faults.borrow().refuse {
         return;
     }
@@ -223,7 +223,7 @@
     }
 }
 
-/// How long forwarding the last answer of a server that has stopped reading may take.
+/// Time limit for forwarding the last answer of a server that has stopped reading.
 const LAST_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why the forwarding of a direction has ended.
@@ -244,7 +244,7 @@
     is_black_hole: impl Fn() -> bool,
 ) -> End {
     let mut buffer = vec![0; 16 * 1024];
-    let mut passed = 0;
+    let mut forwarded = 0;
     loop {
         let Ok(read @ 1..) = from.read(&mut buffer).await else {
             return End::Closed;
@@ -261,16 +261,16 @@
                 let _ = faults.wait_for(|fault| flow(fault) != Flow::Hold).await;
             }
             Flow::CutAfter(limit) => {
-                let left = (limit.saturating_sub(passed)) as usize;
-                bytes = &bytes[..left.min(read)];
+                let remaining = (limit.saturating_sub(forwarded)) as usize;
+                bytes = &bytes[..remaining.min(read)];
             }
         }
         if to.write_all(bytes).await.is_err() {
             return End::ReceiverClosed;
         }
-        passed += bytes.len() as u64;
+        forwarded += bytes.len() as u64;
         forwarded_bytes.fetch_add(bytes.len() as u64, Ordering::SeqCst);
-        if bytes.len() < read || current_fault == Flow::CutAfter(passed) {
+        if bytes.len() < read || current_fault == Flow::CutAfter(forwarded) {
             return End::Closed;
         }
     }
--- a/testutils/src/scenario.rs
+++ b/testutils/src/scenario.rs
@@ -109,10 +109,10 @@
             "mend" => self.cut(case, false),
             "slow" => self.slow(case),
             "hold" => self.hold(case),
-            "deafen" => self.deafen(case),
+            "deafen" => self.drop_heartbeats(case),
             "kill" | "start" | "pause" | "resume" => self.process(case),
             "driver" => self.driver(case).await,
-            "alike" => self.alike().await,
+            "alike" => self.compare_views().await,
             "ledger" => self.ledger(),
             directive => panic!("unknown directive {directive}"),
         }
@@ -140,15 +140,15 @@
             "[[pool]]\nname = \"front\"\naccount = \"clinics\"\nweigh = \"buffer\"\n\
              drain_limit_s = 15\nmaintenance_s = 2\nmax_out = {max_out}\n"
         );
-        // Both budgets may be in force while the change is under way, so the ledger allows the
-        // larger one.
+        // Either budget may be in force while the change is being published, so the ledger allows
+        // the larger one.
         let ledger = &self.fixture().ledger;
         let before = ledger.max_out("front");
         ledger.set_max_out("front", before.max(max_out as usize));
         let answer = self.fixture().call_operator_api(daemon, "POST", "/v1/publish", &text).await;
         let accepted = answer.0 == 200;
         ledger.set_max_out("front", if accepted { max_out as usize } else { before });
-        verdict(&answer)
+        summarize_answer(&answer)
     }
 
     async fn intent(&mut self, case: &mut TestCase) -> String {
@@ -161,7 +161,7 @@
                 self.plans.insert(name, id.to_owned());
                 "planned".to_owned()
             }
-            None => verdict(&answer),
+            None => summarize_answer(&answer),
         }
     }
 
@@ -173,7 +173,7 @@
         let daemon = required_arg(case, "daemon");
         let plan: String = required_arg(case, "plan");
         let path = format!("/v1/plans/{}/{}", self.plan_id(&plan), case.directive);
-        verdict(&self.fixture().call_operator_api(daemon, "POST", &path, "").await)
+        summarize_answer(&self.fixture().call_operator_api(daemon, "POST", &path, "").await)
     }
 
     async fn race(&mut self, case: &mut TestCase) -> String {
@@ -183,7 +183,7 @@
             self.fixture().call_operator_api(0, "POST", &paths[0], ""),
             self.fixture().call_operator_api(1, "POST", &paths[1], ""),
         );
-        let mut verdicts = [verdict(&first), verdict(&second)];
+        let mut verdicts = [summarize_answer(&first), summarize_answer(&second)];
         verdicts.sort();
         verdicts.join("\n")
     }
@@ -294,7 +294,7 @@
         "set".to_owned()
     }
 
-    fn deafen(&mut self, case: &mut TestCase) -> String {
+    fn drop_heartbeats(&mut self, case: &mut TestCase) -> String {
         let daemon: usize = required_arg(case, "daemon");
         let from: usize = required_arg(case, "from");
         let link = self.fixture().peer_links[from][daemon].as_ref();
@@ -369,7 +369,7 @@
     }
 
     /// Compares the views of the running daemons once all have applied the same records.
-    async fn alike(&self) -> String {
+    async fn compare_views(&self) -> String {
         let fixture = self.fixture();
         let mut views = Vec::new();
         let settled = async || {
@@ -378,7 +378,7 @@
                 views.push(daemon_view(fixture, *daemon).await);
             }
             // The first and the last element of each view are the daemon's offset: if they are all
-            // equal, the elements in between are of the same state.
+            // equal, the elements in between show the same state.
             let ends = views.iter().flat_map(|view| [view.first(), view.last()]);
             let next: BTreeSet<String> = ends.map(|next| format!("{next:?}")).collect();
             next.len() == 1
@@ -394,7 +394,7 @@
     }
 }
 
-/// The offset of the mark of the last complete snapshot on the log.
+/// The offset in the log of the mark of the last complete snapshot.
 fn last_snapshot_mark(log: &Log) -> Option<Offset> {
     let mut last = None;
     for (_, bytes) in log.records() {
@@ -417,7 +417,7 @@
     steps.is_some_and(|steps| steps.iter().any(|step| step["progress"].get("out").is_some()))
 }
 
-/// The fleet as a daemon shows it, between two readings of its offset.
+/// The daemon's offset, the fleet as the daemon shows it, and its offset again.
 async fn daemon_view(fixture: &Fixture, daemon: usize) -> Vec<Value> {
     let next =
         async || fixture.call_operator_api(daemon, "GET", "/v1/status", "").await.1["next"].clone();
@@ -430,7 +430,7 @@
 }
 
 /// An operator's answer in one line, without ids and offsets.
-fn verdict((status, answer): &(u16, Value)) -> String {
+fn summarize_answer((status, answer): &(u16, Value)) -> String {
     if *status == 200 {
         return "accepted".to_owned();
     }
--- a/testutils/src/site.rs
+++ b/testutils/src/site.rs
@@ -176,7 +176,7 @@
         text
     }
 
-    /// The pools, by which the ledger checks budgets.
+    /// The pools whose budgets the ledger checks.
     pub fn ledger_pools(&self) -> Vec<ledger::Pool> {
         let pool = |pool: &Pool| ledger::Pool {
             name: pool.name.to_owned(),
