--- a/cli/src/bench/batch.rs
+++ b/cli/src/bench/batch.rs
@@ -1,5 +1,6 @@
-//! Benchmark of the scheduler's processor time for batch jobs. It drives a [`Cell`] with a load whose peak
-//! moves from service to service, in virtual time and without a network, and times each part of the work.
+//! Benchmark of the scheduler's processor time for batch jobs. It drives a [`Cell`] with a load
+//! whose peak moves from service to service, in virtual time and without a network, and times each
+//! part of the work.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -229,7 +230,7 @@
                         });
                     }
                     WorkerEvent::Ended(task, run) => {
-                        self.running[worker].retain(|known| *known != (task, run));
+                        self.running[worker].retain(|running| *running != (task, run));
                         self.last_end[worker] += 1;
                         let (number, checkpoint) = (self.last_end[worker], String::new());
                         ended.push(End { number, task, run, outcome: Outcome::Done, checkpoint });
--- a/cli/src/bench/generate.rs
+++ b/cli/src/bench/generate.rs
@@ -26,7 +26,7 @@
 /// Data halls, and boxes in each rack.
 const HALLS: u32 = 14;
 const BOXES_PER_RACK: u32 = 4;
-/// A service has one replica for so many boxes of its pool.
+/// Boxes of a pool for each replica of a service.
 const BOXES_PER_REPLICA: u32 = 10;
 /// Daemon id of the writer of generated records.
 const WRITER: u16 = 99;
--- a/cli/src/bench/keys.rs
+++ b/cli/src/bench/keys.rs
@@ -1,5 +1,6 @@
-//! Benchmark of calls with unknown keys: a real daemon on the simulated users' platform serves callers with valid
-//! keys, first alone, then during a flood of calls whose keys were never configured.
+//! Benchmark of calls with unknown keys: a real daemon on the stand-in platform serves
+//! callers with valid keys, first alone, then during a flood of calls whose keys were never
+//! configured.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -44,7 +45,8 @@
     /// Calls with valid keys that were answered, per second.
     served_per_s: f64,
     /// Calls with valid keys that got any other response, or none.
-    harmed: usize,
+    #[serde(rename = "harmed")]
+    failed: usize,
     /// Response time with a valid key, in microseconds.
     median_us: u64,
     p99_us: u64,
@@ -89,7 +91,8 @@
     Ok(Report { alone, flooded, cost_us })
 }
 
-/// Runs the clients with valid keys, and beside them `unknown` calls a second with unknown keys.
+/// Runs the clients with valid keys, and at the same time makes `unknown` calls a second with
+/// unknown keys.
 async fn measure_part(site: &Arc<Site>, time: Duration, unknown: u32) -> Part {
     let started_at = Instant::now();
     let until = started_at + time;
@@ -101,11 +104,11 @@
         .collect();
     let clients: Vec<_> =
         (0..CLIENTS).map(|_| tokio::spawn(call_with_valid_key(site.clone(), until))).collect();
-    let (mut times, mut harmed, mut refused) = (Vec::new(), 0, 0);
+    let (mut times, mut failed, mut refused) = (Vec::new(), 0, 0);
     for task in clients {
-        let (response_times, failed) = task.await.expect("a caller does not panic");
+        let (response_times, failed_calls) = task.await.expect("a caller does not panic");
         times.extend(response_times);
-        harmed += failed;
+        failed += failed_calls;
     }
     for task in floods {
         refused += task.await.expect("a caller does not panic");
@@ -119,7 +122,7 @@
     Part {
         refused_per_s: f64::from(refused) / elapsed,
         served_per_s: times.len() as f64 / elapsed,
-        harmed,
+        failed,
         median_us: quantile(0.5),
         p99_us: quantile(0.99),
         cores: (cpu_seconds() - cpu_before) / elapsed,
@@ -141,9 +144,10 @@
     refused
 }
 
-/// Calls with a valid key; returns the response times, and the number of calls with any other response.
+/// Calls with a valid key; returns the response times, and the number of calls with any other
+/// response.
 async fn call_with_valid_key(site: Arc<Site>, until: Instant) -> (Vec<Duration>, usize) {
-    let (mut times, mut harmed) = (Vec::new(), 0);
+    let (mut times, mut failed) = (Vec::new(), 0);
     while Instant::now() < until {
         let started_at = Instant::now();
         let (status, _) =
@@ -151,11 +155,11 @@
         match status {
             // The expected response for a job that was never submitted.
             410 => times.push(started_at.elapsed()),
-            _ => harmed += 1,
+            _ => failed += 1,
         }
         sleep(CLIENT_PAUSE).await;
     }
-    (times, harmed)
+    (times, failed)
 }
 
 fn table(report: &Report) -> String {
@@ -165,7 +169,7 @@
              cores {:.3}",
             part.refused_per_s,
             part.served_per_s,
-            part.harmed,
+            part.failed,
             part.median_us,
             part.p99_us,
             part.cores,
--- a/cli/src/bench/plan.rs
+++ b/cli/src/bench/plan.rs
@@ -1,5 +1,6 @@
-//! Benchmark of plans and maintenance waves in virtual time: the product's planner, fold and choice of
-//! steps run on generated fleets with failures, and are compared with two baselines and a lower bound.
+//! Benchmark of plans and maintenance waves in virtual time: the product's planner, fold and choice
+//! of steps run on generated fleets with failures, and are compared with two baselines and a lower
+//! bound.
 
 mod baseline;
 mod bound;
@@ -31,7 +32,7 @@
 const OUTAGE_MS: u64 = 600_000;
 /// Fraction of boxes that never return from a reboot with `--faults blackhole`.
 const BLACKHOLE_FRACTION: f64 = 0.01;
-/// A step is abandoned if its box has not returned after so many times the declared duration.
+/// A step is abandoned if its box has not returned after this multiple of the declared duration.
 const LOST_AFTER_FACTOR: u64 = 3;
 
 /// Kinds of injected faults.
@@ -109,7 +110,7 @@
     found.map(|(id, _)| id.clone()).collect()
 }
 
-/// Results of one strategy of carrying out the maintenance.
+/// Results of one maintenance strategy.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Measures {
     pub buffer_cost_box_seconds: f64,
--- a/cli/src/bench/plan/baseline.rs
+++ b/cli/src/bench/plan/baseline.rs
@@ -1,7 +1,8 @@
-//! Baseline strategies without spokelift: one box of each pool at a time, and fixed batches in random order.
+//! Baseline strategies without spokelift: one box of each pool at a time, and fixed batches in
+//! random order.
 //!
-//! Both process the pools in parallel and ignore failed boxes, as an operator's rolling script does. A
-//! batch ends when its last box has returned; its spare capacity is reserved until then.
+//! Both process the pools in parallel and ignore failed boxes, as an operator's rolling script
+//! does. A batch ends when its last box has returned; its spare capacity is reserved until then.
 
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
--- a/cli/src/bench/plan/bound.rs
+++ b/cli/src/bench/plan/bound.rs
@@ -1,10 +1,10 @@
 //! Lower bounds for any strategy, computed from the budgets alone.
 //!
-//! A pool of n boxes with b out at a time, each taking its own time t, takes at least the sum of all t
-//! divided by b, and at least ceil(n/b) times the shortest t; the same holds for each hall with its
-//! own limit, and for the longest t. Every box is out for its own t, so the buffer is at least their
-//! sum. During the outage of a hall or rack, its boxes use up budget and no work is done on them: in that
-//! time only b minus their number can be worked on. Boxes that never return are left out.
+//! A pool of n boxes, at most b of them out at a time, each for its own time t, takes at least the
+//! longest t, the sum of all t divided by b, and ceil(n/b) times the shortest t. The same bounds hold
+//! for each hall with its own limit. Every box is out for its t, so the buffer is at least the sum
+//! of all t. Boxes in a hall or rack that fails use up budget during the outage, so that only b minus
+//! their number can be worked on meanwhile. Boxes that never return are left out.
 
 use std::collections::BTreeMap;
 
@@ -52,9 +52,10 @@
     longest.max(by_work).max(by_rounds)
 }
 
-/// Lower bound of the time for all the work under the budget that an outage leaves.
+/// Lower bound of the time for all the work if an outage reduces the budget; 0 without an outage.
 ///
-/// Boxes that were out when the outage began may exceed the budget, for up to the longest duration.
+/// The budget may be exceeded by boxes that were out when the outage began, so the reduction counts
+/// only from the longest duration after its start.
 fn min_rollout_with_failure_ms(
     pool: &Pool,
     scenario: &Scenario,
--- a/cli/src/bench/plan/simulation.rs
+++ b/cli/src/bench/plan/simulation.rs
@@ -1,5 +1,5 @@
-//! Simulates the product's decisions in virtual time: the planner, permits checked by the fold, and the
-//! driver's choice of steps.
+//! Simulates the product's decisions in virtual time: the planner, permits checked by the fold, and
+//! the driver's choice of steps.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Checks independently of the fold, from started steps and failed boxes, whether a permit exceeded a
-    /// budget.
+    /// Checks independently of the fold, from started steps and failed boxes, whether a permit
+    /// exceeded a budget.
     fn exceeds_budget(&self, target: &BoxId) -> bool {
         let fleet = &self.history.fleet;
         let pool = &fleet.pools[&fleet.boxes[target].pool];
@@ -181,8 +181,8 @@
         out.len() > pool.budget.max_out as usize || in_hall > per_hall
     }
 
-    /// Advances the virtual time to `at_ms` and adds up the spare capacity that each pool reserves until then:
-    /// the boxes that it may still take out.
+    /// Advances the virtual time to `at_ms` and adds up the spare capacity that each pool reserves
+    /// until then: the boxes that it may still take out.
     fn advance_to(&mut self, at_ms: u64) {
         let reserved: u64 = self
             .remaining_steps()
--- a/cli/src/bench/probe.rs
+++ b/cli/src/bench/probe.rs
@@ -30,8 +30,8 @@
     cpu_ticks(&stat, "").unwrap_or(0) as f64 / TICKS_PER_S
 }
 
-/// Sum of user and system ticks of a `stat` line; `None` if the name does not begin with `prefix` or
-/// the line is malformed.
+/// Sum of user and system ticks of a `stat` line; `None` if the name does not begin with `prefix`
+/// or the line is malformed.
 fn cpu_ticks(stat: &str, prefix: &str) -> Option<u64> {
     let (head, tail) = stat.rsplit_once(')')?;
     let (_, name) = head.split_once('(')?;
--- a/cli/src/bench/state.rs
+++ b/cli/src/bench/state.rs
@@ -1,6 +1,6 @@
-//! Benchmark of the replicated state at four sizes: records applied a second, memory, snapshots, time
-//! to ready, and the cost of the control plane for a daemon. The baseline is a full replay with one
-//! record for each change.
+//! Benchmark of the replicated state at four sizes: records applied a second, memory, snapshots,
+//! time to ready, and the cost of the control plane for a daemon. The baseline is a full replay
+//! with one record for each change.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -350,8 +350,8 @@
     log
 }
 
-/// Starts a daemon without state on a log and waits until it serves. Returns the time in milliseconds
-/// and the growth of resident memory in megabytes.
+/// Starts a daemon without state on a log and waits until it serves. Returns the time in
+/// milliseconds and the growth of resident memory in megabytes.
 async fn measure_ready(records: &[Bytes]) -> Result<(f64, f64), Error> {
     let log = Log::start().await?;
     records.iter().for_each(|record| log.put(record.clone()));
@@ -539,7 +539,8 @@
     }
 }
 
-/// Stub that answers for all workers. Its status has the highest fence, so no daemon sends it orders.
+/// Stub that answers for all workers. Its status has the highest fence, so no daemon sends it
+/// orders.
 #[derive(Clone)]
 struct WorkerStub {
     proxy: Proxy,
--- a/cli/src/trial/load.rs
+++ b/cli/src/trial/load.rs
@@ -1,4 +1,4 @@
-//! Constant load on all entry boxes through the balancer.
+//! Constant load on all daemons through the balancer.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -24,7 +24,7 @@
 
 use crate::trial::testbed::Testbed;
 
-/// One of so many requests runs so long that a stop without draining would cut it off.
+/// One in this many requests runs so long that a stop without draining would cut it off.
 const LONG_REQUEST_EVERY: u64 = 25;
 /// Run time of such a request, in milliseconds.
 const LONG_RUN_MS: u64 = 1500;
@@ -103,15 +103,15 @@
     call: Call,
 ) {
     ledger.record_sent(call.token, call.repeatable);
-    let Some(entry) = balancer.pick() else {
+    let Some(daemon) = balancer.pick() else {
         ledger.record_outcome(call.token, Outcome::NotRun);
         return;
     };
-    let mark = kills.mark(entry);
+    let mark = kills.mark(daemon);
     let sent_at = Instant::now();
-    let (outcome, note) = caller::call(&dialer, balancer.addr(entry), &call).await;
-    // A broken connection is put down to a kill only if that daemon was killed during the call.
-    let outcome = if outcome == Outcome::Nothing && kills.was_killed_since(entry, mark) {
+    let (outcome, note) = caller::call(&dialer, balancer.addr(daemon), &call).await;
+    // A broken connection is attributed to a kill only if that daemon was killed during the call.
+    let outcome = if outcome == Outcome::Nothing && kills.was_killed_since(daemon, mark) {
         Outcome::Killed
     } else {
         outcome
@@ -123,7 +123,7 @@
         let service = &call.service;
         ledger.add_note(
             call.token,
-            format!("{account}/{service} at entry box {entry}, sent at {sent} ms, took {took} ms"),
+            format!("{account}/{service} at entry box {daemon}, sent at {sent} ms, took {took} ms"),
         );
     }
     if let Some(note) = note {
--- a/cli/src/trial/testbed.rs
+++ b/cli/src/trial/testbed.rs
@@ -58,7 +58,7 @@
     workers: Vec<Worker>,
     settings: Vec<Settings>,
     daemons: Vec<Option<Daemon>>,
-    /// Kills of daemons; tells which requests they may have cut off.
+    /// Kills of daemons, which may have cut off requests.
     pub kills: Arc<Kills>,
     /// Start of the trial; times in its reports are relative to it.
     pub started_at: Instant,
@@ -164,7 +164,7 @@
     pub fn kill_worker(&self) -> String {
         let in_pool = &self.workers[..self.site.pools[0].boxes];
         let mut serving = in_pool.iter().filter(|worker| !worker.status().draining);
-        // The wave usually maintains the last one latest, so its step has not started yet.
+        // The wave usually maintains the last worker last, so its step has not started yet.
         let victim = serving.next_back().unwrap_or(&in_pool[0]);
         victim.kill();
         victim.listed.name.to_string()
