--- a/cli/tests/test_accounts.rs
+++ b/cli/tests/test_accounts.rs
@@ -1,10 +1,10 @@
-//! Accounts on the platform, with real daemons: authentication of calls, visibility of jobs, quotas, and the
-//! propagation of configuration changes to all nodes.
+//! Accounts on the platform, with real daemons: authentication of calls, visibility of jobs,
+//! quotas, and the propagation of configuration changes to all nodes.
 //!
-//! The tests guard against daemons that ignore the configured accounts: calls without a key, or with a key that no
-//! configuration holds, are answered with 200, jobs are shown to and cancelled by other accounts, and an account runs
-//! as much as there are resources for. They also guard against a node that learns of no later configuration while the
-//! store does not answer it.
+//! The tests guard against daemons that ignore the configured accounts: calls without a key, or
+//! with a key that no configuration holds, are answered with 200, jobs are shown to and cancelled
+//! by other accounts, and an account runs as much as there are resources for. They also guard
+//! against a node that learns of no later configuration while the store does not answer it.
 
 use std::time::Duration;
 
--- a/cli/tests/test_bad_input.rs
+++ b/cli/tests/test_bad_input.rs
@@ -1,5 +1,5 @@
-//! Invalid input from operators, callers and unknown senders: it gets a typed error, is counted, and
-//! does not affect others.
+//! Invalid input from operators, callers and unknown senders: it gets a typed error, is counted,
+//! and does not affect others.
 
 use std::io::Read;
 use std::io::Write;
--- a/cli/tests/test_platform.rs
+++ b/cli/tests/test_platform.rs
@@ -1,5 +1,5 @@
-//! Real daemons on the simulated users' platform: replies to clients hold, and no task runs twice,
-//! whatever fails.
+//! Real daemons on the stand-in platform: whatever fails, accepted jobs run, refused jobs
+//! do not, and no task runs twice.
 
 use std::process::Stdio;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     json!({ "spec": format!("ms={millis} cpu=1000 mem=100"), "steps": [step(&[]), step(&[0])] })
 }
 
-/// A job whose tasks run until it is cancelled; one of them may be missing at a time.
+/// A job whose tasks run until it is cancelled; at most one of them may be interrupted at a time.
 fn long_running_job(tasks: u32) -> Value {
     json!({
         "spec": "cpu=500 mem=100",
@@ -46,12 +46,12 @@
     format!("{number:016x}")
 }
 
-fn assert_no_faults(site: &Site) {
+fn assert_no_violations(site: &Site) {
     assert_eq!(site.ledger.violations(), Vec::<String>::new());
 }
 
-/// Waits until all nodes know the addresses of the others. Each node reads them a few times; by the
-/// third time all have written theirs.
+/// Waits until all nodes know the addresses of the others: when each node has read the addresses
+/// three times on average, all nodes have written theirs.
 async fn wait_for_node_discovery(site: &Site) {
     let reads = 3 * site.nodes.len();
     let read = async |site: &Site| site.store.full_reads("keyed.nodes") >= reads;
@@ -73,7 +73,7 @@
     let large = json!({ "spec": "x".repeat(300_000), "steps": [] });
     assert_eq!(site.submit(0, &id(3), large).await, 413);
     assert_eq!(site.job_state(0, &id(3)).await, Err(410));
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -84,7 +84,7 @@
     assert_eq!(site.cancel(1, &id(1)).await, 200);
     site.wait_until("no task runs", async |site| site.ledger.running_tasks(&id(1)) == 0).await;
     assert_eq!(site.job_state(0, &id(1)).await, Ok("canceled".to_owned()));
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -99,7 +99,7 @@
         site.wait_until_succeeded(&id(number)).await;
     }
     assert_eq!(site.ledger.done_count(), 64);
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -109,7 +109,8 @@
     site.submit_until_accepted(&id(1), long_running_job(2)).await;
     site.nodes[2].kill();
     site.wait_until("a node without capacity leads", async |site| site.leader() != Some(2)).await;
-    // The last leader, a node without capacity, does not renew its lease before the preferred node takes it.
+    // The last leader has no capacity. After a restart it does not renew its lease, so the
+    // preferred node takes it.
     for node in &site.nodes {
         node.kill();
     }
@@ -118,7 +119,7 @@
     }
     site.wait_until("the node with capacity leads", async |site| site.leader() == Some(2)).await;
     site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&id(1)) == 2).await;
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -142,7 +143,7 @@
     for number in 0..12 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -168,7 +169,7 @@
         site.nodes[leader].store_endpoint.set_fault(Fault::None);
     }
     site.wait_until_succeeded(&id(1)).await;
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -198,7 +199,7 @@
         site.wait_until_succeeded(&id(number)).await;
     }
     assert_eq!(site.leader(), Some(leader));
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -207,7 +208,8 @@
     for node in &site.nodes {
         node.store_endpoint.set_fault(Fault::Unresponsive);
     }
-    // The outcome of the first write is unknown, since it was under way when the store went silent.
+    // The outcome of the first write is unknown, since it was in flight when the store stopped
+    // responding.
     assert_eq!(site.submit(0, &id(1), job(1, 10)).await, 504);
     for number in 2..8 {
         assert_eq!(site.submit(0, &id(number), job(1, 10)).await, 503);
@@ -220,7 +222,7 @@
     for number in 2..8 {
         assert_eq!(site.job_state(0, &id(number)).await, Err(410));
     }
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -239,7 +241,7 @@
         site.wait_until_succeeded(&id(number)).await;
     }
     assert_eq!(site.ledger.done_count(), 48);
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -262,7 +264,7 @@
             site.wait_until_succeeded(&id(number)).await;
         }
     }
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -283,7 +285,7 @@
     site.wait_until_succeeded(&id(1)).await;
     assert_eq!(site.job_state(0, &id(2)).await, Err(410));
     assert_eq!(site.ledger.start_count(), 8);
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -300,7 +302,7 @@
     for number in jobs {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -322,7 +324,7 @@
     for number in 0..4 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -350,7 +352,7 @@
     site.wait_until_succeeded(&id(9)).await;
     // Rejected jobs have not run.
     assert_eq!(site.ledger.start_count(), 2);
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -363,7 +365,7 @@
     for number in 0..4 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -377,13 +379,13 @@
     for number in 0..6 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
-/// A task that crashes each worker that starts it is abandoned after a few crashes. A crashed worker reports
-/// no ends and is back within seconds as a new incarnation, so its tasks are started on other workers at once.
-/// Without a count of crashes, a single task can be started 180 times and take down with each worker
-/// all other tasks on it, so that most jobs of the service fail.
+/// A task that crashes each worker that starts it is abandoned after a few crashes. A crashed
+/// worker reports no ends and is back within seconds as a new incarnation, so its tasks are started
+/// on other workers at once. Without a count of crashes, a single task can be started 180 times and
+/// take down with each worker all other tasks on it, so that most jobs of the service fail.
 #[tokio::test]
 async fn a_task_that_crashes_its_workers_is_abandoned() {
     let site = Site::start(PROGRAM, 2, 6, 0).await.unwrap();
@@ -401,7 +403,7 @@
     for number in 2..8 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_no_faults(&site);
+    assert_no_violations(&site);
     assert!(site.ledger.crashes_by_job(&id(1)) >= 2, "no task is abandoned after a single crash");
     let (code, shown) = tool(&site, 0, &["batch", "explain", &id(1)]);
     assert_eq!(code, Some(0), "{shown}");
@@ -424,7 +426,7 @@
     site.wait_until("its leases have expired", async |_| worker.is_idle()).await;
     site.wait_until("all tasks run elsewhere", async |site| site.ledger.running_tasks(&id(1)) == 3)
         .await;
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -439,7 +441,7 @@
     for number in 0..4 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -452,7 +454,7 @@
     site.wait_until_succeeded(&id(1)).await;
     // None of the runs was stopped and started again.
     assert_eq!(site.ledger.start_count(), 6);
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -463,7 +465,7 @@
     }
     site.submit_until_accepted(&id(1), job(6, 100)).await;
     site.wait_until_succeeded(&id(1)).await;
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -484,7 +486,7 @@
         site.job_state(0, &id(20)).await.is_ok_and(|state| state == "failed")
     })
     .await;
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -495,12 +497,12 @@
     let machines: Vec<String> = (0..5).map(|number| format!("m-{number}")).collect();
     site.request_wave(7, &machines, 2);
     site.wait_until("the wave has succeeded", async |site| site.has_wave_succeeded(7)).await;
-    let (started, most_down) = site.machines.maintenance_counts(7);
+    let (started, max_down) = site.machines.maintenance_counts(7);
     assert_eq!(started, 5);
-    assert!(most_down <= 2, "{most_down} machines were down at once");
+    assert!(max_down <= 2, "{max_down} machines were down at once");
     site.wait_until("all tasks run again", async |site| site.ledger.running_tasks(&id(1)) == 4)
         .await;
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -509,9 +511,9 @@
     let machines: Vec<String> = (0..6).map(|number| format!("m-{number}")).collect();
     site.request_wave(7, &machines, 2);
     site.wait_until("the wave has succeeded", async |site| site.has_wave_succeeded(7)).await;
-    let (started, most_down) = site.machines.maintenance_counts(7);
+    let (started, max_down) = site.machines.maintenance_counts(7);
     assert_eq!(started, 6);
-    assert!(most_down <= 2, "{most_down} machines were down at once");
+    assert!(max_down <= 2, "{max_down} machines were down at once");
 }
 
 #[tokio::test]
@@ -521,9 +523,9 @@
     let machines: Vec<String> = (0..3).map(|number| format!("m-{number}")).collect();
     site.request_wave(7, &machines, 1);
     site.wait_until("the wave has succeeded", async |site| site.has_wave_succeeded(7)).await;
-    let (started, most_down) = site.machines.maintenance_counts(7);
+    let (started, max_down) = site.machines.maintenance_counts(7);
     assert_eq!(started, 3);
-    assert!(most_down <= 1, "{most_down} machines were down at once");
+    assert!(max_down <= 1, "{max_down} machines were down at once");
 }
 
 #[tokio::test]
@@ -538,14 +540,14 @@
     // Workers that were not rebooted take tasks.
     site.submit_until_accepted(&id(1), job(24, 100)).await;
     site.wait_until_succeeded(&id(1)).await;
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
 async fn idle_machines_are_switched_off_and_come_back_for_work() {
     let site = Site::start(PROGRAM, 2, 9, 0).await.unwrap();
     site.submit_until_accepted(&id(1), long_running_job(2)).await;
-    // Three machines are kept beside those that the long-running tasks need.
+    // Three machines are kept in addition to those that the long-running tasks need.
     site.wait_until("idle machines are off", async |site| site.machines.count_in_pool("work") == 4)
         .await;
     for number in 2..14 {
@@ -557,7 +559,7 @@
         site.wait_until_succeeded(&id(number)).await;
     }
     assert_eq!(site.ledger.running_tasks(&id(1)), 2);
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -573,7 +575,7 @@
     .await;
     site.wait_until_succeeded(&id(1)).await;
     assert_eq!(site.machines.count_in_pool("work"), 3, "{}", site.diagnostics());
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -587,11 +589,12 @@
     for number in 0..12 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
-/// Orders for machines do not wait for a slow store. If each order waits until the store has recorded it, behind
-/// all other writes, a service with rising demand waits 1.2 s on average for each box that is idle elsewhere.
+/// Orders for machines do not wait for a slow store. If each order waits until the store has
+/// recorded it, behind all other writes, a service with rising demand waits 1.2 s on average for
+/// each box that is idle elsewhere.
 #[tokio::test]
 async fn machines_move_without_waiting_for_a_slow_store() {
     let site = Site::start(PROGRAM, 2, 2, 6).await.unwrap();
@@ -611,14 +614,14 @@
         site.wait_until_succeeded(&id(number)).await;
     }
     assert!(ahead(&site).await <= 2, "each scheduler announces at most once");
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
 async fn after_a_planned_stop_the_next_scheduler_moves_machines_at_once() {
     // Longer than any wait in this test.
-    let turn_gap = Duration::from_secs(600);
-    let site = Site::start_with_handover_gap(PROGRAM, 2, 2, 4, turn_gap).await.unwrap();
+    let handover_gap = Duration::from_secs(600);
+    let site = Site::start_with_handover_gap(PROGRAM, 2, 2, 4, handover_gap).await.unwrap();
     // Long-running tasks, so that the next scheduler needs the machines moved by the first as well.
     site.submit_until_accepted(&id(0), long_running_job(40)).await;
     site.wait_until("the first moves machines", async |site| {
@@ -635,7 +638,7 @@
         site.machines.count_in_pool("work") > before
     })
     .await;
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -654,7 +657,7 @@
     for number in 0..4 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test]
@@ -673,7 +676,7 @@
         site.wait_until_succeeded(&id(number)).await;
     }
     assert_eq!(site.ledger.start_count(), 12);
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 /// Runs the command line tool; returns its exit code, and its standard output and error.
@@ -741,7 +744,7 @@
     site.wait_until("no task runs", async |site| site.ledger.running_tasks(&job) == 0).await;
     let (code, _) = tool(&site, 1, &["--key", SITE_KEY, "batch", "cancel", &id(8)]);
     assert_eq!(code, Some(3));
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -768,7 +771,7 @@
     let (code, _) = tool(&site, 0, &["--key", "site:another", "batch", "cancel", &id(1)]);
     assert_eq!(code, Some(3));
     assert_eq!(site.ledger.start_count(), 0);
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -806,15 +809,16 @@
     line.and_then(|value| value.trim().parse().ok()).unwrap_or(0)
 }
 
-/// Boxes are ordered without delay after connections to the machines interface have hung for a second. If the
-/// leader closes hung connections only one call at a time, a service with rising demand gets no boxes for half a
-/// minute, although another service has boxes to spare.
+/// Boxes are ordered without delay after black-holed connections to the machines API have not
+/// answered for a second. If the leader closes only one such connection with each failed call, a
+/// service with rising demand gets no boxes for half a minute, although another service has boxes to
+/// spare.
 #[tokio::test]
-async fn boxes_are_ordered_without_delay_after_connections_hang() {
+async fn boxes_are_ordered_without_delay_after_connections_are_black_holed() {
     const JOBS: u64 = 24;
     let site = Site::start(PROGRAM, 1, 1, 16).await.unwrap();
-    // More than the pool can run, so that many boxes are ordered concurrently, and so much that more are
-    // wanted when the first ten have come: no more than ten orders may be under way at once.
+    // So much more than the pool can run that many boxes are ordered concurrently, and further ones
+    // after the first ten have come: no more than ten orders may be pending at once.
     for number in 1..=JOBS {
         assert_eq!(site.submit(0, &id(number), job(16, 600)).await, 200);
     }
@@ -825,7 +829,8 @@
     }
     let opened = site.machines_proxy.connection_count();
     assert!(opened > 4, "{opened} connections for concurrent orders");
-    // Waits until all surplus boxes have left: orders under way when the connections hang get no answer.
+    // Waits until all surplus boxes have left: orders pending when the connections are black-holed
+    // get no answer.
     site.wait_until("surplus boxes have left", async |site| {
         site.machines.count_in_pool("work") <= 3
     })
@@ -837,10 +842,10 @@
         .await;
     let unanswered = counter(&site, 0, "call_machines_unknown").await;
     assert!(unanswered <= 3, "{unanswered} calls about boxes without an answer");
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
-/// Unusable entries among those of the workers are ignored for placement, delay no takeover, and are shown to
+/// Unusable worker entries are ignored for placement, delay no takeover, and are shown to
 /// operators.
 #[tokio::test]
 async fn unusable_worker_entries_block_nothing_and_are_shown() {
@@ -873,10 +878,11 @@
     for number in 4..8 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
 
-/// Workers that accept every start, whose capacity changes under full load: no start exceeds the capacity.
+/// No start exceeds the capacity of workers that accept every start and whose capacity changes
+/// under full load.
 #[tokio::test]
 async fn starts_respect_changing_capacities() {
     let site = Site::start(PROGRAM, 2, 4, 0).await.unwrap();
@@ -902,5 +908,5 @@
     for number in 0..40 {
         site.wait_until_succeeded(&id(number)).await;
     }
-    assert_no_faults(&site);
+    assert_no_violations(&site);
 }
--- a/cli/tests/test_reborn.rs
+++ b/cli/tests/test_reborn.rs
@@ -1,9 +1,9 @@
 //! Workers that keep their id across a restart, with real daemons on the stand-in platform.
 //!
-//! Such a worker has no state of before the restart, and its clock and the numbers of its ends
-//! start again. Guards against tasks that were done and run again, and against accepted jobs that
-//! make no progress although workers have free resources. Both come about if a worker's state is
-//! kept by its id alone, and so outlives the incarnation that it describes.
+//! Such a worker has lost its state, and its clock and the numbers of its ends start again. Guards
+//! against tasks that were done and run again, and against accepted jobs that make no progress
+//! although workers have free resources. Both happen if the scheduler keys a worker's state by the
+//! id alone, and so applies the state of one incarnation to the next.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -54,11 +54,10 @@
     StartOptions { clock_ms: predecessor.clock_ms() + CLOCK_ADVANCE_MS, ..StartOptions::default() }
 }
 
-/// Guards against a task that was done on a later incarnation and is started again one or two polls
-/// later. Its end has a number that the earlier incarnation reported, so it counts as received, and
-/// the next poll acknowledges it without its being processed. The log shows `another incarnation
-/// answers under this id` with `last_end=0 last_end_before=12`, and two starts of one task 2.4 s
-/// apart.
+/// Guards against restarting a task one or two polls after it was done on a later incarnation. Its
+/// end has a number that the earlier incarnation reported, so it counts as received, and the next
+/// poll acknowledges it without its being processed. The log shows `another incarnation answers
+/// under this id` with `last_end=0 last_end_before=12`, and two starts of one task 2.4 s apart.
 #[tokio::test]
 async fn a_task_done_on_a_later_incarnation_is_not_started_again() {
     let site = start_site_with_ends(12).await;
@@ -125,9 +124,9 @@
     assert_no_violations(&site);
 }
 
-/// Guards against a task that runs twice at once. A start without an answer is stopped at the
-/// incarnation that it was sent to, and its task is started elsewhere. Executed late, the start
-/// reaches the next incarnation, which knows of no stop.
+/// Guards against a task that runs twice at once. The run of a start without an answer is stopped
+/// at the incarnation that the start was sent to, and the task is started elsewhere. If the start
+/// is executed late, the next incarnation executes it, which has not received the stop.
 #[tokio::test]
 async fn a_start_executed_late_has_no_effect_on_a_later_incarnation() {
     let site = Site::start(PROGRAM, 1, 2, 0).await.unwrap();
@@ -216,8 +215,8 @@
     assert_no_violations(&site);
 }
 
-/// The entry of a later incarnation cannot be read for a while; only its answers show that it is
-/// there.
+/// The entry of a later incarnation cannot be read for a while, so the scheduler knows of it only
+/// from its answers.
 #[tokio::test]
 async fn a_later_incarnation_gets_no_work_until_its_entry_can_be_read() {
     let site = start_site_with_ends(12).await;
--- a/cli/tests/test_waves.rs
+++ b/cli/tests/test_waves.rs
@@ -50,20 +50,21 @@
     }
 }
 
-/// Guards against a task that is moved off its worker without anywhere to go. The box is being
-/// evacuated for maintenance; the first of its tasks is stopped, finds no free resources elsewhere
-/// and waits. No second task of its step may be interrupted, so the others stay and the box is
-/// never empty; and since nothing may be placed on a box that is being evacuated, the task waits
-/// although its own resources are free. The log shows `moving task off worker` without a later
-/// start of the task, and the box is never ordered. With 48 boxes, ten stayed closed in this way 20
-/// s after the end of their wave, while tasks of 140 and 84 cores waited in two services.
+/// Guards against a task that is moved off its worker although it fits on no other. The box is
+/// being evacuated for maintenance; the first of its tasks is stopped, finds no free resources
+/// elsewhere and waits. No second task of its step may be interrupted, so the others stay and the
+/// box is never empty; and since nothing may be placed on a box that is being evacuated, the task
+/// waits although its own resources are free. The log shows `moving task off worker` without a
+/// later start of the task, and the box is never ordered. With 48 boxes, ten were still
+/// unschedulable for this reason 20 s after the end of their wave, while tasks of 140 and 84 cores
+/// waited in two services.
 #[tokio::test]
 async fn a_task_is_not_moved_off_if_it_fits_nowhere_else() {
     let site = Site::start(PROGRAM, 1, 2, 0).await.unwrap();
     let job = id(1);
     site.submit_until_accepted(&job, long_running_job(14, 1_000, 100)).await;
     site.wait_until("all tasks run", async |site| site.ledger.running_tasks(&job) == 14).await;
-    // The fuller box has no free resources left, so the tasks on the other one fit nowhere else.
+    // One box is full, so the tasks on the other one fit nowhere else.
     site.request_wave(7, &machines(2), 1);
     let requested_at = Instant::now();
     wait_without_long_interruption(&site, &job, async |_| {
@@ -94,7 +95,7 @@
 /// As above, with boxes in the reserve. The tasks on a box that is being evacuated need resources
 /// elsewhere, which must be requested although such a box counts neither as capacity nor as use.
 #[tokio::test]
-async fn a_box_is_fetched_for_tasks_that_a_wave_moves_off() {
+async fn a_box_is_moved_from_the_reserve_for_tasks_that_a_wave_moves_off() {
     let site = Site::start(PROGRAM, 1, 2, 1).await.unwrap();
     let job = id(1);
     site.submit_until_accepted(&job, long_running_job(15, 1_000, 100)).await;
--- a/testutils/tests/test_budget.rs
+++ b/testutils/tests/test_budget.rs
@@ -1,8 +1,9 @@
 //! How the ledger counts the budget of a pool while a box moves in.
 //!
-//! Guards against a false budget breach: a pool may have two boxes out, two of its own are draining, and a third one is
-//! moving in from another pool. It was drained there and has its new jobs, but has not been told to serve yet. A box
-//! that has never served in the pool is not out of it.
+//! Guards against a false budget breach: a pool may have two boxes out, two of its own are
+//! draining, and a third one is moving in from another pool. It was drained there and has received
+//! its new jobs, but not yet the order to serve. A box that has never served in the pool does not
+//! count as out of service there.
 
 use spokelift_lib::state::id::BoxId;
 use spokelift_lib::state::id::ServiceKey;
@@ -65,7 +66,7 @@
     ledger.record_draining(&one);
     ledger.record_draining(&two);
     assert_eq!(ledger.counts().budget_breaches, 1);
-    // It is out of its own pool, which may have one out, until its jobs are gone.
+    // It counts as out of its own pool, which may have one box out, until its jobs are removed.
     ledger.record_draining(&moving);
     assert_eq!(ledger.counts().budget_breaches, 1);
 }
--- a/testutils/tests/test_dispatch.rs
+++ b/testutils/tests/test_dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatchers: what they report, when they may act, and how the workers of a lost one are reassigned.
+//! Dispatchers: what they report, when they may act, and how the workers of a lost one are
+//! reassigned.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -49,8 +50,8 @@
     Context { workers, counters: Counters::new(None).unwrap() }
 }
 
-/// Starts a worker that gives these answers to polls, one after another, and none after the last. Returns also the
-/// paths of all requests to it.
+/// Starts a worker that gives these answers to polls, one after another, and none after the last.
+/// Returns also the paths of all requests to it.
 async fn worker(answers: &[String]) -> (Peer, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let peer = Peer { incarnation: "w1".into(), addr: listener.local_addr().unwrap() };
@@ -87,9 +88,10 @@
     timeout(WAIT, events.recv()).await.expect("an event comes").expect("the dispatcher is running")
 }
 
-/// Guards against running an ended task again. Of two responses with the same worker clock the scheduler gets only the
-/// first. If the dispatcher then counted the end in the second one as reported, it would leave it out of all later
-/// responses, and the run would just be missing there.
+/// Guards against running an ended task again. Of two responses with the same worker clock the
+/// scheduler gets only the first. If the dispatcher then counted the end in the second one as
+/// reported, it would leave it out of all later responses, which would no longer list the run
+/// either.
 #[tokio::test]
 async fn an_end_in_a_skipped_response_is_reported_with_the_next_one() {
     let answers = [poll(100, "[]"), poll(100, DONE), poll(101, DONE)];
@@ -221,27 +223,28 @@
 #[tokio::test]
 async fn workers_are_assigned_to_ready_nodes_in_proportion_to_their_cpu() {
     let (shards, now) = (shards(), clock::now());
-    let (weak, _) = shards.start(addr(), 100, now);
-    let (strong, _) = shards.start("127.0.0.1:2".parse().unwrap(), 400, now);
+    let (small, _) = shards.start(addr(), 100, now);
+    let (large, _) = shards.start("127.0.0.1:2".parse().unwrap(), 400, now);
     shards.assign(1, add_worker(1));
     assert_eq!(shards.in_shard(OWN_SHARD, [1].into_iter()).len(), 1, "no other node is ready yet");
-    for shard in [weak, strong] {
+    for shard in [small, large] {
         assert_matches!(shards.take_report(report(shard, 1, 0), now), ReportOutcome::New(_));
     }
     for number in 2..52 {
         shards.assign(number, add_worker(number));
     }
-    assert_eq!(shards.in_shard(weak, 2..52).len(), 10);
-    assert_eq!(shards.in_shard(strong, 2..52).len(), 40);
+    assert_eq!(shards.in_shard(small, 2..52).len(), 10);
+    assert_eq!(shards.in_shard(large, 2..52).len(), 40);
     let sizes: Vec<usize> = shards.view().iter().map(|shard| shard.workers).collect();
     assert_eq!(sizes, [1, 10, 40]);
     let overload = shards.find_overload().unwrap();
     assert_eq!((overload.shard, overload.workers, overload.excess), (OWN_SHARD, vec![1], 1));
 }
 
-/// Guards against moving workers between shards without end. If more workers move from an overloaded shard than it has
-/// in excess, the other shards are overloaded in turn. Each time, an unresponsive worker of an earlier scheduler counts
-/// as one that may run tasks for another lease: with 900 free workers nothing was started for a service for 8 s.
+/// Guards against moving workers between shards without end. If more workers move from an
+/// overloaded shard than it has in excess, the other shards are overloaded in turn. Each time, an
+/// unresponsive worker of an earlier scheduler counts as one that may run tasks for another lease:
+/// with 900 free workers nothing was started for a service for 8 s.
 #[tokio::test]
 async fn an_overloaded_shard_gives_away_no_more_than_its_excess() {
     let (shards, now) = (shards(), clock::now());
--- a/testutils/tests/test_ended.rs
+++ b/testutils/tests/test_ended.rs
@@ -1,7 +1,8 @@
 //! The simulated worker ends all its runs in the ledger when it crashes.
 //!
-//! Guards against a false report of a task that runs twice at once: a start that arrives just before its worker crashes
-//! must not be carried out just after, because nothing would ever end that run in the ledger.
+//! Guards against a false report of a task that runs twice at once: a start that arrives just
+//! before its worker crashes must not be carried out just after, because nothing would ever end
+//! that run in the ledger.
 
 use std::time::Duration;
 
@@ -22,7 +23,7 @@
 const WAIT: Duration = Duration::from_secs(2);
 /// Number of workers that crash while starts arrive.
 const WORKERS: usize = 150;
-/// Starts that are sent at once.
+/// Number of starts that are sent concurrently.
 const STARTS: usize = 30;
 
 fn start(task: usize) -> Request<Body> {
--- a/testutils/tests/test_forks.rs
+++ b/testutils/tests/test_forks.rs
@@ -1,9 +1,9 @@
 //! A port that was chosen for a daemon is free when the daemon listens on it, although other
 //! processes are being started.
 //!
-//! Guards against a process that was just forked for another test and still has the probing listener
-//! of the port open: the daemon cannot listen on its port, and requests to it fail. Without the
-//! guard, this happens in two of six runs of eleven parallel tests.
+//! Guards against a process that was just forked for another test and still has the probing
+//! listener of the port open: the daemon cannot listen on its port, and requests to it fail.
+//! Without the guard, this happens in two of six runs of eleven parallel tests.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
--- a/testutils/tests/test_idle.rs
+++ b/testutils/tests/test_idle.rs
@@ -1,8 +1,9 @@
 //! Accepted connections that are idle, and those on which only part of a request head arrives.
 //!
-//! Guards against lost requests: if the daemon closes an idle connection, a request that is sent at that moment gets no
-//! answer (37 of 400 requests that were sent within 20 ms of a close after 10 s). The HTTP library has one timeout for
-//! idle connections and for slow request heads, so that a limit for heads also closes idle connections.
+//! Guards against lost requests: if the daemon closes an idle connection, a request that is sent at
+//! that moment gets no answer (37 of 400 requests that were sent within 20 ms of a close after 10
+//! s). The HTTP library has one timeout for idle connections and for slow request heads, so that a
+//! limit for heads also closes idle connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/testutils/tests/test_mutated.rs
+++ b/testutils/tests/test_mutated.rs
@@ -1,6 +1,6 @@
-//! Decoding of what other writers may leave in the store: valid bytes with parts missing, of another
-//! type, huge, nested, truncated or flipped. Each is decoded into a valid value or refused with a
-//! typed error, and a decoded value can be applied.
+//! Decoding of invalid data from other writers: valid values with parts that are missing, of
+//! another type, huge or deeply nested, and bytes that are truncated or flipped. Each is decoded
+//! into a valid value or refused with a typed error, and a decoded value can be applied.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -298,8 +298,9 @@
     }
 }
 
-/// Answers of the older home's platform, and intents of its operators.
-fn answers() -> Vec<Value> {
+/// Messages on a site without the users' platform: answers of the log and the box list, the status
+/// and commands of workers, and intents of operators.
+fn site_messages() -> Vec<Value> {
     let listed = json!({
         "name": "box-1", "addr": "127.0.0.1:1", "hall": "hall-1", "rack": "r1", "slots": 8,
         "memory_mb": 100, "leaving": false,
@@ -318,11 +319,11 @@
     #![proptest_config(cases())]
 
     #[test]
-    fn answers_of_the_older_home_are_decoded_or_refused(
+    fn site_messages_are_decoded_or_refused(
         index in 0..6_usize,
         mutations in prop::collection::vec(mutation(), 1..4),
     ) {
-        let bytes = mutated(&answers()[index], &mutations);
+        let bytes = mutated(&site_messages()[index], &mutations);
         if let Ok(page) = serde_json::from_slice::<log::Page>(&bytes) {
             page.records.iter().for_each(|item| drop(item.bytes()));
         }
@@ -348,7 +349,7 @@
     }
 
     #[test]
-    fn pieces_of_a_peer_with_the_key_are_opened_or_refused(
+    fn catch_up_messages_sealed_with_the_key_are_opened_or_refused(
         bytes in prop::collection::vec(any::<u8>(), 0..300),
     ) {
         let key = derive_key("shared");
--- a/testutils/tests/test_relay.rs
+++ b/testutils/tests/test_relay.rs
@@ -1,4 +1,4 @@
-//! Calls of a node that the store does not answer, relayed by a peer that the store answers.
+//! Store calls of a node that the store does not answer, relayed by a peer that it does answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,17 +15,17 @@
 use tokio::time::timeout;
 
 const TOPIC: &str = "keyed.progress";
-/// Timeout of a call to the store that must not be reached: longer than the test.
+/// Timeout of a call to the store that must end before its timeout: longer than the test.
 const LONG_TIMEOUT: Duration = Duration::from_secs(600);
 /// Timeout of a call that is expected to fail.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(50);
 /// Time limit of an expected result.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A node with its own access to the store, and one peer with another access.
+/// A node and one peer, each with its own endpoint of the store.
 struct Fixture {
     node: Arc<Node>,
-    door: Endpoint,
+    endpoint: Endpoint,
     store: Store,
     _peer: Arc<Node>,
 }
@@ -33,18 +33,18 @@
 impl Fixture {
     async fn start() -> Fixture {
         let store = Store::default();
-        let (door, other) =
+        let (endpoint, peer_endpoint) =
             (store.open_endpoint().await.unwrap(), store.open_endpoint().await.unwrap());
         let listener = || TcpListener::bind(("127.0.0.1", 0));
-        let node = batch::node(listener().await.unwrap(), door.addr);
-        let peer = batch::node(listener().await.unwrap(), other.addr);
+        let node = batch::node(listener().await.unwrap(), endpoint.addr);
+        let peer = batch::node(listener().await.unwrap(), peer_endpoint.addr);
         node.directory.set_nodes([(peer.settings.peer_addr(), 250)]);
-        Fixture { node, door, store, _peer: peer }
+        Fixture { node, endpoint, store, _peer: peer }
     }
 
     /// Makes the store stop answering the node, and waits until the node has noticed.
     async fn stop_answers(&self) {
-        self.door.set_fault(Fault::Unresponsive);
+        self.endpoint.set_fault(Fault::Unresponsive);
         self.node.read_topic(TOPIC, 0, Duration::ZERO, SHORT_TIMEOUT).await.unwrap();
         assert!(self.node.store_route.is_unavailable());
     }
@@ -55,8 +55,8 @@
     }
 }
 
-/// Guards against reads that wait their whole timeout for a store that does not answer: a scheduler
-/// then discovers workers a second late.
+/// Guards against reads that wait for a store that does not answer until they time out, by which a
+/// scheduler discovers workers a second late.
 #[tokio::test]
 async fn reads_do_not_wait_for_a_store_that_is_known_to_be_unavailable() {
     let fixture = Fixture::start().await;
@@ -71,7 +71,7 @@
     assert_eq!(newest.unwrap().end, 1);
 }
 
-/// A record that is appended while a peer long-polls arrives like from the store itself.
+/// A record that is appended during a long poll arrives through a peer as it would from the store.
 #[tokio::test]
 async fn new_records_arrive_through_a_peer() {
     let fixture = Fixture::start().await;
@@ -93,21 +93,21 @@
     assert_eq!(read.expect("a peer reads"), 1);
 }
 
-/// A node must not stay dependent on its peers once the store answers it.
+/// A node must not keep calling the store through its peers once the store answers it directly.
 #[tokio::test]
 async fn the_store_is_used_again_once_it_answers() {
     let fixture = Fixture::start().await;
     fixture.stop_answers().await;
     fixture.append("a").await;
-    fixture.door.set_fault(Fault::None);
-    // A single read may be answered first by the peer.
+    fixture.endpoint.set_fault(Fault::None);
+    // The peer may answer a single read before the store does.
     let direct = async {
         while fixture.node.store_route.is_unavailable() {
             fixture.node.read_newest(TOPIC, LONG_TIMEOUT).await.unwrap();
         }
     };
     timeout(TEST_TIMEOUT, direct).await.expect("the store answers");
-    let asked = fixture.door.request_count();
+    let requests_before = fixture.endpoint.request_count();
     fixture.append("b").await;
-    assert_eq!(fixture.door.request_count(), asked + 1);
+    assert_eq!(fixture.endpoint.request_count(), requests_before + 1);
 }
--- a/testutils/tests/test_silent.rs
+++ b/testutils/tests/test_silent.rs
@@ -1,10 +1,10 @@
-//! Connections that stop delivering data: they are not reset, requests on them have no answer, and
-//! new connections work.
+//! Black-holed connections: they stop delivering data without being reset, so requests on them get
+//! no answer, while new connections work.
 //!
 //! Guards against calls that time out one after another on such connections. Many concurrent orders
-//! leave as many idle connections to the interface for boxes. If all of them stop delivering data at
-//! once, and each later call uses one of them, times out and closes only that one, no box is ordered
-//! for 27 s (29 calls), and most jobs of a service are late.
+//! leave as many idle connections to the machines API. If all of them are black-holed at once, and
+//! each later call uses one of them, times out and closes only that one, no box is ordered for 27 s
+//! (29 calls), and most jobs of a service are late.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -44,7 +44,7 @@
 use tokio_util::codec::Framed;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Number of connections that are open when they stop delivering data.
+/// Number of connections that are open when they are black-holed.
 const OPEN_CONNECTIONS: usize = 12;
 /// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
@@ -75,15 +75,15 @@
     dialer.exchange(addr, request, 1024, CALL_TIMEOUT).await.map(Response::into_body)
 }
 
-/// Opens connections, stops their data, and returns how many consecutive calls have no answer before
-/// the first that has one.
-async fn failures_after(silence: Direction) -> usize {
+/// Opens connections, black-holes them in a direction, and returns how many consecutive calls get
+/// no answer before the first that gets one.
+async fn failures_after_black_hole(direction: Direction) -> usize {
     let server = Server::start().await;
     let dialer = Dialer::new(CALL_TIMEOUT);
     let calls = (0..OPEN_CONNECTIONS).map(|_| call(&dialer, server.proxy.addr));
     assert!(join_all(calls).await.iter().all(Result::is_ok));
     assert_eq!(server.proxy.connection_count(), OPEN_CONNECTIONS as u64);
-    server.proxy.black_hole_open(silence);
+    server.proxy.black_hole_open(direction);
     for failed in 0..=OPEN_CONNECTIONS {
         if call(&dialer, server.proxy.addr).await.is_ok() {
             return failed;
@@ -93,9 +93,9 @@
 }
 
 #[tokio::test]
-async fn one_call_without_an_answer_closes_all_silent_connections() {
-    for silence in [Direction::Both, Direction::Requests, Direction::Answers] {
-        assert!(failures_after(silence).await <= 1, "{silence:?}");
+async fn one_call_without_an_answer_closes_all_black_holed_connections() {
+    for direction in [Direction::Both, Direction::Requests, Direction::Answers] {
+        assert!(failures_after_black_hole(direction).await <= 1, "{direction:?}");
     }
 }
 
@@ -106,20 +106,20 @@
 }
 
 #[tokio::test]
-async fn a_call_that_may_be_sent_twice_is_answered_although_every_connection_is_silent() {
-    for silence in [Direction::Both, Direction::Requests, Direction::Answers] {
+async fn a_call_that_may_be_sent_twice_is_answered_although_every_connection_is_black_holed() {
+    for direction in [Direction::Both, Direction::Requests, Direction::Answers] {
         let server = Server::start().await;
         let dialer = Dialer::new(CALL_TIMEOUT);
         let calls = (0..OPEN_CONNECTIONS).map(|_| call(&dialer, server.proxy.addr));
         assert!(join_all(calls).await.iter().all(Result::is_ok));
         for _ in 0..3 {
-            server.proxy.black_hole_open(silence);
+            server.proxy.black_hole_open(direction);
             let opened = server.proxy.connection_count();
             let exchanged = call_again(&dialer, server.proxy.addr).await.unwrap();
-            assert!(exchanged.is_other_pending, "{silence:?}");
-            // All silent connections were closed with the first one, and the new one is kept.
+            assert!(exchanged.is_other_pending, "{direction:?}");
+            // All black-holed connections were closed with the first one; the new one stays open.
             assert!(!call_again(&dialer, server.proxy.addr).await.unwrap().is_other_pending);
-            assert_eq!(server.proxy.connection_count(), opened + 1, "{silence:?}");
+            assert_eq!(server.proxy.connection_count(), opened + 1, "{direction:?}");
         }
     }
 }
@@ -139,8 +139,8 @@
     );
 }
 
-/// The outcome of a request that cannot be sent twice would be unknown on a connection that has gone
-/// silent while it was idle.
+/// If such a request were sent on a connection that was black-holed while idle, its outcome would
+/// be unknown.
 #[tokio::test]
 async fn a_request_that_cannot_be_sent_twice_uses_no_connection_that_was_idle_for_long() {
     let server = Server::start().await;
@@ -190,10 +190,10 @@
     panic!("probed ends (connecting, accepting): {:?}", ends());
 }
 
-/// Of a request that was sent twice, one attempt is refused. The other one may still be executed, so
-/// the refusal must not be reported as certain.
+/// One attempt of a request that was sent twice is refused. The other one may still be executed, so
+/// the refusal must not be reported as final.
 #[tokio::test]
-async fn a_refusal_of_one_attempt_leaves_the_other_open() {
+async fn a_refusal_of_one_attempt_leaves_the_other_pending() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let proxy = Proxy::start(listener.local_addr().unwrap()).await.unwrap();
     let (_open, closed) = watch::channel(false);
@@ -214,8 +214,8 @@
     assert!(exchanged.is_other_pending);
 }
 
-/// A peer that answers every request at once, except requests for a view: each waits until `held` is
-/// notified.
+/// A peer that answers every request at once, except requests for a view: each waits until `held`
+/// is notified.
 async fn start_peer(held: Arc<Notify>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -252,15 +252,15 @@
 }
 
 #[tokio::test]
-async fn a_request_on_a_silent_connection_to_a_peer_is_answered_on_a_new_one() {
-    for silence in [Direction::Both, Direction::Requests, Direction::Answers] {
+async fn a_request_on_a_black_holed_connection_to_a_peer_is_answered_on_a_new_one() {
+    for direction in [Direction::Both, Direction::Requests, Direction::Answers] {
         let (proxy, _) = proxied_peer().await;
         let peers = Peers::default();
         for opened in 1..=3 {
             let answer = peers.ask(proxy.addr, peer::Request::State(1, Caller::Operator)).await;
-            assert_eq!(answer.unwrap(), Reply::Done, "{silence:?}");
+            assert_eq!(answer.unwrap(), Reply::Done, "{direction:?}");
             assert_eq!(proxy.connection_count(), opened);
-            proxy.black_hole_open(silence);
+            proxy.black_hole_open(direction);
         }
     }
 }
@@ -281,7 +281,7 @@
 }
 
 #[tokio::test]
-async fn a_late_failure_on_a_silent_connection_does_not_end_the_one_that_replaced_it() {
+async fn a_late_failure_on_a_black_holed_connection_does_not_end_the_one_that_replaced_it() {
     let (proxy, held) = proxied_peer().await;
     let peers = Peers::default();
     let ask = |request: peer::Request| {
@@ -292,7 +292,7 @@
     proxy.black_hole_open(Direction::Both);
     let first = ask(peer::Request::State(1, Caller::Operator));
     sleep(ANSWER_TIME).await;
-    // Sent on the silent connection as well.
+    // Sent on the black-holed connection as well.
     let second = ask(peer::Request::State(1, Caller::Operator));
     assert!(first.await.unwrap().is_err());
     let third = ask(peer::Request::View("held".to_owned()));
--- a/testutils/tests/test_spread.rs
+++ b/testutils/tests/test_spread.rs
@@ -5,7 +5,7 @@
 //! puts a version in force 4.3 s after the first, where 3 s are allowed.
 //!
 //! A sender that announces a version and then does not answer must not block the node that fetches
-//! from it: announcements of newer versions in that time would be lost, since none is repeated.
+//! from it: announcements of newer versions would be lost meanwhile, since none is repeated.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -81,9 +81,9 @@
     assert!(nodes[0].set_config(config(3, "k3")));
     let all_have = |version| nodes.iter().all(|node| node.config_version() == version);
     wait_until("all have version 3", || all_have(3)).await;
-    let whole = config(3, "k3");
+    let expected = config(3, "k3");
     assert!(
-        nodes.iter().all(|node| *node.config().unwrap() == whole),
+        nodes.iter().all(|node| *node.config().unwrap() == expected),
         "the whole configuration is passed on"
     );
     assert!(nodes[2].set_config(config(8, "k8")));
