--- a/lib/src/coordination/box_list.rs
+++ b/lib/src/coordination/box_list.rs
@@ -39,7 +39,7 @@
 
 impl BoxList {
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("the box list lock is not poisoned")
+        self.inner.lock().expect("no thread panics while it holds the box list lock")
     }
 
     /// Boxes that are not leaving.
--- a/lib/src/coordination/member.rs
+++ b/lib/src/coordination/member.rs
@@ -97,7 +97,7 @@
     }
 
     fn peers(&self) -> MutexGuard<'_, BTreeMap<DaemonId, Peer>> {
-        self.peers.lock().expect("the peers lock is not poisoned")
+        self.peers.lock().expect("no thread panics while it holds the peers lock")
     }
 
     /// Time without a heartbeat after which a peer is not live.
--- a/lib/src/coordination/node.rs
+++ b/lib/src/coordination/node.rs
@@ -117,7 +117,7 @@
 
     /// Marks a box as suspect, since a request to it failed: it is polled soon.
     pub fn add_suspect(&self, target: &BoxId) {
-        let mut suspects = self.suspects.lock().expect("the lock is not poisoned");
+        let mut suspects = self.suspects.lock().expect("no thread panics while it holds the lock");
         if !suspects.contains(target) {
             suspects.insert(target.clone());
         }
@@ -125,7 +125,9 @@
 
     /// Removes and returns the boxes that were marked as suspect.
     pub fn take_suspects(&self) -> BTreeSet<BoxId> {
-        std::mem::take(&mut *self.suspects.lock().expect("the lock is not poisoned"))
+        std::mem::take(
+            &mut *self.suspects.lock().expect("no thread panics while it holds the lock"),
+        )
     }
 
     /// Sets whether this daemon's state differs from that of a majority; it does not serve then.
--- a/lib/src/coordination/replica.rs
+++ b/lib/src/coordination/replica.rs
@@ -40,19 +40,19 @@
 impl Replica {
     /// Locks the fleet for reading. Hold the guard briefly, since it blocks applying.
     pub fn fleet(&self) -> RwLockReadGuard<'_, Fleet> {
-        self.fleet.read().expect("the fleet lock is not poisoned")
+        self.fleet.read().expect("no thread panics while it holds the fleet lock")
     }
 
     /// Applies the batch at `offset`; `None` if it is not the next one. The caller rebuilds the
     /// routes and then calls [`Replica::announce`].
     pub fn apply(&self, offset: Offset, batch: &Batch) -> Option<Vec<(RecordId, Verdict)>> {
-        let mut fleet = self.fleet.write().expect("the fleet lock is not poisoned");
+        let mut fleet = self.fleet.write().expect("no thread panics while it holds the fleet lock");
         (fleet.next == offset).then(|| fleet.apply(offset, batch))
     }
 
     /// Skips an offset that holds no batch, if it is the next one.
     pub fn skip(&self, offset: Offset) {
-        let mut fleet = self.fleet.write().expect("the fleet lock is not poisoned");
+        let mut fleet = self.fleet.write().expect("no thread panics while it holds the fleet lock");
         if fleet.next == offset {
             fleet.next = offset + 1;
         }
@@ -60,12 +60,12 @@
 
     /// Replaces a fleet that has diverged.
     pub fn replace_fleet(&self, fleet: Fleet) {
-        *self.fleet.write().expect("the fleet lock is not poisoned") = fleet;
+        *self.fleet.write().expect("no thread panics while it holds the fleet lock") = fleet;
     }
 
     /// Replaces the fleet if `newer` is later. Returns whether it was.
     pub fn install_if_newer(&self, newer: Fleet) -> bool {
-        let mut fleet = self.fleet.write().expect("the fleet lock is not poisoned");
+        let mut fleet = self.fleet.write().expect("no thread panics while it holds the fleet lock");
         if newer.next <= fleet.next {
             return false;
         }
@@ -96,7 +96,8 @@
 
     /// Records that a read started at `started_at` reached the log's end.
     pub fn record_log_read(&self, started_at: Instant) {
-        let mut log_read = self.log_read_at.lock().expect("the lock is not poisoned");
+        let mut log_read =
+            self.log_read_at.lock().expect("no thread panics while it holds the lock");
         *log_read = Some(started_at);
         self.set_complete();
     }
@@ -113,7 +114,7 @@
 
     /// Age of the last read that reached the log's end; `None` before the first one.
     pub fn log_age(&self, now: Instant) -> Option<Duration> {
-        let log_read = self.log_read_at.lock().expect("the lock is not poisoned");
+        let log_read = self.log_read_at.lock().expect("no thread panics while it holds the lock");
         log_read.map(|started_at| now.saturating_duration_since(started_at))
     }
 }
--- a/lib/src/coordination/route.rs
+++ b/lib/src/coordination/route.rs
@@ -146,24 +146,28 @@
     }
 
     fn is_leaving(&self) -> bool {
-        let restrictions = self.restrictions.lock().expect("the lock is not poisoned");
+        let restrictions =
+            self.restrictions.lock().expect("no thread panics while it holds the lock");
         restrictions.leaving_until.is_some_and(|until| clock::now() < until)
     }
 
     fn is_avoided(&self) -> bool {
-        let restrictions = self.restrictions.lock().expect("the lock is not poisoned");
+        let restrictions =
+            self.restrictions.lock().expect("no thread panics while it holds the lock");
         restrictions.avoid_until.is_some_and(|until| clock::now() < until)
     }
 
     /// Prefers other endpoints for `AVOID_DURATION`.
     pub fn mark_avoided(&self) {
-        let mut restrictions = self.restrictions.lock().expect("the lock is not poisoned");
+        let mut restrictions =
+            self.restrictions.lock().expect("no thread panics while it holds the lock");
         restrictions.avoid_until = Some(clock::now() + AVOID_DURATION);
     }
 
     /// Sends no more requests here for `LEAVING_DURATION`, since the box reported that it is leaving.
     pub fn mark_leaving(&self) {
-        let mut restrictions = self.restrictions.lock().expect("the lock is not poisoned");
+        let mut restrictions =
+            self.restrictions.lock().expect("no thread panics while it holds the lock");
         restrictions.leaving_until = Some(clock::now() + LEAVING_DURATION);
     }
 }
@@ -179,7 +183,7 @@
     }
 
     fn endpoints(&self) -> Arc<[Arc<Endpoint>]> {
-        self.endpoints.read().expect("the lock is not poisoned").clone()
+        self.endpoints.read().expect("no thread panics while it holds the lock").clone()
     }
 }
 
@@ -205,13 +209,13 @@
 
     /// The route of a service; `None` if the account has no such service.
     pub fn find_route(&self, account: &str, service: &str) -> Option<Arc<Route>> {
-        let table = self.table.read().expect("the table lock is not poisoned");
+        let table = self.table.read().expect("no thread panics while it holds the table lock");
         table.routes.get(account)?.get(service).cloned()
     }
 
     /// Boxes that are out of service and still run requests of this daemon.
     pub fn busy_boxes(&self) -> Vec<BoxId> {
-        let table = self.table.read().expect("the table lock is not poisoned");
+        let table = self.table.read().expect("no thread panics while it holds the table lock");
         if table.out_of_service.is_empty() {
             return Vec::new();
         }
@@ -226,7 +230,7 @@
 
     /// Rebuilds the table from the fleet. Endpoints that remain keep their used slots.
     pub fn rebuild(&self, fleet: &Fleet) {
-        let mut table = self.table.write().expect("the table lock is not poisoned");
+        let mut table = self.table.write().expect("no thread panics while it holds the table lock");
         let mut next = Table { leaving: table.leaving.clone(), ..Table::default() };
         for (key, service) in &fleet.services {
             let endpoints = self.endpoints_of(&table, fleet, key, service);
@@ -234,7 +238,8 @@
                 next.endpoints.insert((endpoint.target.clone(), key.clone()), endpoint.clone());
             }
             let route = table.route_for(key);
-            *route.endpoints.write().expect("the lock is not poisoned") = endpoints.into();
+            *route.endpoints.write().expect("no thread panics while it holds the lock") =
+                endpoints.into();
             route.slot_freed.notify_waiters();
             next.routes.entry(key.0.clone()).or_default().insert(key.1.clone(), route);
         }
@@ -304,7 +309,7 @@
 
     /// Sets the boxes that are leaving by the box list; they get no more requests.
     pub fn set_leaving(&self, leaving: &Arc<BTreeSet<BoxId>>) {
-        let mut table = self.table.write().expect("the table lock is not poisoned");
+        let mut table = self.table.write().expect("no thread panics while it holds the table lock");
         table.leaving = leaving.clone();
         for endpoint in table.endpoints.values() {
             endpoint.is_listed_leaving.store(leaving.contains(&endpoint.target), Ordering::SeqCst);
--- a/lib/src/coordination/snapshot.rs
+++ b/lib/src/coordination/snapshot.rs
@@ -67,7 +67,7 @@
 
 impl History {
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("the history lock is not poisoned")
+        self.inner.lock().expect("no thread panics while it holds the history lock")
     }
 
     /// Keeps an applied batch for peers that catch up, and drops the oldest ones over the limits.
