--- a/lib/src/batch/fleet.rs
+++ b/lib/src/batch/fleet.rs
@@ -29,8 +29,7 @@
 const ORDER_RATE_FRACTION: f64 = 0.9;
 /// Longest time since the last round for which a round gets orders. Rounds take longer than the
 /// pause on large sites (0.3 s with 1,100 boxes), so that counting the pause alone gives 260 orders
-/// per second where the platform takes 590, and leaves hundreds of boxes waiting after a power
-/// loss.
+/// per second where the platform takes 590, and leaves 500 boxes waiting after a power loss.
 const MAX_CATCH_UP: Duration = Duration::from_millis(500);
 /// Interval of the log lines about each service's load.
 const LOAD_LOG_INTERVAL: Duration = Duration::from_millis(1_000);
--- a/lib/src/batch/peer/connection.rs
+++ b/lib/src/batch/peer/connection.rs
@@ -32,7 +32,7 @@
 /// answers come within 10 ms.
 const PING_AFTER: Duration = Duration::from_millis(250);
 /// Time after a ping within which something must be received. With 250 ms, high load on 350 boxes
-/// closes 249 connections to a leader that is short of CPU, instead of 10 to 27.
+/// closes 249 connections to a leader that is short of CPU; with this, 10 and 27.
 const PING_TIMEOUT: Duration = Duration::from_millis(350);
 /// Message number of pings; requests are numbered from 1.
 const PING_NUMBER: u64 = 0;
